--- a/frostport/config_fleet.py
+++ b/frostport/config_fleet.py
@@ -12,7 +12,7 @@
 from frostport import config as base
 from frostport.config import ConfigError
 from frostport.maintenance.words import Limits
-from frostport.membership.messages import NAME_MOST, TEXT_MOST
+from frostport.membership.messages import MAX_NAME_BYTES, MAX_TEXT_BYTES
 
 VOTERS = (0, 1, 3, 5, 7)
 KEY_LEAST, KEY_MOST = 16, 64  # bytes
@@ -74,7 +74,7 @@
     if not KEY_LEAST <= len(key) <= KEY_MOST:
         raise ConfigError(f"{at}key: not {KEY_LEAST} to {KEY_MOST} bytes")
     addresses = {
-        entry: short(f"{at}{entry}", base.check_address(f"{at}{entry}", section.get(entry)), TEXT_MOST)
+        entry: short(f"{at}{entry}", base.check_address(f"{at}{entry}", section.get(entry)), MAX_TEXT_BYTES)
         for entry in ("gossip", "link")
     }
     seeds = tuple(
@@ -82,7 +82,7 @@
         for number, seed in enumerate(base.field(section, "seeds", list, [], at))
     )
     voters = tuple(
-        short(f"{at}voters.{number}", voter, NAME_MOST)
+        short(f"{at}voters.{number}", voter, MAX_NAME_BYTES)
         for number, voter in enumerate(base.field(section, "voters", list, [], at))
     )
     if len(voters) not in VOTERS or len(set(voters)) != len(voters):
@@ -92,14 +92,14 @@
         base.check_address(f"{at}routes", place)
         routes[place] = base.check_address(f"{at}routes.{place}", way)
     zone = base.field(section, "zone", str, "", at)
-    if len(zone.encode()) > TEXT_MOST:
-        raise ConfigError(f"{at}zone: over {TEXT_MOST} bytes")
+    if len(zone.encode()) > MAX_TEXT_BYTES:
+        raise ConfigError(f"{at}zone: over {MAX_TEXT_BYTES} bytes")
     compact_after = base.field(section, "compact_after", int, 10_000, at)
     if compact_after < 100:
         raise ConfigError(f"{at}compact_after: under 100")
     return FleetConfig(
         base.name(f"{at}name", section.get("name")),
-        short("name", record.get("name"), NAME_MOST),
+        short("name", record.get("name"), MAX_NAME_BYTES),
         key,
         addresses["gossip"],
         addresses["link"],
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -146,7 +146,7 @@
 
     def phase(self, phase: str) -> None:
         """The agent's own phase: all members hear of it."""
-        self._swim(seen.Changed(msgspec.structs.replace(self.swim.info, phase=phase)))
+        self._swim(seen.InfoChanged(msgspec.structs.replace(self.swim.info, phase=phase)))
 
     def snapshot(self) -> dict[str, Any]:
         return {
@@ -185,16 +185,16 @@
     # Membership
 
     def _heard(self, address: str, message: Message) -> None:
-        self._swim(seen.Heard(address, message))
+        self._swim(seen.DatagramReceived(address, message))
 
     def _swim(self, event: seen.Event) -> None:
         for action in self.swim.handle(event, self.clock.now()):
             match action:
                 case seen.Send():
                     self.gossip.send(action.address, action.message)
-                case seen.Exchange():
+                case seen.ExchangeViews():
                     self.link.send(action.name, VIEW, _encoder.encode(self.swim.view()))
-                case seen.Told():
+                case seen.MemberChanged():
                     self.record.event(
                         "member",
                         member=action.name,
@@ -206,10 +206,10 @@
                         watcher()
                     self._raft(
                         agreed.Members(
-                            tuple([self.config.agent, *(member.name for member in self.swim.table.here())])
+                            tuple([self.config.agent, *(member.name for member in self.swim.table.active())])
                         )
                     )
-                case seen.Moved():
+                case seen.PhaseChanged():
                     log.warning("fleet: %s: %s", action.phase.value, action.why)
                     self.record.event("moved", phase=action.phase.value, why=action.why)
                     if action.phase is seen.Phase.REFUSED:
@@ -234,7 +234,7 @@
             elif kind in (VIEW, ANSWER):
                 if kind == VIEW:
                     self.link.send(sender, ANSWER, _encoder.encode(self.swim.view()))
-                self._swim(seen.View(_view.decode(body)))
+                self._swim(seen.ViewReceived(_view.decode(body)))
             elif (part := self.parts.get(kind)) is not None:
                 part(sender, body)
         except msgspec.MsgspecError as problem:
--- a/frostport/membership/__init__.py
+++ b/frostport/membership/__init__.py
@@ -1,1 +1,4 @@
-"""Who is up: SWIM with Lifeguard's suspicion and local health. Plain objects: events in, actions out."""
+"""Membership and failure detection: SWIM with Lifeguard's suspicion timeouts and local health multiplier.
+
+Plain objects: events in, actions out. The caller owns sockets, clock and timers.
+"""
--- a/frostport/membership/events.py
+++ b/frostport/membership/events.py
@@ -1,4 +1,4 @@
-"""What happens to an agent's membership, and what it asks for."""
+"""The events that the membership protocol handles, and the actions that it returns."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Phase(Enum):
-    """Where an agent stands in the membership."""
+    """This agent's own part in the membership."""
 
-    JOINING = "joining"  # no other member has taken it in yet; it answers all the same
+    JOINING = "joining"  # no other member has admitted it yet; it answers messages all the same
     MEMBER = "member"
-    LEFT = "left"  # it said so, and takes no more part
+    LEFT = "left"  # it has announced that it leaves, and takes no more part
     REFUSED = "refused"  # another process of its name is alive
-    FOLLOWED = "followed"  # a later process of its name has taken its place
+    SUPERSEDED = "followed"  # a later process of its name has replaced it
 
 
 # Events
@@ -28,37 +28,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """`next_ms` has come."""
+    """The time returned by `next_ms` has come."""
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """A datagram: where an answer goes, and the message in it."""
+class DatagramReceived:
+    """`address` is the sender's, to which an answer goes."""
 
     address: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """Another agent's whole view, over the link."""
+class ViewReceived:
+    """Another agent's view, received over the link."""
 
     updates: tuple[Update, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
-    """What the agent says of itself has changed: its phase, say."""
+class InfoChanged:
+    """This agent's own info has changed, such as its phase."""
 
     info: Info
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """The agent goes, and says so."""
+    """The agent stops: it announces that it leaves."""
 
 
-Event = Started | Tick | Heard | View | Changed | Leave
+Event = Started | Tick | DatagramReceived | ViewReceived | InfoChanged | Leave
 
 
 # Actions
@@ -66,22 +66,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A datagram to an address."""
+    """Send a datagram."""
 
     address: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
-    """Views are to be compared with this member over the link."""
+class ExchangeViews:
+    """Exchange views with this member over the link."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A member has changed: for whoever decides by the membership, and for the record."""
+class MemberChanged:
+    """A member was added, has changed or was forgotten; for the agent's decisions and its record."""
 
     name: str
     incarnation: int
@@ -90,11 +90,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
-    """The agent's own phase has changed; `why` for the log."""
+class PhaseChanged:
+    """The agent's own phase has changed; `why` is for the log."""
 
     phase: Phase
     why: str
 
 
-Action = Send | Exchange | Told | Moved
+Action = Send | ExchangeViews | MemberChanged | PhaseChanged
--- a/frostport/membership/messages.py
+++ b/frostport/membership/messages.py
@@ -1,6 +1,6 @@
-"""What agents say to each other about who is up, as msgpack arrays; each datagram's form has a version.
+"""The messages of the membership protocol, as msgpack arrays; the wire carries a version in each datagram.
 
-A field is only ever added at the end, with a default.
+Fields are only ever added at the end, with a default.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 import msgspec
 
 VERSION = 1
-NAME_MOST = 24  # bytes of an agent's name
-TEXT_MOST = 21  # bytes of an address or a zone
-WHOLE_MOST = 1 << 62
+MAX_NAME_BYTES = 24  # of an agent's name
+MAX_TEXT_BYTES = 21  # of an address or a zone
+INTEGER_LIMIT = 1 << 62  # exclusive, of incarnations and process ids
 
 
 class State(IntEnum):
-    """What a member is; within one incarnation the greater counts."""
+    """The state of a member; of two updates of one incarnation the greater state prevails."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -25,91 +25,91 @@
 
 
 class Info(msgspec.Struct, array_like=True, frozen=True):
-    """What an agent says of itself: where it is heard, and how it stands."""
+    """What an agent announces of itself. The field names are keys of the status output."""
 
-    address: str  # of its datagrams, "host:port"
-    life: int  # drawn at its start: tells two processes of one name apart
+    address: str  # for datagrams, "host:port"
+    life: int  # drawn at random when the process starts: tells two processes of one name apart
     zone: str = ""
     phase: str = ""
     version: str = ""
-    link: str = ""  # of the link, "host:port"
+    link: str = ""  # address of its link, "host:port"
 
 
 class Update(msgspec.Struct, array_like=True, frozen=True):
-    """What is said of one member. `info` goes with ALIVE alone; `by`: who suspects."""
+    """The state of one member. `info` comes with ALIVE in datagrams, with every state in a view."""
 
     name: str
     incarnation: int
     state: State
     info: Info | None = None
-    by: str = ""
+    suspected_by: str = ""  # the member that suspects it
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Are you there, `target`? Answered with an Ack of the same number."""
+    """Probes `target`, which answers with an Ack of the same sequence number."""
 
     sender: str
-    number: int
+    sequence: int
     target: str
     updates: tuple[Update, ...] = ()
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """I am; `life`: which process of that name."""
+    """Answers a Ping. `life`: the `Info.life` of the process that answers."""
 
     sender: str
-    number: int
+    sequence: int
     life: int
     updates: tuple[Update, ...] = ()
 
 
 class PingReq(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Ask `target` at `address` for me."""
+    """Asks the receiver to probe `target` at `address` on the sender's behalf."""
 
     sender: str
-    number: int
+    sequence: int
     target: str
     address: str
     updates: tuple[Update, ...] = ()
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """It has not answered me (yet); I am well (Lifeguard)."""
+    """Answers a PingReq whose target is late; shows that the sender itself is healthy (Lifeguard)."""
 
     sender: str
-    number: int
+    sequence: int
     updates: tuple[Update, ...] = ()
 
 
 class Gossip(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """Words alone: they go round faster than the probes do."""
+    """Carries updates alone, which spread faster than by probes."""
 
     sender: str
     updates: tuple[Update, ...] = ()
 
 
 class Join(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """Take me in. `follows`: this is an upgrade, and an older process of the name may still answer."""
+    """Asks for admission. `supersedes`: an upgrade, an older process of the name may still answer."""
 
     sender: str
     incarnation: int
     info: Info
-    follows: bool = False
+    supersedes: bool = False
 
 
 class Welcome(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """You are a member; the rest of the view comes with the updates and over the link."""
+    """Admits a member. What does not fit into `updates` follows over the link."""
 
     sender: str
-    life: int  # the joiner's, whom it is meant for
+    life: int  # of the joining process, which the message is for
     updates: tuple[Update, ...] = ()
 
 
 class Refused(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """You are not taken in: a process of your name answers at `address`."""
+    """Refuses a Join: another process of that name answers at `address`."""
 
     sender: str
-    life: int
+    life: int  # of the joining process
     address: str
 
 
@@ -129,41 +129,45 @@
 
 
 def decode(data: bytes) -> Message:
-    """Raises BadMessageError, and nothing else."""
+    """Decodes and validates a message. Raises BadMessageError and no other exception."""
     try:
         message = _decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as problem:
         raise BadMessageError(str(problem)) from None
-    check(message)
+    validate(message)
     return message
 
 
-def check_info(info: Info) -> None:
+def validate_info(info: Info) -> None:
     texts = (info.zone, info.phase, info.version, info.link)
     if (
-        not 0 <= info.life < WHOLE_MOST
+        not 0 <= info.life < INTEGER_LIMIT
         or not info.address
-        or any(len(text.encode()) > TEXT_MOST for text in (info.address, *texts))
+        or any(len(text.encode()) > MAX_TEXT_BYTES for text in (info.address, *texts))
     ):
         raise BadMessageError("info out of range")
 
 
-def check(message: Message) -> None:
+def validate(message: Message) -> None:
+    """Raises BadMessageError if a name, a text or an integer is out of range, or an ALIVE has no info."""
     names = [message.sender]
     if isinstance(message, Ping | PingReq):
         names.append(message.target)
     if isinstance(message, Join):
-        check_info(message.info)
-        if not 0 <= message.incarnation < WHOLE_MOST:
+        validate_info(message.info)
+        if not 0 <= message.incarnation < INTEGER_LIMIT:
             raise BadMessageError("incarnation out of range")
     if isinstance(message, WITH_UPDATES):
         for update in message.updates:
             names.append(update.name)
-            if not 0 <= update.incarnation < WHOLE_MOST or len(update.by.encode()) > NAME_MOST:
+            if (
+                not 0 <= update.incarnation < INTEGER_LIMIT
+                or len(update.suspected_by.encode()) > MAX_NAME_BYTES
+            ):
                 raise BadMessageError("update out of range")
             if update.info is not None:
-                check_info(update.info)
+                validate_info(update.info)
             elif update.state is State.ALIVE:
-                raise BadMessageError("alive without info")
-    if any(not name or len(name.encode()) > NAME_MOST for name in names):
+                raise BadMessageError("ALIVE update without info")
+    if any(not name or len(name.encode()) > MAX_NAME_BYTES for name in names):
         raise BadMessageError("name out of range")
--- a/frostport/membership/probes.py
+++ b/frostport/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes that are under way."""
+"""Probes in progress, direct and on behalf of others."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of this period."""
+    """This agent's probe of the current protocol period."""
 
-    name: str
-    number: int
-    ask_others_at: float
-    asked: int = 0  # others, of whom a Nack is expected
-    nacks: set[str] = field(default_factory=set)
-    answered: bool = False
+    target: str
+    sequence: int
+    indirect_at: float  # when it sends PingReq if no Ack has arrived; infinite once it has
+    requested: int = 0  # PingReq sent; from each a Nack is expected
+    nacks: set[str] = field(default_factory=set)  # members that sent one
+    acked: bool = False
 
 
 @dataclass(slots=True)
-class Relay:
-    """A probe for another agent."""
+class IndirectProbe:
+    """A probe at the request of another agent, the requester."""
 
-    address: str
-    number: int
+    requester_address: str
+    requester_sequence: int
     nack_at: float
-    end_at: float
-    nacked: bool = False
+    expires_at: float
+    nack_sent: bool = False
--- a/frostport/membership/swim.py
+++ b/frostport/membership/swim.py
@@ -1,13 +1,15 @@
 """The membership protocol: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2018).
 
-`handle(event, now_ms)` takes what happened and returns what to do; `next_ms` says when a `Tick` is due. The
-object has no clock, socket or chance of its own: `chance` is handed in, seeded by the caller.
-
-- A member is probed directly, then through others; unanswered, it is suspect, and dead once the suspicion's
-  time is over. What others confirm shortens that time (Lifeguard, 4.2).
-- Who fails at its probes trusts itself less, and waits longer (local health, Lifeguard 4.1).
-- Who is talked to while suspect or dead is told so first (buddy system, Lifeguard 4.3), and refutes.
-- Who has stood still moves all that it waits for by as long: nobody is buried for its own silence.
+`handle(event, now_ms)` returns the actions for an event; `next_ms` says when a `Tick` is due. The object has
+no clock, socket or source of randomness of its own: the caller passes a seeded generator.
+
+- A member is probed directly, then through others. If it doesn't answer, it becomes suspect, and dead once
+  its suspicion timeout has expired. Confirmations by others shorten the timeout (Lifeguard, 4.2).
+- An agent whose own probes fail trusts itself less and waits longer (local health multiplier, Lifeguard 4.1).
+- A message to a suspect or dead member carries that update first (buddy system, Lifeguard 4.3), so that it
+  refutes.
+- An agent whose process was paused shifts all its timers by the length of the pause, so that it doesn't
+  declare others dead because of its own silence.
 """
 
 from __future__ import annotations
@@ -18,23 +20,23 @@
 import msgspec
 
 from frostport.membership import messages
-from frostport.membership.dissemination import Rumours
+from frostport.membership.dissemination import UpdateBuffer
 from frostport.membership.events import (
     Action,
-    Changed,
+    DatagramReceived,
     Event,
-    Exchange,
-    Heard,
+    ExchangeViews,
+    InfoChanged,
     Leave,
-    Moved,
+    MemberChanged,
     Phase,
+    PhaseChanged,
     Send,
     Started,
     Tick,
-    Told,
-    View,
+    ViewReceived,
 )
-from frostport.membership.joining import Claim, Joining
+from frostport.membership.joining import Joining, NameClaim
 from frostport.membership.messages import (
     Ack,
     Gossip,
@@ -49,16 +51,16 @@
     Update,
     Welcome,
 )
-from frostport.membership.probes import Probe, Relay
+from frostport.membership.probes import IndirectProbe, Probe
 from frostport.membership.settings import Settings
 from frostport.membership.table import Member, Table
 
 NEVER = float("inf")
-RELAYS_MOST = 64  # probes for others at a time
+MAX_INDIRECT_PROBES = 64  # in progress for others
 
 
 class Swim(Joining):
-    """One agent's part."""
+    """The protocol state of one agent."""
 
     def __init__(
         self,
@@ -67,319 +69,353 @@
         incarnation: int,
         seeds: Iterable[str],
         settings: Settings,
-        chance: random.Random,
-        follows: bool = False,
+        rng: random.Random,
+        supersedes: bool = False,
     ) -> None:
-        """`incarnation`: the milliseconds of Unix time at the start; `seeds`: addresses to join by;
-        `follows`: an older process of this name may still answer."""
-        self.name, self.info, self.incarnation, self.follows = name, info, incarnation, follows
+        """`incarnation`: Unix time in ms at the start of the process; `seeds`: addresses that Joins are sent
+        to; `supersedes`: an older process of this name may still answer."""
+        self.name, self.info, self.incarnation, self.supersedes = name, info, incarnation, supersedes
         self.seeds = [seed for seed in seeds if seed != info.address]
-        self.settings, self.chance = settings, chance
+        self.settings, self.rng = settings, rng
         self.phase = Phase.JOINING
-        self.table, self.rumours = Table(), Rumours()
-        self.health = 0  # Lifeguard's local health multiplier, 0: well
+        self.table, self.pending_updates = Table(), UpdateBuffer()
+        self.health = 0  # Lifeguard's local health multiplier, 0: healthy
         self.probe: Probe | None = None
-        self.relays: dict[int, Relay] = {}
-        self.claims: dict[int, Claim] = {}
-        self._order: list[str] = []
-        self._number = 0
-        self._out: list[Action] = []
-        self._period_at = self._exchange_at = self._retry_at = self._join_at = self._gossip_at = NEVER
-        self.stood_still_ms = 0.0  # in all, for the record
-
-    # The face
+        self.probes_for_others: dict[int, IndirectProbe] = {}
+        self.claims: dict[int, NameClaim] = {}
+        self._probe_order: list[str] = []
+        self._sequence = 0
+        self._actions: list[Action] = []
+        self._next_period_at = self._next_exchange_at = self._next_reconnect_at = self._next_join_at = (
+            self._next_gossip_at
+        ) = NEVER
+        self.paused_ms = 0.0  # total length of all pauses of the process
+
+    # Interface
 
     def handle(self, event: Event, now_ms: float) -> list[Action]:
-        self._out = []
-        late = now_ms - self.next_ms()
-        if late > self.settings.timeout_ms:
-            self._moved_on(late)
+        """Handles an event; returns the actions for it, in order."""
+        self._actions = []
+        pause_ms = now_ms - self.next_ms()
+        if pause_ms > self.settings.probe_timeout_ms:
+            self._shift_timers(pause_ms)
         if self.phase in (Phase.JOINING, Phase.MEMBER):
             match event:
                 case Started():
                     self._start(now_ms)
                 case Tick():
                     self._tick(now_ms)
-                case Heard():
-                    self._heard(event.address, event.message, now_ms)
-                case View():
-                    self._take_in(event.updates, now_ms)
-                case Changed():
+                case DatagramReceived():
+                    self._message_received(event.address, event.message, now_ms)
+                case ViewReceived():
+                    self._apply_updates(event.updates, now_ms)
+                case InfoChanged():
                     self.info = event.info
-                    self._speak_up()
+                    self._raise_incarnation()
                 case Leave():
                     self._leave()
-        if self._gossip_at == NEVER and len(self.rumours):
-            self._gossip_at = now_ms + self.settings.gossip_ms
-        return self._out
+        if self._next_gossip_at == NEVER and len(self.pending_updates):
+            self._next_gossip_at = now_ms + self.settings.gossip_interval_ms
+        return self._actions
 
     def next_ms(self) -> float:
-        """When the next `Tick` is due; infinite: never."""
+        """When the next `Tick` is due; infinite if none is."""
         if self.phase not in (Phase.JOINING, Phase.MEMBER):
             return NEVER
-        at = [self._period_at, self._exchange_at, self._retry_at, self._join_at, self._gossip_at]
-        if self.probe is not None and not self.probe.answered:
-            at.append(self.probe.ask_others_at)
-        at += [relay.end_at if relay.nacked else relay.nack_at for relay in self.relays.values()]
-        at += [claim.end_at for claim in self.claims.values()]
-        at += map(self._suspected_until, self.table.suspects.values())
-        return min(at)
+        due = [
+            self._next_period_at,
+            self._next_exchange_at,
+            self._next_reconnect_at,
+            self._next_join_at,
+            self._next_gossip_at,
+        ]
+        if self.probe is not None and not self.probe.acked:
+            due.append(self.probe.indirect_at)
+        due += [
+            indirect.expires_at if indirect.nack_sent else indirect.nack_at
+            for indirect in self.probes_for_others.values()
+        ]
+        due += [claim.expires_at for claim in self.claims.values()]
+        due += map(self._suspicion_expires_at, self.table.suspects.values())
+        return min(due)
 
     def view(self) -> tuple[Update, ...]:
-        """All that is known, oneself first: for an exchange over the link."""
+        """The full view, this agent first, for an exchange over the link."""
         return (
-            self._self(),
+            self._own_update(),
             *(Update(member.name, member.incarnation, member.state, member.info) for member in self.table),
         )
 
-    def slow(self, ms: float) -> float:
-        """A wait, by the local health."""
+    def scale_by_health(self, ms: float) -> float:
+        """A timeout or interval multiplied by the local health (Lifeguard, 4.1)."""
         return ms * (self.health + 1)
 
-    # Beginning and end
+    # Start and leave
 
     def _start(self, now: float) -> None:
         settings = self.settings
-        self._period_at = now + self.chance.random() * settings.interval_ms
-        self._exchange_at = now + self.chance.random() * settings.exchange_ms
-        self._retry_at = now + settings.retry_ms
-        self._join_at = now
+        self._next_period_at = now + self.rng.random() * settings.protocol_period_ms
+        self._next_exchange_at = now + self.rng.random() * settings.exchange_interval_ms
+        self._next_reconnect_at = now + settings.reconnect_interval_ms
+        self._next_join_at = now
         self._join(now)
 
     def _leave(self) -> None:
-        gone = Update(self.name, self.incarnation, State.LEFT)
-        here = self.table.here()
-        self.chance.shuffle(here)
-        for member in here[: self.settings.copies(self.table.size())]:
-            self._number += 1
-            self._send(member.info.address, Ping(self.name, self._number, member.name, (gone,)))
-        self._enter(Phase.LEFT, "it leaves")
-
-    def _enter(self, phase: Phase, why: str) -> None:
+        left = Update(self.name, self.incarnation, State.LEFT)
+        active = self.table.active()
+        self.rng.shuffle(active)
+        for member in active[: self.settings.max_sends(self.table.size())]:
+            self._sequence += 1
+            self._send(member.info.address, Ping(self.name, self._sequence, member.name, (left,)))
+        self._set_phase(Phase.LEFT, "leaving")
+
+    def _set_phase(self, phase: Phase, why: str) -> None:
         if phase is not self.phase:
             self.phase = phase
-            self._out.append(Moved(phase, why))
-
-    def _moved_on(self, late: float) -> None:
-        """Guards the others against being buried for this agent's own standing still."""
-        self.stood_still_ms += late
-        self._period_at += late
-        self._exchange_at += late
-        self._retry_at += late
-        self._join_at += late
-        self._gossip_at += late
+            self._actions.append(PhaseChanged(phase, why))
+
+    def _shift_timers(self, pause_ms: float) -> None:
+        """Moves all timers after a pause of the process.
+
+        Guards against declaring others dead for messages that this agent was not running to read."""
+        self.paused_ms += pause_ms
+        self._next_period_at += pause_ms
+        self._next_exchange_at += pause_ms
+        self._next_reconnect_at += pause_ms
+        self._next_join_at += pause_ms
+        self._next_gossip_at += pause_ms
         if self.probe is not None:
-            self.probe.ask_others_at += late
-        for relay in self.relays.values():
-            relay.nack_at, relay.end_at = relay.nack_at + late, relay.end_at + late
+            self.probe.indirect_at += pause_ms
+        for indirect in self.probes_for_others.values():
+            indirect.nack_at, indirect.expires_at = (
+                indirect.nack_at + pause_ms,
+                indirect.expires_at + pause_ms,
+            )
         for claim in self.claims.values():
-            claim.end_at += late
+            claim.expires_at += pause_ms
         for member in self.table.suspects.values():
-            member.changed_at += late
-        self._worse(1)
+            member.changed_at += pause_ms
+        self._raise_health_multiplier(1)
 
-    # Time
+    # Timers
 
     def _tick(self, now: float) -> None:
         for member in list(self.table.suspects.values()):
-            if self._suspected_until(member) <= now:
-                self._apply(Update(member.name, member.incarnation, State.DEAD), now)
-        for number, relay in list(self.relays.items()):
-            if relay.end_at <= now:
-                del self.relays[number]
-            elif relay.nack_at <= now and not relay.nacked:
-                relay.nacked = True
-                self._gossip(relay.address, Nack(self.name, relay.number))
-        self._claims_over(now)
-        if self.probe is not None and not self.probe.answered and self.probe.ask_others_at <= now:
-            self._ask_others(self.probe)
-        if self._period_at <= now:
-            self._period(now)
-        if self._gossip_at <= now:
-            self._go_round(now)
-        if self._join_at <= now:
+            if self._suspicion_expires_at(member) <= now:
+                self._apply_update(Update(member.name, member.incarnation, State.DEAD), now)
+        for sequence, indirect in list(self.probes_for_others.items()):
+            if indirect.expires_at <= now:
+                del self.probes_for_others[sequence]
+            elif indirect.nack_at <= now and not indirect.nack_sent:
+                indirect.nack_sent = True
+                self._send_with_updates(
+                    indirect.requester_address, Nack(self.name, indirect.requester_sequence)
+                )
+        self._admit_unanswered_claims(now)
+        if self.probe is not None and not self.probe.acked and self.probe.indirect_at <= now:
+            self._probe_indirectly(self.probe)
+        if self._next_period_at <= now:
+            self._begin_period(now)
+        if self._next_gossip_at <= now:
+            self._gossip_round(now)
+        if self._next_join_at <= now:
             self._join(now)
-        if self._exchange_at <= now:
-            self._exchange_at = now + self.settings.exchange_ms
-            here = [member for member in self.table if member.state is State.ALIVE]
-            if here:
-                self._out.append(Exchange(self.chance.choice(here).name))
-        if self._retry_at <= now:
-            self._retry(now)
-
-    def _suspected_until(self, member: Member) -> float:
+        if self._next_exchange_at <= now:
+            self._next_exchange_at = now + self.settings.exchange_interval_ms
+            active = [member for member in self.table if member.state is State.ALIVE]
+            if active:
+                self._actions.append(ExchangeViews(self.rng.choice(active).name))
+        if self._next_reconnect_at <= now:
+            self._reconnect(now)
+
+    def _suspicion_expires_at(self, member: Member) -> float:
         confirmed = max(0, len(member.suspected_by) - 1)
-        return member.changed_at + self.settings.suspicion_ms(self.table.size(), confirmed)
+        return member.changed_at + self.settings.suspicion_timeout_ms(self.table.size(), confirmed)
 
-    def _period(self, now: float) -> None:
-        """The end of one protocol period, the beginning of the next."""
+    def _begin_period(self, now: float) -> None:
+        """Ends a protocol period and begins the next one."""
         probe, self.probe = self.probe, None
-        if probe is not None and not probe.answered:
-            # Nobody's word for it but one's own: a helper that has not even said no speaks against oneself.
-            self._worse(probe.asked - len(probe.nacks) if probe.asked else 1)
-            member = self.table.members.get(probe.name)
+        if probe is not None and not probe.acked:
+            # Each member asked that sent no Nack suggests that this agent is the unhealthy one, and so does a
+            # failed probe without any member to ask (Lifeguard, 4.1).
+            self._raise_health_multiplier(probe.requested - len(probe.nacks) if probe.requested else 1)
+            member = self.table.members.get(probe.target)
             if member is not None and member.state <= State.SUSPECT:
-                self._apply(Update(member.name, member.incarnation, State.SUSPECT, by=self.name), now)
-        self._period_at = now + self.slow(self.settings.interval_ms)
-        for gone in self.table.forget(now - self.settings.forget_ms):
-            self._out.append(Told(gone.name, gone.incarnation, gone.state, gone.info))
+                self._apply_update(
+                    Update(member.name, member.incarnation, State.SUSPECT, suspected_by=self.name), now
+                )
+        self._next_period_at = now + self.scale_by_health(self.settings.protocol_period_ms)
+        for forgotten in self.table.forget(now - self.settings.forget_after_ms):
+            self._actions.append(
+                MemberChanged(forgotten.name, forgotten.incarnation, forgotten.state, forgotten.info)
+            )
         target = self._next_target()
         if target is not None:
-            self._number += 1
-            self.probe = Probe(target.name, self._number, now + self.slow(self.settings.timeout_ms))
-            self._gossip(target.info.address, Ping(self.name, self._number, target.name), target)
+            self._sequence += 1
+            self.probe = Probe(
+                target.name, self._sequence, now + self.scale_by_health(self.settings.probe_timeout_ms)
+            )
+            self._send_with_updates(target.info.address, Ping(self.name, self._sequence, target.name), target)
 
     def _next_target(self) -> Member | None:
-        """Each in turn, in an order drawn anew every round (SWIM, 4.3: a bounded time to detection)."""
+        """Round robin in an order shuffled each round, which bounds the time to detection (SWIM, 4.3)."""
         for _ in range(2):
-            while self._order:
-                member = self.table.members.get(self._order.pop())
+            while self._probe_order:
+                member = self.table.members.get(self._probe_order.pop())
                 if member is not None and member.state <= State.SUSPECT:
                     return member
-            self._order = sorted(member.name for member in self.table.here())
-            self.chance.shuffle(self._order)
+            self._probe_order = sorted(member.name for member in self.table.active())
+            self.rng.shuffle(self._probe_order)
         return None
 
-    def _ask_others(self, probe: Probe) -> None:
-        probe.ask_others_at = NEVER
-        member = self.table.members.get(probe.name)
+    def _probe_indirectly(self, probe: Probe) -> None:
+        probe.indirect_at = NEVER
+        member = self.table.members.get(probe.target)
         if member is None:
             return
-        others = [other for other in self.table if other.state is State.ALIVE and other.name != probe.name]
-        for helper in self.chance.sample(others, min(self.settings.helpers, len(others))):
-            probe.asked += 1
-            self._gossip(
+        others = [other for other in self.table if other.state is State.ALIVE and other.name != probe.target]
+        for helper in self.rng.sample(others, min(self.settings.indirect_probes, len(others))):
+            probe.requested += 1
+            self._send_with_updates(
                 helper.info.address,
-                PingReq(self.name, probe.number, member.name, member.info.address),
+                PingReq(self.name, probe.sequence, member.name, member.info.address),
                 helper,
             )
 
-    def _go_round(self, now: float) -> None:
-        """Passes words on to a few, apart from the probes: these slow down with the local health."""
-        here = self.table.here()
-        for member in self.chance.sample(here, min(self.settings.gossip_to, len(here))):
-            if len(self.rumours):
-                self._gossip(member.info.address, Gossip(self.name), member)
-        self._gossip_at = now + self.settings.gossip_ms if len(self.rumours) and here else NEVER
-
-    def _retry(self, now: float) -> None:
-        """Guards against a cut that heals and is never noticed: the dead are called, and seeds unheard of."""
-        self._retry_at = now + self.settings.retry_ms
+    def _gossip_round(self, now: float) -> None:
+        """Sends pending updates to a few members, without waiting for probes, which bad local health delays."""
+        active = self.table.active()
+        for member in self.rng.sample(active, min(self.settings.gossip_fanout, len(active))):
+            if len(self.pending_updates):
+                self._send_with_updates(member.info.address, Gossip(self.name), member)
+        self._next_gossip_at = (
+            now + self.settings.gossip_interval_ms if len(self.pending_updates) and active else NEVER
+        )
+
+    def _reconnect(self, now: float) -> None:
+        """Contacts a dead member, and each seed that is no active member.
+
+        Guards against a network partition that heals without either side noticing."""
+        self._next_reconnect_at = now + self.settings.reconnect_interval_ms
         dead = [member for member in self.table if member.state is State.DEAD]
         if dead:
-            member = self.chance.choice(dead)
-            self._number += 1
-            self._gossip(member.info.address, Ping(self.name, self._number, member.name), member)
-        members = {member.info.address for member in self.table.here()}
+            member = self.rng.choice(dead)
+            self._sequence += 1
+            self._send_with_updates(member.info.address, Ping(self.name, self._sequence, member.name), member)
+        members = {member.info.address for member in self.table.active()}
         for seed in self.seeds:
             if seed not in members:
-                self._send(seed, Join(self.name, self.incarnation, self.info, self.follows))
+                self._send(seed, Join(self.name, self.incarnation, self.info, self.supersedes))
 
     # Local health (Lifeguard, 4.1)
 
-    def _worse(self, by: int) -> None:
-        self.health = min(self.settings.health_most, self.health + by)
+    def _raise_health_multiplier(self, by: int) -> None:
+        self.health = min(self.settings.max_health, self.health + by)
 
-    def _better(self) -> None:
+    def _lower_health_multiplier(self) -> None:
         self.health = max(0, self.health - 1)
 
-    # What is heard
+    # Messages
 
-    def _heard(self, address: str, message: Message, now: float) -> None:
+    def _message_received(self, address: str, message: Message, now: float) -> None:
         match message:
             case Ping():
-                self._take_in(message.updates, now)
+                self._apply_updates(message.updates, now)
                 if message.target == self.name:
-                    self._gossip(
+                    self._send_with_updates(
                         address,
-                        Ack(self.name, message.number, self.info.life),
+                        Ack(self.name, message.sequence, self.info.life),
                         self.table.members.get(message.sender),
                     )
             case Ack():
-                self._take_in(message.updates, now)
-                self._answered(message)
+                self._apply_updates(message.updates, now)
+                self._ack_received(message)
             case PingReq():
-                self._take_in(message.updates, now)
-                self._relay(address, message, now)
+                self._apply_updates(message.updates, now)
+                self._probe_for(address, message, now)
             case Nack():
-                self._take_in(message.updates, now)
-                if self.probe is not None and self.probe.number == message.number:
+                self._apply_updates(message.updates, now)
+                if self.probe is not None and self.probe.sequence == message.sequence:
                     self.probe.nacks.add(message.sender)
             case Gossip():
-                self._take_in(message.updates, now)
+                self._apply_updates(message.updates, now)
             case Join():
-                self._asked_to_join(address, message, now)
+                self._join_received(address, message, now)
             case Welcome():
                 if message.life == self.info.life:
-                    self._take_in(message.updates, now)
+                    self._apply_updates(message.updates, now)
                     if self.phase is Phase.JOINING:
-                        self._join_at = NEVER
-                        self._enter(Phase.MEMBER, f"taken in by {message.sender}")
-                        self._out.append(Exchange(message.sender))
+                        self._next_join_at = NEVER
+                        self._set_phase(Phase.MEMBER, f"admitted by {message.sender}")
+                        self._actions.append(ExchangeViews(message.sender))
             case Refused():
-                # Only while it joins: a member is not sent away by a datagram that comes late.
+                # Only while joining: a late datagram must not remove a member.
                 if message.life == self.info.life and self.phase is Phase.JOINING:
-                    self._enter(Phase.REFUSED, f"another {self.name} answers at {message.address}")
+                    self._set_phase(Phase.REFUSED, f"another {self.name} answers at {message.address}")
 
-    def _answered(self, message: Ack) -> None:
+    def _ack_received(self, message: Ack) -> None:
         probe = self.probe
-        if probe is not None and probe.number == message.number and probe.name == message.sender:
-            member = self.table.members.get(probe.name)
-            if member is not None and member.info.life == message.life and not probe.answered:
-                probe.answered = True
-                self._better()
-        elif (relay := self.relays.pop(message.number, None)) is not None:
-            self._gossip(relay.address, Ack(message.sender, relay.number, message.life))
+        if probe is not None and probe.sequence == message.sequence and probe.target == message.sender:
+            member = self.table.members.get(probe.target)
+            if member is not None and member.info.life == message.life and not probe.acked:
+                probe.acked = True
+                self._lower_health_multiplier()
+        elif (indirect := self.probes_for_others.pop(message.sequence, None)) is not None:
+            self._send_with_updates(
+                indirect.requester_address, Ack(message.sender, indirect.requester_sequence, message.life)
+            )
         else:
-            self._claim_answered(message)
-
-    def _relay(self, address: str, message: PingReq, now: float) -> None:
-        if len(self.relays) < RELAYS_MOST and message.target != self.name:
-            self._number += 1
-            timeout = self.settings.timeout_ms
-            self.relays[self._number] = Relay(address, message.number, now + 0.8 * timeout, now + 4 * timeout)
-            self._gossip(
+            self._refuse_claim(message)
+
+    def _probe_for(self, address: str, message: PingReq, now: float) -> None:
+        if len(self.probes_for_others) < MAX_INDIRECT_PROBES and message.target != self.name:
+            self._sequence += 1
+            timeout = self.settings.probe_timeout_ms
+            self.probes_for_others[self._sequence] = IndirectProbe(
+                address, message.sequence, now + 0.8 * timeout, now + 4 * timeout
+            )
+            self._send_with_updates(
                 message.address,
-                Ping(self.name, self._number, message.target),
+                Ping(self.name, self._sequence, message.target),
                 self.table.members.get(message.target),
             )
 
-    # The view
+    # Updates
 
-    def _take_in(self, updates: Iterable[Update], now: float) -> None:
+    def _apply_updates(self, updates: Iterable[Update], now: float) -> None:
         for update in updates:
             if self.phase not in (Phase.JOINING, Phase.MEMBER):
                 return
             if update.name == self.name:
-                self._about_me(update)
+                self._own_state_received(update)
             else:
-                self._apply(update, now)
+                self._apply_update(update, now)
 
-    def _about_me(self, update: Update) -> None:
+    def _own_state_received(self, update: Update) -> None:
         if update.info is not None and update.info.life != self.info.life:
             if update.state is State.ALIVE and update.incarnation > self.incarnation:
-                self._enter(Phase.FOLLOWED, f"a later process of this name is at {update.info.address}")
+                self._set_phase(Phase.SUPERSEDED, f"a later process of this name is at {update.info.address}")
             elif update.state is State.ALIVE:
-                self._speak_up()
+                self._raise_incarnation()
             return
         if update.state is not State.ALIVE and update.incarnation >= self.incarnation:
             self.incarnation = update.incarnation
             self._refute()
 
     def _refute(self) -> None:
-        """Alive after all (SWIM, 4.2); to have been suspected speaks against one's own health as well."""
-        self._worse(1)
-        self._speak_up()
+        """Refutes a suspicion or a death (SWIM, 4.2), which also counts against the local health."""
+        self._raise_health_multiplier(1)
+        self._raise_incarnation()
 
-    def _speak_up(self) -> None:
+    def _raise_incarnation(self) -> None:
         self.incarnation += 1
-        self.rumours.add(self._self())
+        self.pending_updates.add(self._own_update())
 
-    def _self(self) -> Update:
+    def _own_update(self) -> Update:
         return Update(self.name, self.incarnation, State.ALIVE, self.info)
 
-    def _apply(self, update: Update, now: float) -> None:
-        """Takes a word in, and passes it on if it says something new."""
+    def _apply_update(self, update: Update, now: float) -> None:
+        """Applies an update, and disseminates it if it is new."""
         before = self.table.members.get(update.name)
         if (
             before is not None
@@ -387,50 +423,50 @@
             and before.state is State.SUSPECT
             and update.incarnation == before.incarnation
         ):
-            self._confirmed(before, update)
+            self._confirm_suspicion(before, update)
             return
         changed = self.table.apply(update, now)
         if changed is None:
             return
-        if changed.state is State.SUSPECT and update.by:
-            changed.suspected_by.add(update.by)
-        self.rumours.add(changed.update(update.by))
-        self._out.append(Told(changed.name, changed.incarnation, changed.state, changed.info))
+        if changed.state is State.SUSPECT and update.suspected_by:
+            changed.suspected_by.add(update.suspected_by)
+        self.pending_updates.add(changed.update(update.suspected_by))
+        self._actions.append(MemberChanged(changed.name, changed.incarnation, changed.state, changed.info))
 
-    def _confirmed(self, member: Member, update: Update) -> None:
-        """Another one suspects it too: its time is shorter, and the word goes on (Lifeguard, 4.2)."""
+    def _confirm_suspicion(self, member: Member, update: Update) -> None:
+        """Another member suspects it too: shortens the timeout, disseminates the update (Lifeguard, 4.2)."""
         if (
-            update.by
-            and update.by not in member.suspected_by
+            update.suspected_by
+            and update.suspected_by not in member.suspected_by
             and len(member.suspected_by) <= self.settings.confirmations
         ):
-            member.suspected_by.add(update.by)
-            self.rumours.add(member.update(update.by))
+            member.suspected_by.add(update.suspected_by)
+            self.pending_updates.add(member.update(update.suspected_by))
 
     # Sending
 
     def _send(self, address: str, message: Message) -> None:
-        self._out.append(Send(address, message))
+        self._actions.append(Send(address, message))
 
-    def _gossip(
+    def _send_with_updates(
         self, address: str, message: Ping | Ack | PingReq | Nack | Gossip, to: Member | None = None
     ) -> None:
-        """Sends with as many words as fit; who is thought suspect or dead hears that first."""
+        """Sends a message with as many updates as fit, for a suspect or dead receiver its own state first."""
         first = None
         if to is not None and to.state in (State.SUSPECT, State.DEAD):
             first = Update(to.name, to.incarnation, to.state)
         room = self.settings.datagram_bytes - len(messages.encode(message))
-        taken = self.rumours.take(room, self.settings.copies(self.table.size()), first)
+        taken = self.pending_updates.take(room, self.settings.max_sends(self.table.size()), first)
         self._send(address, msgspec.structs.replace(message, updates=taken))
 
     def snapshot(self) -> dict[str, object]:
-        """Plain data for the door and for records."""
+        """JSON-compatible state for the operators' port and the record."""
         return {
             "name": self.name,
             "incarnation": self.incarnation,
             "phase": self.phase.value,
             "health": self.health,
-            "stood_still_ms": round(self.stood_still_ms),
+            "stood_still_ms": round(self.paused_ms),
             "members": [
                 {
                     "name": member.name,
--- a/frostport/starting.py
+++ b/frostport/starting.py
@@ -318,7 +318,7 @@
             for host in self.chosen
             if host in lobbies
         )
-        members = list(self.fleet.swim.table.here()) if self.fleet is not None else []
+        members = list(self.fleet.swim.table.active()) if self.fleet is not None else []
         phases = [member.info.phase for member in members]
         listed = sum(server.state is Listing.READY for server, _ in agent.side.list.entries.values())
         local = Local(
--- a/standins/simulated.py
+++ b/standins/simulated.py
@@ -11,17 +11,17 @@
 
 from frostport.membership import messages
 from frostport.membership.events import (
+    DatagramReceived,
     Event,
-    Exchange,
-    Heard,
+    ExchangeViews,
     Leave,
-    Moved,
+    MemberChanged,
     Phase,
+    PhaseChanged,
     Send,
     Started,
     Tick,
-    Told,
-    View,
+    ViewReceived,
 )
 from frostport.membership.messages import Info, State
 from frostport.membership.settings import Settings
@@ -41,8 +41,8 @@
         self.clocks: dict[str, tuple[float, float]] = {}  # an agent's clock: how far ahead, ms, and how fast
         self.frozen: dict[str, list[Callable[[], None]]] = {}  # who stands still, and what waits for it
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
-        self.told: list[tuple[float, str, Told]] = []
-        self.moved: list[tuple[float, str, Moved]] = []
+        self.told: list[tuple[float, str, MemberChanged]] = []
+        self.moved: list[tuple[float, str, PhaseChanged]] = []
         self.bytes = self.sent = self.longest = 0
         for number in range(count):
             self.at(self.chance.uniform(0.0, 2000.0), functools.partial(self.start, f"a{number}"))
@@ -98,11 +98,11 @@
             match action:
                 case Send():
                     self.send(address, action)
-                case Exchange():
+                case ExchangeViews():
                     self.exchange(address, action.name)
-                case Told():
+                case MemberChanged():
                     self.told.append((self.now, address, action))
-                case Moved():
+                case PhaseChanged():
                     self.moved.append((self.now, address, action))
         self.wait(address)
 
@@ -127,7 +127,7 @@
         if self.chance.random() < self.loss or self.cut(sender, action.address):
             return
         arrives = self.now + self.chance.uniform(0.2, 2.0)
-        self.at(arrives, lambda: self.event(action.address, Heard(sender, messages.decode(data))))
+        self.at(arrives, lambda: self.event(action.address, DatagramReceived(sender, messages.decode(data))))
 
     def exchange(self, address: str, name: str) -> None:
         """Both views over the link, where it is up both ways."""
@@ -138,8 +138,8 @@
         if self.cut(address, other) or self.cut(other, address) or other in self.frozen:
             return
         mine, theirs = self.agents[address].view(), self.agents[other].view()
-        self.at(self.now + 1.0, lambda: self.event(address, View(theirs)))
-        self.at(self.now + 1.0, lambda: self.event(other, View(mine)))
+        self.at(self.now + 1.0, lambda: self.event(address, ViewReceived(theirs)))
+        self.at(self.now + 1.0, lambda: self.event(other, ViewReceived(mine)))
 
     def run(self, ms: float) -> None:
         end = self.now + ms
--- a/tests/test_gossip_wire.py
+++ b/tests/test_gossip_wire.py
@@ -1,6 +1,6 @@
-"""Datagrams and frames between agents: what is damaged is an error, never an exception out of the wire.
+"""Datagrams and frames between agents: damaged input raises only the errors that are declared for it.
 
-And the fleet's part of the configuration, by field."""
+Also the fleet section of the configuration, field by field."""
 
 from __future__ import annotations
 
@@ -35,25 +35,25 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 SEAL = Seal("coastline", bytes(range(32)))
-texts = st.text("abcdefghij0123456789.:-", max_size=messages.TEXT_MOST)
-names = st.text("abcdefghij-0123456789", min_size=1, max_size=messages.NAME_MOST)
-wholes = st.integers(0, messages.WHOLE_MOST - 1)
-infos = st.builds(Info, texts.filter(bool), wholes, texts, texts, texts, texts)
-updates = st.builds(Update, names, wholes, st.sampled_from(State), infos, names)
-said = st.one_of(
-    st.builds(Ping, names, wholes, names, st.tuples(updates)),
-    st.builds(messages.Ack, names, wholes, wholes, st.tuples(updates)),
-    st.builds(messages.PingReq, names, wholes, names, texts),
-    st.builds(messages.Nack, names, wholes),
+texts = st.text("abcdefghij0123456789.:-", max_size=messages.MAX_TEXT_BYTES)
+names = st.text("abcdefghij-0123456789", min_size=1, max_size=messages.MAX_NAME_BYTES)
+integers = st.integers(0, messages.INTEGER_LIMIT - 1)
+infos = st.builds(Info, texts.filter(bool), integers, texts, texts, texts, texts)
+updates = st.builds(Update, names, integers, st.sampled_from(State), infos, names)
+any_message = st.one_of(
+    st.builds(Ping, names, integers, names, st.tuples(updates)),
+    st.builds(messages.Ack, names, integers, integers, st.tuples(updates)),
+    st.builds(messages.PingReq, names, integers, names, texts),
+    st.builds(messages.Nack, names, integers),
     st.builds(messages.Gossip, names, st.tuples(updates)),
-    st.builds(messages.Join, names, wholes, infos, st.booleans()),
-    st.builds(messages.Welcome, names, wholes, st.tuples(updates)),
-    st.builds(messages.Refused, names, wholes, texts),
+    st.builds(messages.Join, names, integers, infos, st.booleans()),
+    st.builds(messages.Welcome, names, integers, st.tuples(updates)),
+    st.builds(messages.Refused, names, integers, texts),
 )
 
 
-@given(said)
-def test_what_is_sealed_is_read_again_with_the_key_alone(message: messages.Message) -> None:
+@given(any_message)
+def test_a_sealed_message_is_opened_only_with_the_same_key_and_fleet(message: messages.Message) -> None:
     data = SEAL.close(message)
     if len(data) <= LONGEST:
         assert SEAL.open(data) == message
@@ -63,10 +63,8 @@
 
 
 @settings(max_examples=300)
-@given(said, st.data())
-def test_every_cut_and_change_of_a_datagram_is_refused(
-    message: messages.Message, data: st.DataObject
-) -> None:
+@given(any_message, st.data())
+def test_truncated_and_altered_datagrams_are_rejected(message: messages.Message, data: st.DataObject) -> None:
     whole = SEAL.close(message)
     at = data.draw(st.integers(0, len(whole) - 1))
     changed = bytearray(whole)
@@ -76,22 +74,23 @@
             SEAL.open(bad)
     body = messages.encode(message)
     for bad in (body[:at], bytes(changed[17:]), data.draw(st.binary(max_size=300))):
-        with contextlib.suppress(BadMessageError):  # behind a true digest, too: this, or a message
+        with contextlib.suppress(BadMessageError):  # with a valid digest, either this error or a message
             messages.decode(bad)
 
 
-def test_the_longest_words_still_fit_a_datagram() -> None:
-    name, text = "n" * messages.NAME_MOST, "t" * messages.TEXT_MOST
-    info = Info(text, messages.WHOLE_MOST - 1, text, text, text, text)
-    agent = Swim(name, info, messages.WHOLE_MOST >> 1, [text[1:]], Settings(), random.Random(1))
+def test_messages_with_the_longest_updates_fit_a_datagram() -> None:
+    name, text = "n" * messages.MAX_NAME_BYTES, "t" * messages.MAX_TEXT_BYTES
+    info = Info(text, messages.INTEGER_LIMIT - 1, text, text, text, text)
+    agent = Swim(name, info, messages.INTEGER_LIMIT >> 1, [text[1:]], Settings(), random.Random(1))
     now, longest = 0.0, 0
     agent.handle(Started(), now)
     others = tuple(
-        Update(f"{number:02}" + name[2:], messages.WHOLE_MOST - 1, State.ALIVE, info) for number in range(12)
+        Update(f"{number:02}" + name[2:], messages.INTEGER_LIMIT - 1, State.ALIVE, info)
+        for number in range(12)
     )
     agent.table.apply(others[0], now)
     for update in others:
-        agent.rumours.add(update)
+        agent.pending_updates.add(update)
     carried = 0
     for _ in range(200):
         now = agent.next_ms()
@@ -103,28 +102,28 @@
 
 
 @given(st.lists(st.builds(Frame, st.text(max_size=8), st.binary(max_size=200)), max_size=6), st.data())
-def test_frames_come_out_of_any_pieces(frames: list[Frame], data: st.DataObject) -> None:
-    whole, cutter, found = b"".join(map(framed, frames)), Frames(), list[bytes]()
+def test_frames_are_read_from_any_segmentation(frames: list[Frame], data: st.DataObject) -> None:
+    whole, reader, found = b"".join(map(framed, frames)), Frames(), list[bytes]()
     while whole:
         size = data.draw(st.integers(1, len(whole)))
-        found += cutter.take(whole[:size])
+        found += reader.take(whole[:size])
         whole = whole[size:]
     assert [msgspec.msgpack.decode(body, type=Frame) for body in found] == frames
 
 
 @given(st.binary(max_size=2000))
-def test_no_bytes_make_frames_grow_or_raise_anything_else(noise: bytes) -> None:
-    cutter = Frames()
+def test_arbitrary_bytes_are_buffered_within_bounds_and_raise_only_bad_frame_error(data: bytes) -> None:
+    reader = Frames()
     try:
-        for at in range(0, len(noise), 50):
-            cutter.take(noise[at : at + 50])
-            assert len(cutter.held) <= link.FIRST_MOST + 54
+        for at in range(0, len(data), 50):
+            reader.take(data[at : at + 50])
+            assert len(reader.held) <= link.FIRST_MOST + 54
     except BadFrameError:
         pass
 
 
-class Wire:
-    """A transport that keeps what is written."""
+class RecordingTransport:
+    """A transport that records what is written."""
 
     def __init__(self) -> None:
         self.written, self.aborted = b"", False
@@ -145,7 +144,7 @@
         pass
 
 
-def made(name: str, known: str = "ab") -> tuple[Link, SetClock, Deadlines, list[tuple[str, str, bytes]]]:
+def make_link(name: str, known: str = "ab") -> tuple[Link, SetClock, Deadlines, list[tuple[str, str, bytes]]]:
     clock, deadlines, heard = SetClock(1000.0), Deadlines(), list[tuple[str, str, bytes]]()
     agents = Link(
         "coastline",
@@ -161,8 +160,8 @@
     return agents, clock, deadlines, heard
 
 
-def opened(agents: Link, dialled: str = "") -> tuple[Connection, Wire]:
-    connection, wire = Connection(agents, dialled), Wire()
+def open_connection(agents: Link, dialled: str = "") -> tuple[Connection, RecordingTransport]:
+    connection, wire = Connection(agents, dialled), RecordingTransport()
     connection.transport = wire
     connection.connectionMade()
     return connection, wire
@@ -176,17 +175,17 @@
         link.First(1, "coastline", "c", 1),
     ],
 )
-def test_a_strangers_connection_is_closed(first: link.First) -> None:
-    agents, _, _, heard = made("a")
-    connection, wire = opened(agents)
+def test_a_connection_of_an_unknown_agent_is_closed(first: link.First) -> None:
+    agents, _, _, heard = make_link("a")
+    connection, wire = open_connection(agents)
     connection.dataReceived(framed(first) + framed(Frame("raft", b"x")))
     assert wire.aborted and not heard and not agents.by_name
 
 
-def test_of_two_that_cross_the_lesser_names_stays_and_silence_closes() -> None:
-    agents, clock, deadlines, heard = made("a")
-    ours, our_wire = opened(agents, "b")
-    theirs, their_wire = opened(agents)
+def test_of_two_crossing_connections_the_one_of_the_lesser_name_stays_and_silence_closes_it() -> None:
+    agents, clock, deadlines, heard = make_link("a")
+    ours, our_wire = open_connection(agents, "b")
+    theirs, their_wire = open_connection(agents)
     theirs.dataReceived(framed(link.First(1, "coastline", "b", 1)))
     ours.dataReceived(framed(link.First(1, "coastline", "b", 1)))
     assert agents.by_name["b"] is ours and their_wire.aborted and not our_wire.aborted
@@ -198,9 +197,9 @@
     assert our_wire.aborted and not agents.by_name
 
 
-def test_a_peer_that_reads_nothing_costs_its_queue_and_then_its_connection() -> None:
-    agents, clock, deadlines, _ = made("a")
-    connection, wire = opened(agents, "b")
+def test_a_peer_that_does_not_read_fills_a_bounded_queue_and_is_then_disconnected() -> None:
+    agents, clock, deadlines, _ = make_link("a")
+    connection, wire = open_connection(agents, "b")
     connection.dataReceived(framed(link.First(1, "coastline", "b", 1)))
     connection.pauseProducing()
     taken = [agents.send("b", "raft", bytes(500_000)) for _ in range(12)]
@@ -208,7 +207,7 @@
     clock.at += link.STUCK_MS
     deadlines.run(clock.now())
     assert wire.aborted
-    assert not agents.send("c", "raft", b"x")  # nobody knows where it is
+    assert not agents.send("c", "raft", b"x")  # its address is unknown
 
 
 # The configuration
@@ -225,7 +224,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "message"),
     [
         ({"key": "xyz"}, "fleet.key: not hexadecimal"),
         ({"key": "00"}, "fleet.key: not 16 to 64 bytes"),
@@ -244,13 +243,13 @@
         ({"path": ""}, "fleet.path: no name"),
     ],
 )
-def test_a_bad_field_is_named(change: dict[str, Any], words: str) -> None:
+def test_a_bad_field_is_named_in_the_error(change: dict[str, Any], message: str) -> None:
     record = {**configuration(1, []), "fleet": {**FLEET, **change}}
-    with pytest.raises(ConfigError, match=words):
+    with pytest.raises(ConfigError, match=message):
         config.read(record)
 
 
-def test_a_good_one_is_read_and_the_schema_knows_it() -> None:
+def test_a_valid_fleet_section_is_read_and_matches_the_schema() -> None:
     record = {**configuration(1, []), "fleet": FLEET}
     jsonschema.validate(record, SCHEMA)
     read = config.read(record).fleet
@@ -266,7 +265,7 @@
         assert config.load(path).fleet is not None
 
 
-def test_absent_nothing_of_it_is_imported() -> None:
+def test_without_a_fleet_section_no_module_of_it_is_imported() -> None:
     code = (
         "import sys, frostport.agent, frostport.cli\n"
         "print([name for name in sys.modules if name.startswith(('frostport.fleet', 'structlog', "
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,5 @@
-"""Membership: every order of a small world to a depth, a hundred agents on one clock, faults planted."""
+"""Membership: exhaustive exploration of three agents to a depth, simulations of up to a hundred, and
+mutations that the exploration must catch."""
 
 from __future__ import annotations
 
@@ -10,50 +11,52 @@
 import pytest
 
 from frostport.membership import table
-from frostport.membership.events import Heard, Phase, Send, Started, Tick, View
+from frostport.membership.events import DatagramReceived, Phase, Send, Started, Tick, ViewReceived
 from frostport.membership.messages import Info, State, Update
 from frostport.membership.settings import Settings
 from frostport.membership.swim import Swim
 from standins.simulated import World
 from tests.test_agreement import Steady
 
-# A small world explored breadth first
+# Breadth-first exploration of three agents
 
-QUICK = Settings(
-    interval_ms=100.0,
-    timeout_ms=40.0,
-    helpers=1,
+FAST_SETTINGS = Settings(
+    protocol_period_ms=100.0,
+    probe_timeout_ms=40.0,
+    indirect_probes=1,
     alpha=1.0,
     beta=2.0,
     confirmations=1,
-    health_most=1,
-    exchange_ms=1e9,
-    forget_ms=1e9,
-    retry_ms=300.0,
-    join_ms=100.0,
+    max_health=1,
+    exchange_interval_ms=1e9,
+    forget_after_ms=1e9,
+    reconnect_interval_ms=300.0,
+    join_interval_ms=100.0,
 )
 NAMES = ("a", "b", "c")
-FLIGHT_MOST = 3
+MAX_IN_FLIGHT_CHOICES = 3
 
 
-class Small:
-    """Three agents, what is in flight between them, and the time. Copied by pickle."""
+class SmallWorld:
+    """Three agents, the datagrams in flight between them, and the time. Copied by pickle."""
 
     def __init__(self) -> None:
         self.now, self.lives, self.crashes = 0.0, 3, 0
         self.agents: dict[str, Swim] = {}
         self.flight: list[tuple[str, str, object]] = []
         for number, name in enumerate(NAMES):
-            self.begin(name, number)
-        for _ in range(40):  # all have joined, nothing is in flight
+            self.start(name, number)
+        for _ in range(40):  # until all have joined and nothing is in flight
             while self.flight:
                 self.deliver(0)
             self.tick()
         while self.flight:
             self.deliver(0)
 
-    def begin(self, name: str, life: int) -> None:
-        self.agents[name] = Swim(name, Info(name, life), 1000 + int(self.now), NAMES, QUICK, Steady(1))
+    def start(self, name: str, life: int) -> None:
+        self.agents[name] = Swim(
+            name, Info(name, life), 1000 + int(self.now), NAMES, FAST_SETTINGS, Steady(1)
+        )
         self.do(name, Started())
 
     def do(self, name: str, event: object) -> None:
@@ -64,16 +67,16 @@
     def deliver(self, number: int, keep: bool = False) -> None:
         sender, to, message = self.flight[number] if keep else self.flight.pop(number)
         if to in self.agents:
-            self.do(to, Heard(sender, message))  # type: ignore[arg-type]
+            self.do(to, DatagramReceived(sender, message))  # type: ignore[arg-type]
 
     def tick(self) -> None:
-        """The next timer of any agent."""
+        """Runs the next timer of any agent."""
         name = min(self.agents, key=lambda at: (self.agents[at].next_ms(), at))
         self.now = max(self.now, self.agents[name].next_ms())
         self.do(name, Tick())
 
-    def fair(self, ms: float) -> None:
-        """Nothing is lost any more."""
+    def run_lossless(self, ms: float) -> None:
+        """Runs for `ms` without any loss."""
         end = self.now + ms
         while self.now < end:
             while self.flight:
@@ -81,47 +84,47 @@
             self.tick()
 
 
-def suspecting() -> Small:
-    """One has just heard that another is suspect, and that one has not."""
-    world = Small()
+def suspecting() -> SmallWorld:
+    """One agent has just received that another is suspect, and the suspect has not."""
+    world = SmallWorld()
     incarnation = world.agents["b"].incarnation
-    world.do("a", View((Update("b", incarnation, State.SUSPECT, Info("b", 1), "c"),)))
+    world.do("a", ViewReceived((Update("b", incarnation, State.SUSPECT, Info("b", 1), "c"),)))
     return world
 
 
-def choices(world: Small) -> Iterator[Callable[[Small], None]]:
-    for number in range(min(len(world.flight), FLIGHT_MOST)):
+def choices(world: SmallWorld) -> Iterator[Callable[[SmallWorld], None]]:
+    for number in range(min(len(world.flight), MAX_IN_FLIGHT_CHOICES)):
         yield lambda at, number=number: at.deliver(number)  # type: ignore[misc]
         yield lambda at, number=number: at.flight.pop(number)  # type: ignore[misc]
     if world.flight:
         yield lambda at: at.deliver(0, keep=True)
-    yield Small.tick
+    yield SmallWorld.tick
     for name in NAMES:
         if name in world.agents and world.crashes < 1:
 
-            def crash(at: Small, name: str = name) -> None:
+            def crash(at: SmallWorld, name: str = name) -> None:
                 del at.agents[name]
                 at.crashes += 1
 
             yield crash
         if name not in world.agents:
 
-            def restart(at: Small, name: str = name) -> None:
+            def restart(at: SmallWorld, name: str = name) -> None:
                 at.lives += 1
-                at.begin(name, at.lives)
+                at.start(name, at.lives)
 
             yield restart
 
 
-def key(world: Small) -> bytes:
-    """The state, with times as from now and without counters that only name things."""
+def state_digest(world: SmallWorld) -> bytes:
+    """A digest of the state, with times relative to now and without sequence numbers."""
     shown = [
         (
             name,
             agent.phase.value,
             agent.incarnation,
             agent.health,
-            None if agent.probe is None else (agent.probe.name, agent.probe.answered, agent.probe.asked),
+            None if agent.probe is None else (agent.probe.target, agent.probe.acked, agent.probe.requested),
             sorted(
                 (
                     member.name,
@@ -139,12 +142,21 @@
     return hashlib.sha256(repr((shown, world.crashes, world.flight)).encode()).digest()
 
 
-def explored(first: Small, depth: int, most: int, ends: int) -> int:
-    """Every state to a depth; invariants at each, a fair end from some of the last. The number of states."""
-    seen, layer, count = {key(first)}, [pickle.dumps(first)], 1
+def explore(first: SmallWorld, depth: int, max_states: int, ends: int) -> int:
+    """Explores every state to a depth, up to `max_states`, and checks the invariants at each.
+
+    From `ends` of the last states it also runs without loss and checks that the views converge. Returns the
+    number of states.
+
+    M1: without loss, every running agent ends up alive in the views of all others.
+    M2: no view has a higher incarnation of a process than the process itself.
+    M3: the incarnation of a process never falls, nor the state of a member in the view of one.
+    M4: a view has one entry for each name, and none for its own agent.
+    """
+    seen, layer, count = {state_digest(first)}, [pickle.dumps(first)], 1
     last: list[bytes] = []
     for _ in range(depth):
-        following = []
+        next_layer = []
         for data in layer:
             for choice in choices(pickle.loads(data)):
                 world = pickle.loads(data)
@@ -156,13 +168,13 @@
                     for member in agent.table
                 }
                 choice(world)
-                if (at := key(world)) in seen:
+                if (at := state_digest(world)) in seen:
                     continue
                 seen.add(at)
                 count += 1
                 for name, agent in world.agents.items():
                     assert lives.get(name) != agent.info.life or agent.incarnation >= before[name]  # M3
-                    assert name not in agent.table.members  # M4: one entry a name, and never oneself
+                    assert name not in agent.table.members  # M4
                     for member in agent.table:
                         was = views.get((name, member.name), (0, State.ALIVE))
                         assert lives.get(name) != agent.info.life or (member.incarnation, member.state) >= was
@@ -172,61 +184,67 @@
                             or member.info.life != there.info.life
                             or member.incarnation <= there.incarnation
                         )  # M2
-                following.append(pickle.dumps(world))
-                if count >= most:
+                next_layer.append(pickle.dumps(world))
+                if count >= max_states:
                     break
-        layer = following
-        last = following or last
+        layer = next_layer
+        last = next_layer or last
     chance = random.Random(1)
     for data in chance.sample(last, min(ends, len(last))):
         world = pickle.loads(data)
-        world.fair(6000.0)
+        world.run_lossless(6000.0)
         for name, agent in world.agents.items():  # M1
             for other in world.agents:
                 if other != name:
                     member = agent.table.members.get(other)
-                    assert member is not None and member.state is State.ALIVE, f"{name} buries {other}"
+                    assert member is not None and member.state is State.ALIVE, (
+                        f"{name} does not see {other} as alive"
+                    )
         for name in sorted(set(NAMES) - set(world.agents)):
             for agent in world.agents.values():
                 assert agent.table.members[name].state is State.DEAD
     return count
 
 
-@pytest.mark.parametrize("first", [Small, suspecting])
-def test_every_order_of_three_agents_to_depth_eight(first: Callable[[], Small]) -> None:
-    count = explored(first(), 8, 8_000, 80)
+@pytest.mark.parametrize("first", [SmallWorld, suspecting])
+def test_every_order_of_three_agents_to_depth_eight(first: Callable[[], SmallWorld]) -> None:
+    count = explore(first(), 8, 8_000, 80)
     print(f"{count} states")
     assert count > 4_000
 
 
-def not_raised(agent: Swim) -> None:
-    agent.rumours.add(agent._self())
+def incarnation_not_raised(agent: Swim) -> None:
+    agent.pending_updates.add(agent._own_update())
 
 
-def never_refuted(agent: Swim, update: Update) -> None:
+def ignored(agent: Swim, update: Update) -> None:
     pass
 
 
-def any_word(update: Update, member: object) -> bool:
+def always_overrides(update: Update, member: object) -> bool:
     return True
 
 
 @pytest.mark.parametrize(
     ("owner", "name", "fault"),
-    [(Swim, "_speak_up", not_raised), (Swim, "_about_me", never_refuted), (table, "counts", any_word)],
+    [
+        (Swim, "_raise_incarnation", incarnation_not_raised),
+        (Swim, "_own_state_received", ignored),
+        (table, "overrides", always_overrides),
+    ],
 )
-def test_planted_faults_are_caught(
+def test_mutations_are_caught(
     owner: object, name: str, fault: object, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(owner, name, fault)
     with pytest.raises(AssertionError):
-        explored(suspecting(), 6, 4_000, 80)
+        explore(suspecting(), 6, 4_000, 80)
 
 
-# A hundred agents
+# Simulations of many agents
 
 
-def settled(count: int, seed: int, loss: float = 0.0) -> World:
+def converged(count: int, seed: int, loss: float = 0.0) -> World:
     world = World(count, seed, loss=loss)
     for _ in range(20):
         world.run(10_000.0)
@@ -236,8 +254,8 @@
 
 
 @pytest.mark.parametrize(("count", "loss"), [(100, 0.0), (40, 0.3)])
-def test_deaths_are_heard_of_and_nobody_alive_is_buried(count: int, loss: float) -> None:
-    world = settled(count, 1, loss)
+def test_deaths_are_detected_and_no_running_agent_is_declared_dead(count: int, loss: float) -> None:
+    world = converged(count, 1, loss)
     killed = [f"a{number}" for number in world.chance.sample(range(3, count), 8)]
     began = world.now
     for address in killed:
@@ -245,8 +263,10 @@
     world.run(120_000.0 if loss else 40_000.0)
     for address in world.agents:
         for name in killed:
-            assert world.sees(address, name) in (State.DEAD, None), f"{address} has not heard of {name}"
-    if not loss:  # where three datagrams in ten are lost, one that is buried comes back
+            assert world.sees(address, name) in (State.DEAD, None), (
+                f"{address} has not detected the death of {name}"
+            )
+    if not loss:  # with 30 % loss an agent may be declared dead and refute it
         assert world.buried(began, {agent.name for agent in world.agents.values()}) == []
     assert world.unagreed() == []
     assert world.longest <= 220
@@ -258,22 +278,22 @@
     assert world.unagreed() == []
 
 
-def test_a_fleet_that_froze_and_woke_buries_nobody() -> None:
-    world = settled(60, 3)
+def test_after_a_pause_of_the_whole_fleet_no_agent_is_declared_dead() -> None:
+    world = converged(60, 3)
     began = world.now
     world.freeze(*world.agents)
     world.run(600_000.0)
     woken = list(world.agents)
     world.chance.shuffle(woken)
-    for number, address in enumerate(woken):  # not all in the same moment
+    for number, address in enumerate(woken):  # one after the other
         world.at(world.now + number * 10.0, lambda address=address: world.wake(address))  # type: ignore[misc]
     world.run(120_000.0)
     assert world.buried(began, {agent.name for agent in world.agents.values()}) == []
     assert world.unagreed() == []
 
 
-def test_one_that_stalled_is_suspected_and_comes_back_and_buries_nobody() -> None:
-    world = settled(30, 4)
+def test_a_paused_agent_is_declared_dead_and_rejoins_without_declaring_others_dead() -> None:
+    world = converged(30, 4)
     began = world.now
     world.freeze("a7")
     world.run(60_000.0)
@@ -285,9 +305,9 @@
 
 
 @pytest.mark.parametrize("one_way", [True, False])
-def test_a_zone_cut_off_and_back(one_way: bool) -> None:
-    """Both halves bury each other, and find together again, also long after they have forgotten."""
-    world = settled(30, 5)
+def test_a_partitioned_zone_merges_again(one_way: bool) -> None:
+    """Both sides declare each other dead, and merge again even after they have forgotten each other."""
+    world = converged(30, 5)
     inside = {f"a{number}" for number in range(0, 30, 3)}
     world.cut = lambda sender, to: (sender in inside) != (to in inside) and (not one_way or to in inside)
     world.run(200_000.0)
@@ -296,7 +316,7 @@
     assert world.unagreed() == []
 
 
-def test_clocks_apart_and_drifting_change_nothing() -> None:
+def test_clock_skew_and_drift_cause_no_false_deaths() -> None:
     world = World(30, 8)
     for number in range(30):
         world.clocks[f"a{number}"] = (world.chance.uniform(-5000.0, 5000.0), world.chance.uniform(0.98, 1.02))
@@ -308,8 +328,8 @@
     assert world.buried(0.0, set(world.agents)) == []
 
 
-def test_who_leaves_is_not_buried_and_who_comes_back_is_heard_of() -> None:
-    world = settled(30, 6)
+def test_an_agent_that_leaves_is_not_declared_dead_and_can_rejoin() -> None:
+    world = converged(30, 6)
     world.leave("a9")
     world.run(20_000.0)
     assert {world.sees(address, "a9") for address in world.agents} == {State.LEFT}
@@ -319,8 +339,8 @@
 
 
 def test_two_processes_of_one_name() -> None:
-    world = settled(20, 7)
-    world.start("a5", "b5")  # a mistake in a configuration
+    world = converged(20, 7)
+    world.start("a5", "b5")  # a configuration error: the name is used twice
     world.run(20_000.0)
     assert world.agents["b5"].phase is Phase.REFUSED
     assert "answers at a5" in next(moved.why for _, by, moved in world.moved if by == "b5")
@@ -332,15 +352,15 @@
     assert world.agents["a1"].table.members["a5"].info.address == "b5"
     world.stop("a5")
     world.stop("b5")
-    world.start("a5", "c5")  # the name's process has died: another address may have it
+    world.start("a5", "c5")  # no process of the name is left: another address may take it
     world.run(20_000.0)
     assert world.agents["c5"].phase is Phase.MEMBER and world.unagreed() == []
 
 
-def test_a_view_over_the_link_counts_like_any_word() -> None:
+def test_a_view_over_the_link_has_the_precedence_of_any_update() -> None:
     agent = Swim("a", Info("a", 1), 5, (), Settings(), random.Random(1))
     agent.handle(Started(), 0.0)
-    agent.handle(View((Update("b", 3, State.SUSPECT, Info("b", 2)), Update("a", 9, State.DEAD))), 1.0)
+    agent.handle(ViewReceived((Update("b", 3, State.SUSPECT, Info("b", 2)), Update("a", 9, State.DEAD))), 1.0)
     assert agent.incarnation == 10 and agent.table.members["b"].state is State.SUSPECT
-    agent.handle(View((Update("b", 3, State.ALIVE, Info("b", 2)),)), 2.0)
+    agent.handle(ViewReceived((Update("b", 3, State.ALIVE, Info("b", 2)),)), 2.0)
     assert agent.table.members["b"].state is State.SUSPECT
