--- a/frostport/membership/joining.py
+++ b/frostport/membership/joining.py
@@ -151,7 +151,7 @@
                 self._admit(claim.address, claim.join, now)
 
     def _refuse_claim(self, message: Ack) -> None:
-        """The member that has a claimed name has answered: refuses the Join."""
+        """Refuses a Join if the Ack shows that the member with the claimed name is alive."""
         claim = self.claims.get(message.sequence)
         if claim is not None and claim.join.sender == message.sender:
             member = self.table.members.get(message.sender)
--- a/frostport/membership/swim.py
+++ b/frostport/membership/swim.py
@@ -283,7 +283,7 @@
             )
 
     def _gossip_round(self, now: float) -> None:
-        """Sends pending updates to a few members, without waiting for probes, which bad local health delays."""
+        """Sends pending updates to a few members, independent of the probes, which bad health delays."""
         active = self.table.active()
         for member in self.rng.sample(active, min(self.settings.gossip_fanout, len(active))):
             if len(self.pending_updates):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -70,7 +70,7 @@
             self.do(to, DatagramReceived(sender, message))  # type: ignore[arg-type]
 
     def tick(self) -> None:
-        """Runs the next timer of any agent."""
+        """Runs the earliest timer of all agents."""
         name = min(self.agents, key=lambda at: (self.agents[at].next_ms(), at))
         self.now = max(self.now, self.agents[name].next_ms())
         self.do(name, Tick())
@@ -148,9 +148,9 @@
     From `ends` of the last states it also runs without loss and checks that the views converge. Returns the
     number of states.
 
-    M1: without loss, every running agent ends up alive in the views of all others.
+    M1: without loss, every running agent ends up alive in the views of all others, a crashed one dead.
     M2: no view has a higher incarnation of a process than the process itself.
-    M3: the incarnation of a process never falls, nor the state of a member in the view of one.
+    M3: the incarnation of a process never falls, nor does (incarnation, state) of a member in its view.
     M4: a view has one entry for each name, and none for its own agent.
     """
     seen, layer, count = {state_digest(first)}, [pickle.dumps(first)], 1
