--- a/frostport/diameter/front.py
+++ b/frostport/diameter/front.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from frostport import interface as api
-from frostport.admission.gate import Gate, Seat
+from frostport.admission.gate import Admission, Gate
 from frostport.core.broker import Broker
 from frostport.core.calls import Body, Given, Request, State, held_until
 from frostport.core.lifecycle import Lifecycle
@@ -91,7 +91,7 @@
         super().__init__(identity, broker.clock, broker.deadlines, interval_ms, chance)
         self.broker, self.lifecycle, self.numbers, self.gate = broker, lifecycle, numbers, gate
         self.left = left
-        self.by_seat: dict[int, PeerConnection] = {}
+        self.by_admission: dict[int, PeerConnection] = {}
         self.sessions: dict[str, Session] = {}
         self.owed: dict[str, tuple[str, Outcome]] = {}  # releases not yet answered: client ("": any), outcome
         self.aborts: dict[int, str] = {}  # hop-by-hop ids of releases on their way
@@ -103,19 +103,19 @@
 
     def build(self, address: str) -> PeerConnection | None:
         """A protocol for a new connection that the gate admits; those who make room for it are closed."""
-        verdict = self.gate.arrive(address, self.clock.now())
+        verdict = self.gate.admit(address, self.clock.now())
         self.shed(verdict.shed)
-        if verdict.seat is None:
+        if verdict.admission is None:
             return None
         link = self.connection()
-        link.caller, link.seat = self.callers.add(link), verdict.seat
-        self.by_seat[verdict.seat.number] = link
+        link.caller, link.admission = self.callers.add(link), verdict.admission
+        self.by_admission[verdict.admission.number] = link
         return link
 
-    def shed(self, seats: Iterable[Seat]) -> None:
+    def shed(self, seats: Iterable[Admission]) -> None:
         """Closes connections that the gate has given up."""
         for seat in seats:
-            link = self.by_seat.get(seat.number)
+            link = self.by_admission.get(seat.number)
             if link is not None:
                 link.drop()
 
@@ -140,10 +140,10 @@
         if link.caller >= 0:
             self.callers.free(link.caller)
             link.caller = -1
-        if link.seat is not None:
-            del self.by_seat[link.seat.number]
-            self.gate.gone(link.seat)
-            link.seat = None
+        if link.admission is not None:
+            del self.by_admission[link.admission.number]
+            self.gate.remove(link.admission)
+            link.admission = None
         super().closed(link)
 
     # From clients
@@ -287,11 +287,11 @@
 
     def opened(self, link: PeerConnection) -> None:
         super().opened(link)
-        if link.seat is not None and self.by_seat.get(link.seat.number) is link:
+        if link.admission is not None and self.by_admission.get(link.admission.number) is link:
             # A configured peer is a known client, and its connection carries what it is owed: it stays.
-            self.gate.earns(link.seat, self.clock.now())
-            over = self.gate.identified(link.seat, link.realm)
-            self.gate.took(link.seat)
+            self.gate.trust(link.admission, self.clock.now())
+            over = self.gate.mark_identified(link.admission, link.realm)
+            self.gate.begin_use(link.admission)
             if over is not None:
                 link.disconnect(avp.BUSY)
                 return
--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from frostport import interface as api
-from frostport.admission.gate import Gate, Seat
+from frostport.admission.gate import Admission, Gate
 from frostport.core.broker import Broker
 from frostport.core.calls import Body, Given, Request, State, held_until
 from frostport.core.deadlines import Deadline
@@ -60,9 +60,9 @@
 
     read_ahead = 64 * 1024  # guards against a close or a give-up that nobody hears behind a turn's lines
 
-    def __init__(self, front: PlatformFront, seat: Seat) -> None:
+    def __init__(self, front: PlatformFront, seat: Admission) -> None:
         super().__init__(front.broker.clock, front.broker.deadlines)
-        self.front, self.seat = front, seat
+        self.front, self.admission = front, seat
         self.held = False  # its seat is known to be in use
         self.slot = -1
         self.host = ""
@@ -81,7 +81,7 @@
         self.slot = self.front.connections.add(self)
         self.peer = f"client connection {self.slot}"
         self.host = str(getattr(self.transport.getPeer(), "host", ""))
-        self.front.by_seat[self.seat.number] = self
+        self.front.by_admission[self.admission.number] = self
         self.heard_at = self.clock.now()
         self.transport.registerProducer(self, True)
         # Guards against connections that come by hundreds and say nothing, or half a line.
@@ -174,10 +174,10 @@
         self.heard_at = self.clock.now()
         if not self.spoke:
             self.spoke = True
-            self.front.gate.identified(self.seat)
+            self.front.gate.mark_identified(self.admission)
             self.front.flush()
         else:
-            self.front.gate.heard(self.seat)
+            self.front.gate.mark_active(self.admission)
         match message.verb:
             case "START":
                 if not self._begins(message.tag):
@@ -213,7 +213,7 @@
         used = bool(self.open or self.owing)
         if used is not self.held:
             self.held = used
-            (self.front.gate.took if used else self.front.gate.done)(self.seat)
+            (self.front.gate.begin_use if used else self.front.gate.end_use)(self.admission)
 
     def leave_if_idle(self) -> None:
         """While the agent empties, closes once nothing is open or owed here and nothing waits to be read.
@@ -287,7 +287,7 @@
     def __init__(self, broker: Broker, lifecycle: Lifecycle, gate: Gate) -> None:
         self.broker, self.lifecycle, self.gate = broker, lifecycle, gate
         self.connections: Slots[ClientConnection] = Slots()
-        self.by_seat: dict[int, ClientConnection] = {}
+        self.by_admission: dict[int, ClientConnection] = {}
         self.owed: dict[str, Owed] = {}
         self.failed_ids: dict[str, float] = {}  # told as over without their answer: that was the final word
         self._sweep: Deadline | None = None
@@ -317,14 +317,14 @@
 
     def build(self, address: str) -> ClientConnection | None:
         """A protocol for a new connection that the gate admits; those who make room for it are closed."""
-        verdict = self.gate.arrive(address, self.broker.clock.now())
+        verdict = self.gate.admit(address, self.broker.clock.now())
         self.shed(verdict.shed)
-        return None if verdict.seat is None else ClientConnection(self, verdict.seat)
+        return None if verdict.admission is None else ClientConnection(self, verdict.admission)
 
-    def shed(self, seats: Iterable[Seat]) -> None:
+    def shed(self, seats: Iterable[Admission]) -> None:
         """Closes connections that the gate has given up."""
         for seat in seats:
-            connection = self.by_seat.get(seat.number)
+            connection = self.by_admission.get(seat.number)
             if connection is not None:
                 connection.drop()
                 self.lost(connection)
@@ -333,7 +333,7 @@
         now = self.broker.clock.now()
         if self.gate.is_known(connection.host, now):
             connection.complaints.say(now, connection.peer, f"a known client's, {connection.host}")
-        self.gate.offends(connection.host, now)
+        self.gate.penalize(connection.host, now)
 
     # From clients
 
@@ -378,7 +378,7 @@
             connection.say(Message("FINISH", tag, rc=jsonl.OVERLOADED))
             return
         team = opts.get("tenant", "-")
-        if self.gate.limits.by_team and self.gate.identified(connection.seat, team) is not None:
+        if self.gate.limits.by_team and self.gate.mark_identified(connection.admission, team) is not None:
             broker.tally.deferred(name)
             connection.say(Message("FINISH", tag, rc=jsonl.OVERLOADED))
             connection.hang_up()
@@ -512,8 +512,8 @@
         if self.connections.get(connection.slot) is not connection:
             return  # it made room for another already
         self.connections.free(connection.slot)
-        del self.by_seat[connection.seat.number]
-        self.gate.gone(connection.seat)
+        del self.by_admission[connection.admission.number]
+        self.gate.remove(connection.admission)
         opened, connection.open = list(connection.open.values()), {}
         for request in opened:
             if request.state is State.OPEN:
@@ -549,7 +549,7 @@
             if message.verb == "STARTED":
                 connection.known = True
                 connection.standing.add(request.id)
-                self.gate.earns(connection.seat, self.broker.clock.now())
+                self.gate.trust(connection.admission, self.broker.clock.now())
             connection.say(message)
             connection.leave_if_idle()
 
