--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -34,7 +34,7 @@
 from frostport.core.shutdown import RESTART_MOST_MS, UPGRADE_MOST_MS, Schedule, schedule
 from frostport.decide import Controller
 from frostport.net.bus import BusConnection
-from frostport.net.operator import MOST_OPEN, Door
+from frostport.net.operator import MAX_CONNECTIONS, OperatorPort
 from frostport.net.peers import split
 from frostport.observe.figures import Figures
 from frostport.operations import Operations
@@ -112,7 +112,7 @@
         self.own_descriptors: Callable[[], int] = lambda: 0  # of the process, before it serves anyone
         self.listener: Any = None
         self.inherited: int | None = None  # the clients' listening socket, where the platform holds it
-        self.door: Door | None = None
+        self.door: OperatorPort | None = None
         self._listening = False
         self._end: Deadline | None = None  # the last answers, where SIGTERM has come
         self._exit_at = 0.0  # and when the program ends, whoever has not read them
@@ -177,12 +177,12 @@
                 also.update(self.starting.operations())
             if self.fleet is not None:
                 asked.kept = self.fleet.work.kept
-            self.door = Door({**asked.operations(), **also}, self.clock, self.deadlines)
+            self.door = OperatorPort({**asked.operations(), **also}, self.clock, self.deadlines)
             host, port = split(self.config.operator)
             self.reactor.listenTCP(port, self.door, interface=host)
         # With the listener, and the spare one that Twisted gives up for a moment where accept finds none
         # left.
-        self.gate.descriptors.take(Owner.OWN, self.own_descriptors() + (MOST_OPEN if self.door else 0))
+        self.gate.descriptors.take(Owner.OWN, self.own_descriptors() + (MAX_CONNECTIONS if self.door else 0))
         if self.starting is not None:
             self.starting.join(self)
         self.side.start()
--- a/frostport/config.py
+++ b/frostport/config.py
@@ -18,7 +18,7 @@
 from frostport.core import contracts
 from frostport.core.contracts import Contract, ContractError
 from frostport.diameter.settings import DiameterConfig, DiameterServer
-from frostport.net.bus import parse
+from frostport.net.bus import parse_event
 from frostport.net.jsonl import BadLineError
 from frostport.settings import SettingsError
 
@@ -180,7 +180,7 @@
         if not isinstance(event, dict):
             raise ConfigError(f"known.batch.{index}: not an object")
         try:
-            parse(event)
+            parse_event(event)
         except BadLineError as problem:
             raise ConfigError(f"known.batch.{index}.{problem}") from None
     seed = record.get("seed", 0)
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -32,7 +32,7 @@
 from frostport.membership.messages import Info, Message, State, Update
 from frostport.membership.settings import Settings as SwimSettings
 from frostport.membership.swim import Swim
-from frostport.net.gossip import Gossip, Seal
+from frostport.net.gossip import DatagramCodec, Gossip
 from frostport.net.link import Connection, Link
 from frostport.net.operator import Operation, OperatorError
 from frostport.net.peers import split
@@ -93,7 +93,7 @@
             raise StoreError(f"{config.path}: the agreed log: {problem}") from None
         self.first_records = [] if META in found else [(META, _encoder.encode(Meta(0, "", disk)))]
         self.record: Record = FileRecord(config.record, self._stamp) if config.record else NoRecord()
-        self.gossip = Gossip(Seal(config.fleet, config.key), self._heard, self.clock, config.routes)
+        self.gossip = Gossip(DatagramCodec(config.fleet, config.key), self._heard, self.clock, config.routes)
         self.link = Link(
             config.fleet,
             config.agent,
@@ -161,7 +161,7 @@
                 "refused": self.gossip.refused,
             },
             "link": {
-                "open": len(self.link.by_name),
+                "open": len(self.link.connections),
                 "bytes": self.link.sent_bytes,
                 "refused": self.link.refused,
             },
--- a/frostport/net/bus.py
+++ b/frostport/net/bus.py
@@ -23,10 +23,12 @@
 log = logging.getLogger("frostport.bus")
 
 REDIAL_MS = 200.0  # at most, and at least half: all that a lost bus held would else dial it in step
-CONNECT_MS = 1000.0  # a connection that is not up by then is dialed anew
-DIAL = re.compile(r"[^:\s]+:[0-9]{1,5}\Z")
-LONGEST = 1024 * 1024  # a whole list may be long
-SILENT_MS = 2500.0  # a line comes each second: this long without a whole one, the connection is given up
+CONNECT_TIMEOUT_MS = 1000.0  # a connection that is not up by then is dialed anew
+ADDRESS_PATTERN = re.compile(r"[^:\s]+:[0-9]{1,5}\Z")
+MAX_LINE_BYTES = 1024 * 1024  # a whole list may be long
+SILENCE_TIMEOUT_MS = (
+    2500.0  # a line comes each second: this long without a whole one, the connection is given up
+)
 
 
 class ServerList:
@@ -34,22 +36,22 @@
 
     def __init__(self, broker: Broker, servers: UpstreamPool) -> None:
         self.broker, self.servers = broker, servers
-        self.offset, self.unread = 0, -1  # the last event had, and the last that could not be read
+        self.offset, self.unreadable_offset = 0, -1  # the last event had, and the last that could not be read
         self.version = 0
         self.entries: dict[str, tuple[api.Server, str]] = {}
 
-    def known(self, batch: list[dict[str, Any]], offset: int) -> None:
+    def load_known(self, batch: list[dict[str, Any]], offset: int) -> None:
         """The events up to the start make one list, as the module last had it."""
         if offset >= self.offset:  # else the list on record is newer than the one that the start was given
             self.entries.clear()
             for event in batch:
-                self.version, whole, entries = parse(event)
+                self.version, whole, entries = parse_event(event)
                 if whole:
                     self.entries.clear()
                 self.entries.update({server.address: (server, dial) for server, dial in entries})
             self.offset = offset
         listed = [entry for entry in self.entries.values() if entry[0].state is not api.Lifecycle.GONE]
-        self._hand_on(api.ListKind.PERSISTED, self.version, listed)
+        self._apply(api.ListKind.PERSISTED, self.version, listed)
         self.broker.recorder.bus(self.offset, self.version)
 
     def resume(self, offset: int, version: int, entries: Iterable[tuple[api.Server, str]]) -> None:
@@ -57,7 +59,7 @@
         self.offset, self.version = offset, version
         self.entries = {server.address: (server, dial) for server, dial in entries}
 
-    def event(self, record: dict[str, Any]) -> None:
+    def apply_event(self, record: dict[str, Any]) -> None:
         """One later event; one that was heard before is passed over."""
         offset = record.get("offset")
         if isinstance(offset, bool) or not isinstance(offset, int):
@@ -66,24 +68,24 @@
             return
         if "topology" in record:
             try:
-                version, whole, entries = parse(record)
+                version, whole, entries = parse_event(record)
             except BadLineError as problem:
-                if offset != self.unread:
-                    self.unread = offset
+                if offset != self.unreadable_offset:
+                    self.unreadable_offset = offset
                     raise
                 # Guards against asking for ever: told twice, it is the event and not the way that is bad.
                 log.error("event %d passed over: %s", offset, problem)
-                self._had(offset)
+                self._advance(offset)
                 return
             self.version = version
-            self._hand_on(api.ListKind.COMPLETE if whole else api.ListKind.CHANGES, version, entries)
-        self._had(offset)
+            self._apply(api.ListKind.COMPLETE if whole else api.ListKind.CHANGES, version, entries)
+        self._advance(offset)
 
-    def _had(self, offset: int) -> None:
+    def _advance(self, offset: int) -> None:
         self.offset = offset
         self.broker.recorder.bus(offset, self.version)
 
-    def _hand_on(self, kind: api.ListKind, version: int, entries: list[tuple[api.Server, str]]) -> None:
+    def _apply(self, kind: api.ListKind, version: int, entries: list[tuple[api.Server, str]]) -> None:
         log.info(
             "list %d, %s: %s",
             version,
@@ -100,7 +102,7 @@
             self.servers.remove(host)
 
 
-def parse(record: dict[str, Any]) -> tuple[int, bool, list[tuple[api.Server, str]]]:
+def parse_event(record: dict[str, Any]) -> tuple[int, bool, list[tuple[api.Server, str]]]:
     """An event's version, whether it is the whole list, and its servers with their addresses."""
     try:
         topology = record["topology"]
@@ -116,7 +118,7 @@
                 str(host.get("class", "")),
             )
             dial = str(host.get("dial", ""))
-            if server.state is not api.Lifecycle.GONE and not DIAL.match(dial):
+            if server.state is not api.Lifecycle.GONE and not ADDRESS_PATTERN.match(dial):
                 raise ValueError(f"dial: {dial!r}")
             entries.append((server, dial))
         return int(topology.get("seq", 0)), bool(topology.get("whole", False)), entries
@@ -130,34 +132,34 @@
     peer = "event bus"
 
     def __init__(self, bus: EventBus) -> None:
-        super().__init__(bus.clock, bus.deadlines, LONGEST)
+        super().__init__(bus.clock, bus.deadlines, MAX_LINE_BYTES)
         self.bus = bus
         self.answered = False  # a line has come on it
 
-    def opened(self) -> None:
-        self.bus.up(self)
+    def on_open(self) -> None:
+        self.bus.on_connected(self)
 
-    def line(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         self.answered = True
-        self.bus.heard(self)
+        self.bus.on_line_received(self)
         try:
             record = orjson.loads(line)
         except orjson.JSONDecodeError:
             raise BadLineError("not JSON") from None
         if isinstance(record, dict):
-            self.bus.list.event(record)
-            self.bus.dialing.told(self.bus.list.offset, line)
+            self.bus.server_list.apply_event(record)
+            self.bus.dialing.told(self.bus.server_list.offset, line)
         elif isinstance(record, bool) or not isinstance(record, int):
             raise BadLineError("neither an event nor a number")
         else:
             self.bus.dialing.heard()
 
-    def malformed(self, problem: BadLineError) -> None:
+    def on_malformed(self, problem: BadLineError) -> None:
         # Guards against an event lost for good: what follows it would be applied, its number passed over.
         self.drop()
 
-    def closed(self) -> None:
-        self.bus.lost(self)
+    def on_close(self) -> None:
+        self.bus.on_lost(self)
 
 
 class EventBus:
@@ -170,14 +172,16 @@
         connect: Callable[[str, BusConnection], defer.Deferred[object]],
         chance: random.Random | None = None,
     ) -> None:
-        self.chance = chance or random.Random(0)
-        self.list, self.address, self.connect = server_list, address, connect
+        self.rng = chance or random.Random(0)
+        self.server_list, self.address, self.connect = server_list, address, connect
         self.clock, self.deadlines = server_list.broker.clock, server_list.broker.deadlines
         self.connection: BusConnection | None = None
-        self.slow: BusConnection | None = None  # asked before, silent, and still open: it may yet answer
+        self.earlier_connection: BusConnection | None = (
+            None  # asked before, silent, and still open: it may yet answer
+        )
         self.dialing: Dialing = EAGER
-        self.under_way: defer.Deferred[object] | None = None
-        self._wait: Deadline | None = None  # the next dial, or the end of a silence
+        self.pending_dial: defer.Deferred[object] | None = None
+        self._timer: Deadline | None = None  # the next dial, or the end of a silence
 
     def start(self) -> None:
         """At its turn; it may have none, and be started later."""
@@ -188,68 +192,68 @@
             self.start_in(wait)
 
     def start_in(self, wait_ms: float) -> None:
-        self._await(wait_ms, self._dial)
+        self._set_timer(wait_ms, self._dial)
 
     def _dial(self) -> None:
         if self.address is None:
             return
         connection = self.connection = BusConnection(self)
-        dialing = self.under_way = self.connect(self.address, connection)
-        self._await(CONNECT_MS, dialing.cancel)
+        dialing = self.pending_dial = self.connect(self.address, connection)
+        self._set_timer(CONNECT_TIMEOUT_MS, dialing.cancel)
 
         def failed(failure: Failure) -> None:
             if self.connection is connection:
                 self.dialing.failed(LIST)
-                self._again()
+                self._redial()
 
         dialing.addErrback(failed)
 
-    def _again(self) -> None:
-        pause_ms = REDIAL_MS * self.chance.uniform(0.5, 1.0)
-        self._await(self.dialing.again(LIST, pause_ms), self._dial)
+    def _redial(self) -> None:
+        pause_ms = REDIAL_MS * self.rng.uniform(0.5, 1.0)
+        self._set_timer(self.dialing.again(LIST, pause_ms), self._dial)
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """No connection, and none on its way, until it is started again."""
         old, self.connection = self.connection, None
-        dialing, self.under_way = self.under_way, None
-        self._drop_slow()
-        if self._wait is not None:
-            self._wait.cancel()
+        dialing, self.pending_dial = self.pending_dial, None
+        self._drop_earlier()
+        if self._timer is not None:
+            self._timer.cancel()
         if dialing is not None:
             dialing.cancel()
         if old is not None:
             old.drop()
 
-    def move(self, address: str | None) -> None:
+    def change_address(self, address: str | None) -> None:
         """Another address from now on: the numbers go on there, and the old connection is left."""
         if address == self.address:
             return
-        log.info("event bus: %s from now on, from %d", address, self.list.offset)
+        log.info("event bus: %s from now on, from %d", address, self.server_list.offset)
         self.address = address
-        self.leave()
+        self.disconnect()
         self.start()
 
-    def _await(self, ms: float, action: Callable[[], None]) -> None:
-        if self._wait is not None:
-            self._wait.cancel()
-        self._wait = self.deadlines.set(self.clock.now() + ms, action)
+    def _set_timer(self, ms: float, action: Callable[[], None]) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = self.deadlines.set(self.clock.now() + ms, action)
 
-    def up(self, connection: BusConnection) -> None:
+    def on_connected(self, connection: BusConnection) -> None:
         if connection is not self.connection:
             connection.drop()  # it came up after its address was left
             return
-        connection.write(b"from %d\n" % self.list.offset)
+        connection.write(b"from %d\n" % self.server_list.offset)
         self.dialing.up(LIST)
-        self.heard(connection)
+        self.on_line_received(connection)
 
-    def heard(self, connection: BusConnection) -> None:
+    def on_line_received(self, connection: BusConnection) -> None:
         """A line came, or the connection is up."""
-        if connection is self.slow:
-            self._prefer(connection)
+        if connection is self.earlier_connection:
+            self._keep_earlier(connection)
         if connection is self.connection:
-            self._await(SILENT_MS, self._silent)
+            self._set_timer(SILENCE_TIMEOUT_MS, self._on_silence)
 
-    def _silent(self) -> None:
+    def _on_silence(self) -> None:
         """Nothing came for too long. One that has never answered is left open while another is asked.
 
         Guards against a discovery that is slow to answer: each connection would be given up before."""
@@ -259,29 +263,29 @@
         if connection.answered:
             connection.drop()
             return
-        log.info("event bus: no answer for %.0f ms, asked on another connection", SILENT_MS)
-        self._drop_slow()
-        self.slow = connection
+        log.info("event bus: no answer for %.0f ms, asked on another connection", SILENCE_TIMEOUT_MS)
+        self._drop_earlier()
+        self.earlier_connection = connection
         self._dial()
 
-    def _prefer(self, connection: BusConnection) -> None:
+    def _keep_earlier(self, connection: BusConnection) -> None:
         """The connection that was asked first has answered: the other is not needed."""
-        later, dialing = self.connection, self.under_way
-        self.connection, self.slow, self.under_way = connection, None, None
+        later, dialing = self.connection, self.pending_dial
+        self.connection, self.earlier_connection, self.pending_dial = connection, None, None
         if dialing is not None:
             dialing.cancel()
         if later is not None:
             later.drop()
 
-    def _drop_slow(self) -> None:
-        slow, self.slow = self.slow, None
+    def _drop_earlier(self) -> None:
+        slow, self.earlier_connection = self.earlier_connection, None
         if slow is not None:
             slow.drop()
 
-    def lost(self, connection: BusConnection) -> None:
-        if connection is self.slow:
-            self.slow = None
+    def on_lost(self, connection: BusConnection) -> None:
+        if connection is self.earlier_connection:
+            self.earlier_connection = None
         if connection is self.connection:
-            log.warning("event bus lost; again from %d", self.list.offset)
+            log.warning("event bus lost; again from %d", self.server_list.offset)
             self.dialing.lost(LIST)
-            self._again()
+            self._redial()
--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -22,25 +22,25 @@
 
 log = logging.getLogger("frostport.front")
 
-REPEAT_MS = 8000.0  # a release not yet heard is sent again on another connection for so long
-UNHEARD_MS = 250.0  # after this long without a word on it
-FIRST_LINE_MS = 2000.0  # a connection that has said nothing whole by then is closed
-HALF_LINE_MS = 2000.0  # so is one that stops in the middle of a line
-STUCK_MS = 2000.0  # and one that does not read what is sent to it
-LAST_WORDS_MS = 1000.0  # for what was said before a close to leave
-STRIKES = 3  # set-ups that can't be used, on one connection, before it is closed
-OPEN_MOST = 100  # open set-ups on one connection: it is refused more
-LONGEST_TEXT = jsonl.MAX_LINE - 512  # a set-up of this size still fits a line when it goes on
-KEEP_MS = 60_000.0  # one that could be told nobody is kept so long for the next that connects
-KEY = re.compile(r"[0-9a-fA-F]{1,16}\Z")
-WHOLE = re.compile(r"-?[0-9]{1,9}\Z")
-CAUSES = {Outcome.OK: jsonl.NORMAL, Outcome.CANCELLED: jsonl.NORMAL}
+RELEASE_RETRY_WINDOW_MS = 8000.0  # a release not yet heard is sent again on another connection for so long
+RELEASE_RETRY_MS = 250.0  # after this long without a word on it
+FIRST_LINE_TIMEOUT_MS = 2000.0  # a connection that has said nothing whole by then is closed
+PARTIAL_LINE_TIMEOUT_MS = 2000.0  # so is one that stops in the middle of a line
+WRITE_STALL_TIMEOUT_MS = 2000.0  # and one that does not read what is sent to it
+CLOSE_TIMEOUT_MS = 1000.0  # for what was said before a close to leave
+MAX_MALFORMED_LINES = 3  # set-ups that can't be used, on one connection, before it is closed
+MAX_OPEN_SET_UPS = 100  # open set-ups on one connection: it is refused more
+MAX_DESCRIPTION_BYTES = jsonl.MAX_LINE_BYTES - 512  # a set-up of this size still fits a line when it goes on
+UNSENT_RELEASE_KEEP_MS = 60_000.0  # one that could be told nobody is kept so long for the next that connects
+KEY_PATTERN = re.compile(r"[0-9a-fA-F]{1,16}\Z")
+INTEGER_PATTERN = re.compile(r"-?[0-9]{1,9}\Z")
+CAUSE_BY_OUTCOME = {Outcome.OK: jsonl.NORMAL, Outcome.CANCELLED: jsonl.NORMAL}
 # The figures of a set-up, and how far each may go; the pool of first choice is also looked up.
-FIGURES = {"dest": (-1, 0xFFFF), "width": (1, 0xFFFF), "via": (-1, 0xFFFF), "again": (0, 1)}
+EXTRAS_RANGES = {"dest": (-1, 0xFFFF), "width": (1, 0xFFFF), "via": (-1, 0xFFFF), "again": (0, 1)}
 
 
 @dataclass(slots=True)
-class Owed:
+class PendingRelease:
     """A release that no client has confirmed yet."""
 
     cause: int
@@ -58,43 +58,45 @@
     Each set-up that it opened ends through its answer or `Broker.gone`, once; no attempt
     begins for one whose client has closed or given it up, wherever that is heard first."""
 
-    read_ahead = 64 * 1024  # guards against a close or a give-up that nobody hears behind a turn's lines
+    read_ahead_bytes = (
+        64 * 1024
+    )  # guards against a close or a give-up that nobody hears behind a turn's lines
 
     def __init__(self, front: PlatformFront, seat: Seat) -> None:
         super().__init__(front.broker.clock, front.broker.deadlines)
         self.front, self.seat = front, seat
-        self.held = False  # its seat is known to be in use
+        self.seat_in_use = False  # its seat is known to be in use
         self.slot = -1
         self.host = ""
-        self.open: dict[str, Request] = {}
+        self.open_set_ups: dict[str, Request] = {}
         self.heard_at = 0.0  # the last whole line
-        self.spoke = False  # a well-formed message has come
-        self.known = False  # a call has stood here, or a release was heard: a usual client's
-        self.strikes = 0
-        self.owing: set[str] = set()  # releases said here and not confirmed
+        self.identified = False  # a well-formed message has come
+        self.trusted = False  # a call has stood here, or a release was heard: a usual client's
+        self.malformed_count = 0
+        self.unconfirmed_releases: set[str] = set()  # releases said here and not confirmed
         self.standing: set[str] = set()  # calls answered here that stand: their release is told here
-        self._limit: Deadline | None = None
-        self._starts: set[str] = set()  # set-ups read and not handled yet
-        self._given_up: Counter[str] = Counter()  # those of them whose give-up has been read as well
+        self._timeout: Deadline | None = None
+        self._unhandled_set_ups: set[str] = set()  # set-ups read and not handled yet
+        self._early_give_ups: Counter[str] = Counter()  # those of them whose give-up has been read as well
 
-    def opened(self) -> None:
+    def on_open(self) -> None:
         self.slot = self.front.connections.add(self)
         self.peer = f"client connection {self.slot}"
         self.host = str(getattr(self.transport.getPeer(), "host", ""))
-        self.front.by_seat[self.seat.number] = self
+        self.front.connections_by_seat[self.seat.number] = self
         self.heard_at = self.clock.now()
         self.transport.registerProducer(self, True)
         # Guards against connections that come by hundreds and say nothing, or half a line.
-        self._await(FIRST_LINE_MS)
+        self._set_timeout(FIRST_LINE_TIMEOUT_MS)
 
-    def _await(self, ms: float | None, then: Callable[[], None] | None = None) -> None:
-        if self._limit is not None:
-            self._limit.cancel()
-        self._limit = None if ms is None else self.deadlines.set(self.clock.now() + ms, then or self.drop)
+    def _set_timeout(self, ms: float | None, then: Callable[[], None] | None = None) -> None:
+        if self._timeout is not None:
+            self._timeout.cancel()
+        self._timeout = None if ms is None else self.deadlines.set(self.clock.now() + ms, then or self.drop)
 
-    def closed(self) -> None:
-        self._await(None)
-        self.front.lost(self)
+    def on_close(self) -> None:
+        self._set_timeout(None)
+        self.front.connection_lost(self)
 
     # As the producer of what is written to it
 
@@ -102,170 +104,172 @@
         """Guards against a client that asks and does not read: nothing is begun for it until it does.
 
         What is read ahead meanwhile tells of its give-ups."""
-        self.stuck = True
+        self.write_blocked = True
         if self.alive:
-            self._await(STUCK_MS, self._unread)
+            self._set_timeout(WRITE_STALL_TIMEOUT_MS, self._on_write_stall)
 
-    def _unread(self) -> None:
+    def _on_write_stall(self) -> None:
         """It has not read for too long. Guards releases among lines that wait: they count as on a close."""
-        self.gone = True
-        self._work(len(self._waiting))
+        self.peer_closed = True
+        self._handle_lines(len(self._pending_lines))
         self.drop()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        self.stuck = False
+        self.write_blocked = False
         if self.alive:
-            self._await(None)
-            self.go_on()
+            self._set_timeout(None)
+            self.resume_handling()
 
     def stopProducing(self) -> None:  # noqa: N802
         pass
 
     # What it says
 
-    def ahead(self, lines: list[tuple[bytes, bool]]) -> list[tuple[bytes, bool]]:
+    def on_lines_read(self, lines: list[tuple[bytes, bool]]) -> list[tuple[bytes, bool]]:
         """Guards against an attempt for a set-up that is given up already, in lines read and not handled.
 
         A give-up of an open set-up is handled at once; one of a set-up that waits here stops it."""
-        if not self.stuck and not self._waiting and len(lines) < 2:
+        if not self.write_blocked and not self._pending_lines and len(lines) < 2:
             return lines
         later = []
         for line, oversize in lines:
-            found = jsonl.TAG_INSIDE.search(line)
+            found = jsonl.TAG_FIELD.search(line)
             tag = found.group(1).decode() if found and not oversize else ""
-            if tag and jsonl.START_INSIDE.search(line):
-                self._starts.add(tag)
-            elif tag and jsonl.FINISH_INSIDE.search(line):
-                if tag in self._starts:
-                    self._given_up[tag] += 1
-                elif tag in self.open:
-                    self._one(line, oversize)
+            if tag and jsonl.START_VERB.search(line):
+                self._unhandled_set_ups.add(tag)
+            elif tag and jsonl.FINISH_VERB.search(line):
+                if tag in self._unhandled_set_ups:
+                    self._early_give_ups[tag] += 1
+                elif tag in self.open_set_ups:
+                    self._handle_line(line, oversize)
                     continue
             later.append((line, oversize))
         return later
 
-    def _begins(self, tag: str) -> bool:
+    def _still_wanted(self, tag: str) -> bool:
         """Whether a set-up that was read is still wanted now that its turn has come.
 
         One that repeats a known call goes its usual way: its give-up releases what stands."""
-        self._starts.discard(tag)
-        return not (self.gone or self._given_up[tag]) or not self.front.fresh(tag)
+        self._unhandled_set_ups.discard(tag)
+        return not (self.peer_closed or self._early_give_ups[tag]) or not self.front.is_new_call(tag)
 
-    def _never_began(self, tag: str) -> bool:
+    def _cancels_unhandled(self, tag: str) -> bool:
         """A give-up whose turn has come: whether it was for a set-up that it stopped here."""
-        given_up = self._given_up[tag] > 0
+        given_up = self._early_give_ups[tag] > 0
         if given_up:
-            self._given_up.subtract((tag,))
-            self._given_up += Counter()  # drops what has come to nought
-        return given_up and self.front.fresh(tag)
+            self._early_give_ups.subtract((tag,))
+            self._early_give_ups += Counter()  # drops what has come to nought
+        return given_up and self.front.is_new_call(tag)
 
-    def read(self) -> None:
-        self.leave_if_idle()
+    def on_read(self) -> None:
+        self.close_if_idle()
         if not self.alive:
             return
-        if not self.lines.partial:
-            if self.spoke and not self.stuck:
-                self._await(None)
-        elif self._limit is None:
-            self._await(HALF_LINE_MS, self.hang_up)
+        if not self.splitter.partial:
+            if self.identified and not self.write_blocked:
+                self._set_timeout(None)
+        elif self._timeout is None:
+            self._set_timeout(PARTIAL_LINE_TIMEOUT_MS, self.close_gracefully)
 
-    def line(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         message = jsonl.decode(line)
         self.heard_at = self.clock.now()
-        if not self.spoke:
-            self.spoke = True
+        if not self.identified:
+            self.identified = True
             self.front.gate.identified(self.seat)
-            self.front.flush()
+            self.front.send_unsent_releases()
         else:
             self.front.gate.heard(self.seat)
         match message.verb:
             case "START":
-                if not self._begins(message.tag):
+                if not self._still_wanted(message.tag):
                     return
                 try:
-                    self.front.start(self, message)
+                    self.front.handle_start(self, message)
                 except BadLineError as problem:
                     raise BadLineError(str(problem), line) from None
-            case "FINISH" if self._never_began(message.tag):
-                self.say(Message("FINISHED", message.tag))
+            case "FINISH" if self._cancels_unhandled(message.tag):
+                self.send_message(Message("FINISHED", message.tag))
             case "FINISH":
-                self.front.finish(self, message)
+                self.front.handle_finish(self, message)
             case "FINISHED":
-                self.front.heard(self, message.tag)
+                self.front.handle_finished(self, message.tag)
             case "ECHO":
-                self.say(Message("ECHOED", message.tag, rc=int(self.front.serving())))
+                self.send_message(Message("ECHOED", message.tag, rc=int(self.front.serving())))
             case "PENDING" | "ECHOED":
                 pass
             case _:
                 raise BadLineError(f"verb: unknown: {message.verb}", line)
 
-    def malformed(self, problem: BadLineError) -> None:
-        self.strikes += 1
-        self.front.offended(self)
+    def on_malformed(self, problem: BadLineError) -> None:
+        self.malformed_count += 1
+        self.front.record_offence(self)
         named = problem.is_start and problem.tag is not None
         if named and self.front.broker.find(problem.tag or "") is None:
-            self.say(Message("FINISH", problem.tag or "", rc=jsonl.OVERLOADED))
-        if not named or self.lines.ended or self.strikes >= STRIKES:
-            self.hang_up()
+            self.send_message(Message("FINISH", problem.tag or "", rc=jsonl.OVERLOADED))
+        if not named or self.splitter.overflowed or self.malformed_count >= MAX_MALFORMED_LINES:
+            self.close_gracefully()
 
-    def settle(self) -> None:
+    def update_seat(self) -> None:
         """Tells the gate whether the seat is in use: by an open set-up, or something owed."""
-        used = bool(self.open or self.owing)
-        if used is not self.held:
-            self.held = used
+        used = bool(self.open_set_ups or self.unconfirmed_releases)
+        if used is not self.seat_in_use:
+            self.seat_in_use = used
             (self.front.gate.took if used else self.front.gate.done)(self.seat)
 
-    def leave_if_idle(self) -> None:
+    def close_if_idle(self) -> None:
         """While the agent empties, closes once nothing is open or owed here and nothing waits to be read.
 
         Guards against losing a request: one that was read, or begun, is served first."""
         if (
             self.alive
-            and self.spoke
+            and self.identified
             and not self.carries_calls()
-            and not self.lines.partial
-            and not self._waiting
+            and not self.splitter.partial
+            and not self._pending_lines
             and self.front.lifecycle.emptying()
         ):
-            self.hang_up()
+            self.close_gracefully()
 
     def carries_calls(self) -> bool:
         """Whether a call that is not over, or whose end is not confirmed, was set up or is told here."""
-        return bool(self.open or self.standing or self.owing)
+        return bool(self.open_set_ups or self.standing or self.unconfirmed_releases)
 
-    def usable(self) -> bool:
+    def can_carry_release(self) -> bool:
         """Whether a release may be told here."""
-        return self.alive and not self.ending and self.spoke and not self.stuck
+        return self.alive and not self.closing and self.identified and not self.write_blocked
 
-    def hang_up(self) -> None:
+    def close_gracefully(self) -> None:
         """Closes once what was said has left; each set-up still open here is answered first.
 
         An answer may wait for its record: the close comes after it. Nothing more is heard meanwhile."""
-        if self.alive and not self.ending:
-            self.ending = True
-            for request in list(self.open.values()):
+        if self.alive and not self.closing:
+            self.closing = True
+            for request in list(self.open_set_ups.values()):
                 self.front.broker.fail(request)
-            self.front.broker.recorder.barrier(self._close)
+            self.front.broker.recorder.barrier(self._finish_close)
 
-    def _close(self) -> None:
+    def _finish_close(self) -> None:
         if self.alive:
             self.alive = False
             self.transport.unregisterProducer()
             self.transport.loseConnection()
-            if self._limit is not None:
-                self._limit.cancel()
-            self._limit = self.deadlines.set(self.clock.now() + LAST_WORDS_MS, self.transport.abortConnection)
+            if self._timeout is not None:
+                self._timeout.cancel()
+            self._timeout = self.deadlines.set(
+                self.clock.now() + CLOSE_TIMEOUT_MS, self.transport.abortConnection
+            )
 
 
-def set_up_figures(text: str, pools: Iterable[int] | None) -> dict[str, int]:
+def parse_extras(text: str, pools: Iterable[int] | None) -> dict[str, int]:
     """The figures in `extras`; guards the module and the servers behind it against any out of range."""
     found = {}
     for pair in text.split(";") if text else ():
         name, colon, value = pair.partition(":")
-        if name in FIGURES or not colon:
-            if not WHOLE.match(value):
+        if name in EXTRAS_RANGES or not colon:
+            if not INTEGER_PATTERN.match(value):
                 raise BadLineError(f"opts.extras: {pair[:40]!r}: not a whole number")
-            least, most = FIGURES[name]
+            least, most = EXTRAS_RANGES[name]
             if not least <= int(value) <= most:
                 raise BadLineError(f"opts.extras: {pair[:40]!r}: out of range")
             found[name] = int(value)
@@ -274,7 +278,7 @@
     return found
 
 
-def repeats(message: Message, given: Given, connection: ClientConnection) -> bool:
+def is_repeat(message: Message, given: Given, connection: ClientConnection) -> bool:
     """Whether a set-up is the very one that has been answered."""
     return message.blob is not None and given.repeats(
         message.opts.get("class", ""), connection.host, message.blob.encode()
@@ -287,12 +291,12 @@
     def __init__(self, broker: Broker, lifecycle: Lifecycle, gate: Gate) -> None:
         self.broker, self.lifecycle, self.gate = broker, lifecycle, gate
         self.connections: Slots[ClientConnection] = Slots()
-        self.by_seat: dict[int, ClientConnection] = {}
-        self.owed: dict[str, Owed] = {}
+        self.connections_by_seat: dict[int, ClientConnection] = {}
+        self.pending_releases: dict[str, PendingRelease] = {}
         self.failed_ids: dict[str, float] = {}  # told as over without their answer: that was the final word
-        self._sweep: Deadline | None = None
+        self._retry_timer: Deadline | None = None
         settings = broker.rules.settings
-        self.longest_ms = max((cls.deadline_ms for cls in settings.classes), default=0.0)
+        self.longest_deadline_ms = max((cls.deadline_ms for cls in settings.classes), default=0.0)
 
     def serving(self) -> bool:
         return self.lifecycle.ready()
@@ -300,12 +304,12 @@
     def empty(self) -> None:
         """The agent empties: connections that hold nothing close now, the others once they do."""
         for connection in list(self.connections):
-            connection.leave_if_idle()
+            connection.close_if_idle()
 
     def hang_up(self) -> None:
         """The program ends: closes every connection once what was said on it has left."""
         for connection in list(self.connections):
-            connection.hang_up()
+            connection.close_gracefully()
 
     def held(self) -> int:
         """Client connections still open."""
@@ -324,12 +328,12 @@
     def shed(self, seats: Iterable[Seat]) -> None:
         """Closes connections that the gate has given up."""
         for seat in seats:
-            connection = self.by_seat.get(seat.number)
+            connection = self.connections_by_seat.get(seat.number)
             if connection is not None:
                 connection.drop()
-                self.lost(connection)
+                self.connection_lost(connection)
 
-    def offended(self, connection: ClientConnection) -> None:
+    def record_offence(self, connection: ClientConnection) -> None:
         now = self.broker.clock.now()
         if self.gate.is_known(connection.host, now):
             connection.complaints.say(now, connection.peer, f"a known client's, {connection.host}")
@@ -337,51 +341,53 @@
 
     # From clients
 
-    def fresh(self, call: str) -> bool:
+    def is_new_call(self, call: str) -> bool:
         """Whether a set-up of this id would begin a call: none is open, standing, ending or owed its end,
         here or in the process before this one."""
         broker = self.broker
         return (
             broker.find(call) is None
             and call not in broker.ending
-            and call not in self.owed
+            and call not in self.pending_releases
             and not broker.recorder.elsewhere(call)
         )
 
-    def start(self, connection: ClientConnection, message: Message) -> None:
+    def handle_start(self, connection: ClientConnection, message: Message) -> None:
         broker, tag, opts = self.broker, message.tag, message.opts
         broker.recorder.look()
         if (known := broker.find(tag) or broker.ending.get(tag)) is not None:
-            if not self.answered_again(connection, known, message):
-                self.twice(connection, known)
+            if not self.repeat_answer(connection, known, message):
+                self.reject_duplicate(connection, known)
             return
-        if tag in self.failed_ids or ((owed := self.owed.get(tag)) is not None and owed.given is not None):
-            self.ended_before(connection, message)
+        if tag in self.failed_ids or (
+            (owed := self.pending_releases.get(tag)) is not None and owed.given is not None
+        ):
+            self.answer_ended_call(connection, message)
             return
         name, key = opts.get("class", ""), opts.get("key", "")
-        left = jsonl.figures(f"left:{opts.get('left', '')}").get("left", math.nan)
+        left = jsonl.parse_numbers(f"left:{opts.get('left', '')}").get("left", math.nan)
         if name not in broker.rules.pools:
             raise BadLineError(f"opts.class: unknown: {name[:40]!r}")
-        if not 0.0 < left <= self.longest_ms * 2.0:
+        if not 0.0 < left <= self.longest_deadline_ms * 2.0:
             raise BadLineError("opts.left: no time that a caller could wait")
-        if key and not KEY.match(key):
+        if key and not KEY_PATTERN.match(key):
             raise BadLineError("opts.key: not 16 hex digits")
-        if message.blob is None or len(message.blob.encode()) + len(name) > LONGEST_TEXT:
+        if message.blob is None or len(message.blob.encode()) + len(name) > MAX_DESCRIPTION_BYTES:
             raise BadLineError("blob: no description, or one too long to go on")
-        figures = set_up_figures(opts.get("extras", ""), broker.rules.pools[name])
+        parse_numbers = parse_extras(opts.get("extras", ""), broker.rules.pools[name])
         if (
             not self.lifecycle.takes()
-            or len(connection.open) >= OPEN_MOST
+            or len(connection.open_set_ups) >= MAX_OPEN_SET_UPS
             or (self.lifecycle.drains() and connection.carries_calls())
         ):
             broker.tally.deferred(name)
-            connection.say(Message("FINISH", tag, rc=jsonl.OVERLOADED))
+            connection.send_message(Message("FINISH", tag, rc=jsonl.OVERLOADED))
             return
         team = opts.get("tenant", "-")
         if self.gate.limits.by_team and self.gate.identified(connection.seat, team) is not None:
             broker.tally.deferred(name)
-            connection.say(Message("FINISH", tag, rc=jsonl.OVERLOADED))
-            connection.hang_up()
+            connection.send_message(Message("FINISH", tag, rc=jsonl.OVERLOADED))
+            connection.close_gracefully()
             return
         request = Request(
             tag,
@@ -394,8 +400,8 @@
             team,
             client=connection.host,
         )
-        connection.open[tag] = request
-        connection.settle()
+        connection.open_set_ups[tag] = request
+        connection.update_seat()
         broker.arrive(
             request,
             api.CallArrived(
@@ -403,23 +409,23 @@
                 name,
                 team,
                 left,
-                figures.get("dest", -1),
+                parse_numbers.get("dest", -1),
                 int(key, 16) if key else 0,
                 redial=opts.get("retry", "0") not in ("", "0"),
-                cut_before=bool(figures.get("again", 0)),
+                cut_before=bool(parse_numbers.get("again", 0)),
             ),
         )
 
-    def twice(self, connection: ClientConnection, known: Request) -> None:
+    def reject_duplicate(self, connection: ClientConnection, known: Request) -> None:
         """Guards against an id that is open or stands: which one an answer is for, nobody could tell."""
         connection.complaints.say(self.broker.clock.now(), connection.peer, f"set-up {known.id} came again")
         if known.front is not self or known.place != connection.slot:
-            connection.say(Message("FINISH", known.id, rc=jsonl.OVERLOADED))
+            connection.send_message(Message("FINISH", known.id, rc=jsonl.OVERLOADED))
         elif known.state is State.OPEN:
             self.broker.fail(known)
-        connection.hang_up()
+        connection.close_gracefully()
 
-    def answered_again(self, connection: ClientConnection, known: Request, message: Message) -> bool:
+    def repeat_answer(self, connection: ClientConnection, known: Request, message: Message) -> bool:
         """A client repeats a set-up whose answer is on record, and may never have come to it.
 
         It gets that answer, and there is no second set-up; False where this is another set-up, or the
@@ -428,55 +434,55 @@
             known.given is None
             or known.id in getattr(self.connections.get(known.place), "standing", ())
             or known.state is State.OPEN
-            or not repeats(message, known.given, connection)
+            or not is_repeat(message, known.given, connection)
         ):
             return False
         known.place = connection.slot
         connection.standing.add(known.id)
-        self._answer(connection, known.id, known.given)
+        self._send_answer(connection, known.id, known.given)
         return True
 
-    def _answer(self, connection: ClientConnection, call: str, given: Given) -> None:
-        connection.known = True
-        connection.say(Message("STARTED", call, blob=str(given.answer)))
+    def _send_answer(self, connection: ClientConnection, call: str, given: Given) -> None:
+        connection.trusted = True
+        connection.send_message(Message("STARTED", call, blob=str(given.answer)))
 
-    def ended_before(self, connection: ClientConnection, message: Message) -> None:
+    def answer_ended_call(self, connection: ClientConnection, message: Message) -> None:
         """A client repeats a set-up that was answered, and whose call is over by now: it gets one final word.
 
         While the end is held back, that is the answer, with the release after it; once the end has been told,
         it is the end, a failure to whom still waits: no answer comes after it."""
-        call, owed = message.tag, self.owed.get(message.tag)
+        call, owed = message.tag, self.pending_releases.get(message.tag)
         if owed is None:
-            connection.say(Message("FINISH", call, rc=jsonl.BROKEN))
-        elif owed.given is None or not repeats(message, owed.given, connection):
-            connection.say(Message("FINISH", call, rc=jsonl.OVERLOADED))
-            connection.hang_up()
+            connection.send_message(Message("FINISH", call, rc=jsonl.BROKEN))
+        elif owed.given is None or not is_repeat(message, owed.given, connection):
+            connection.send_message(Message("FINISH", call, rc=jsonl.OVERLOADED))
+            connection.close_gracefully()
         else:
             if owed.held_until:
-                self._answer(connection, call, owed.given)
+                self._send_answer(connection, call, owed.given)
                 owed.held_until, owed.given = 0.0, None
-            self._tell(call, connection)
+            self._send_release(call, connection)
 
-    def finish(self, connection: ClientConnection, message: Message) -> None:
+    def handle_finish(self, connection: ClientConnection, message: Message) -> None:
         """A give-up before the answer, or the release of a call that stands, on any connection."""
         self.broker.recorder.look()
         request, answered_on = self.broker.find(message.tag), None
         if request is None:
             # Also where a give-up crosses our final answer: there the broker knows the id, and does nothing.
-            connection.open.pop(message.tag, None)
-            connection.settle()
-            self._settle(message.tag)
+            connection.open_set_ups.pop(message.tag, None)
+            connection.update_seat()
+            self._settle_release(message.tag)
             self.broker.release_unknown(message.tag)
         else:
-            self._answered(request)
+            self._remove_open(request)
             if request.state is State.OPEN:
                 self.broker.gone(request)
             else:
-                answered_on = self._stood(request.id, request.place)
+                answered_on = self._remove_standing(request.id, request.place)
                 self.broker.release(request)
-        self.broker.recorder.barrier(lambda: self._finished(connection, message.tag, answered_on))
+        self.broker.recorder.barrier(lambda: self._confirm_finish(connection, message.tag, answered_on))
 
-    def _stood(self, call: str, place: int) -> ClientConnection | None:
+    def _remove_standing(self, call: str, place: int) -> ClientConnection | None:
         """A call no longer stands on the connection where it was answered; that connection, if any."""
         connection = self.connections.get(place)
         if connection is None or call not in connection.standing:
@@ -484,104 +490,114 @@
         connection.standing.discard(call)
         return connection
 
-    def _finished(self, connection: ClientConnection, tag: str, answered_on: ClientConnection | None) -> None:
-        connection.say(Message("FINISHED", tag))
-        connection.leave_if_idle()  # only now: the confirmation leaves before the close
+    def _confirm_finish(
+        self, connection: ClientConnection, tag: str, answered_on: ClientConnection | None
+    ) -> None:
+        connection.send_message(Message("FINISHED", tag))
+        connection.close_if_idle()  # only now: the confirmation leaves before the close
         if answered_on is not None:
-            answered_on.leave_if_idle()
+            answered_on.close_if_idle()
 
-    def heard(self, connection: ClientConnection, tag: str) -> None:
-        if self._settle(tag):
-            connection.known = True
+    def handle_finished(self, connection: ClientConnection, tag: str) -> None:
+        if self._settle_release(tag):
+            connection.trusted = True
 
-    def _settle(self, tag: str) -> bool:
+    def _settle_release(self, tag: str) -> bool:
         """A release is no longer owed, if it was."""
-        owed = self.owed.pop(tag, None)
+        owed = self.pending_releases.pop(tag, None)
         if owed is None:
             return False
         if owed.given is not None:
             self.failed_ids[tag] = now = self.broker.clock.now()
-            while next(iter(self.failed_ids.values())) < now - KEEP_MS:
+            while next(iter(self.failed_ids.values())) < now - UNSENT_RELEASE_KEEP_MS:
                 del self.failed_ids[next(iter(self.failed_ids))]
-        self._at(tag, owed, -1)
+        self._assign_release(tag, owed, -1)
         self.broker.recorder.settled(tag)
         return True
 
-    def lost(self, connection: ClientConnection) -> None:
+    def connection_lost(self, connection: ClientConnection) -> None:
         """The open set-ups of a connection go with it; what is owed on it goes to another."""
         if self.connections.get(connection.slot) is not connection:
             return  # it made room for another already
         self.connections.free(connection.slot)
-        del self.by_seat[connection.seat.number]
+        del self.connections_by_seat[connection.seat.number]
         self.gate.gone(connection.seat)
-        opened, connection.open = list(connection.open.values()), {}
+        opened, connection.open_set_ups = list(connection.open_set_ups.values()), {}
         for request in opened:
             if request.state is State.OPEN:
                 self.broker.gone(request)
             else:
                 self.broker.release(request)  # its answer waits for its record, and has nobody to go to
-        for tag in connection.owing:
-            self.owed[tag].slot = -1
-        connection.owing.clear()
-        self.flush()
+        for tag in connection.unconfirmed_releases:
+            self.pending_releases[tag].slot = -1
+        connection.unconfirmed_releases.clear()
+        self.send_unsent_releases()
 
     # From the broker
 
     def waits(self, request: Request) -> bool:
         connection = self.connections.get(request.place)
-        return connection is not None and connection.open.get(request.id) is request and not connection.left()
+        return (
+            connection is not None
+            and connection.open_set_ups.get(request.id) is request
+            and not connection.check_peer_closed()
+        )
 
-    def _answered(self, request: Request) -> ClientConnection | None:
+    def _remove_open(self, request: Request) -> ClientConnection | None:
         """Its connection, if that still waits for the answer: it has left, or has nobody to go to,
         afterwards.
 
         Guards against another connection in the same slot: an answer may have waited for its record."""
         connection = self.connections.get(request.place)
-        if connection is None or connection.open.get(request.id) is not request:
+        if connection is None or connection.open_set_ups.get(request.id) is not request:
             return None
-        del connection.open[request.id]
-        connection.settle()
+        del connection.open_set_ups[request.id]
+        connection.update_seat()
         return connection
 
-    def _say(self, request: Request, message: Message) -> None:
-        connection = self._answered(request)
+    def _send_final(self, request: Request, message: Message) -> None:
+        connection = self._remove_open(request)
         if connection is not None:
             if message.verb == "STARTED":
-                connection.known = True
+                connection.trusted = True
                 connection.standing.add(request.id)
                 self.gate.earns(connection.seat, self.broker.clock.now())
-            connection.say(message)
-            connection.leave_if_idle()
+            connection.send_message(message)
+            connection.close_if_idle()
 
     def stands(self, request: Request, description: Body) -> None:
-        self._say(request, Message("STARTED", request.id, blob=str(description)))
+        self._send_final(request, Message("STARTED", request.id, blob=str(description)))
 
     def refused(self, request: Request, stay_away_ms: float) -> None:
         # The platform's refusal has no field for a time to come back.
-        self._say(request, Message("FINISH", request.id, rc=jsonl.OVERLOADED))
+        self._send_final(request, Message("FINISH", request.id, rc=jsonl.OVERLOADED))
 
     def failed(self, request: Request) -> None:
-        self._say(request, Message("FINISH", request.id, rc=jsonl.BROKEN))
+        self._send_final(request, Message("FINISH", request.id, rc=jsonl.BROKEN))
 
     def over(self, call: str, place: int, outcome: Outcome, given: Given | None = None) -> None:
         connection, now = self.connections.get(place), self.broker.clock.now()
-        answered_on = self._stood(call, place)
+        answered_on = self._remove_standing(call, place)
         host = connection.host if connection is not None else ""
-        owed = self.owed[call] = Owed(CAUSES.get(outcome, jsonl.BROKEN), now, -1, host)
+        owed = self.pending_releases[call] = PendingRelease(
+            CAUSE_BY_OUTCOME.get(outcome, jsonl.BROKEN), now, -1, host
+        )
         if given is not None and answered_on is None:
-            self._unheard(owed, given, now, place < 0)
+            self._hold_release(owed, given, now, place < 0)
         if not owed.held_until:
-            self._tell(call, connection if connection is not None and connection.usable() else None)
+            self._send_release(
+                call, connection if connection is not None and connection.can_carry_release() else None
+            )
         if answered_on is not None:
-            answered_on.leave_if_idle()
-        self._watch()
+            answered_on.close_if_idle()
+        self._schedule_retry()
 
-    def _unheard(self, owed: Owed, given: Given, now: float, restarted: bool) -> None:
+    def _hold_release(self, owed: PendingRelease, given: Given, now: float, restarted: bool) -> None:
         """Guards a client that waits for the answer of a repeated set-up against hearing the end first.
 
         Without a restart since the answer, the end is told at once: it is the final word then."""
         owed.given = given
-        until = held_until(given.at, now, self.longest_ms)
+        until = held_until(given.at, now, self.longest_deadline_ms)
         if restarted and until > now:
             owed.host, owed.held_until = given.client, until
 
@@ -592,66 +608,72 @@
         next, unless its answer may not have been heard."""
         now = self.broker.clock.now()
         for call, (host, outcome, since) in owed.items():
-            if call in self.owed:
+            if call in self.pending_releases:
                 continue  # owed here already
-            self.owed[call] = Owed(CAUSES.get(outcome, jsonl.BROKEN), since, -1, host)
+            self.pending_releases[call] = PendingRelease(
+                CAUSE_BY_OUTCOME.get(outcome, jsonl.BROKEN), since, -1, host
+            )
             if (answer := given(call)) is not None:
-                self._unheard(self.owed[call], answer, now, True)
-        self._watch()
+                self._hold_release(self.pending_releases[call], answer, now, True)
+        self._schedule_retry()
 
-    def _tell(self, call: str, connection: ClientConnection | None) -> None:
+    def _send_release(self, call: str, connection: ClientConnection | None) -> None:
         """Says a release on a connection, else on the best one there is."""
-        owed, now = self.owed[call], self.broker.clock.now()
-        chosen = connection or self.best(owed)
+        owed, now = self.pending_releases[call], self.broker.clock.now()
+        chosen = connection or self.best_connection(owed)
         owed.said_at = now
-        said = chosen is not None and chosen.say(Message("FINISH", call, rc=owed.cause))
-        self._at(call, owed, chosen.slot if said and chosen is not None else -1)
+        said = chosen is not None and chosen.send_message(Message("FINISH", call, rc=owed.cause))
+        self._assign_release(call, owed, chosen.slot if said and chosen is not None else -1)
 
-    def _at(self, call: str, owed: Owed, slot: int) -> None:
+    def _assign_release(self, call: str, owed: PendingRelease, slot: int) -> None:
         """A release is owed on another connection from now on, or on none."""
         before, owed.slot = self.connections.get(owed.slot), slot
         if before is not None:
-            before.owing.discard(call)
-            before.settle()
+            before.unconfirmed_releases.discard(call)
+            before.update_seat()
         after = self.connections.get(slot)
         if after is not None:
-            after.owing.add(call)
-            after.settle()
+            after.unconfirmed_releases.add(call)
+            after.update_seat()
 
-    def best(self, owed: Owed) -> ClientConnection | None:
+    def best_connection(self, owed: PendingRelease) -> ClientConnection | None:
         """A usual client's connection, of the call's own client if it has one, and not the last one tried.
 
         Guards against telling those who never asked: they would not pass it on."""
-        usable = [at for at in self.connections if at.usable()]
+        usable = [at for at in self.connections if at.can_carry_release()]
         return max(
             usable,
-            key=lambda at: (at.known, at.slot != owed.slot, at.host == owed.host, at.heard_at),
+            key=lambda at: (at.trusted, at.slot != owed.slot, at.host == owed.host, at.heard_at),
             default=None,
         )
 
-    def flush(self) -> None:
+    def send_unsent_releases(self) -> None:
         """Sends the releases owed that are on no connection."""
-        for call in [call for call, owed in self.owed.items() if owed.slot < 0 and not owed.held_until]:
-            self._tell(call, None)
+        for call in [
+            call for call, owed in self.pending_releases.items() if owed.slot < 0 and not owed.held_until
+        ]:
+            self._send_release(call, None)
 
-    def _watch(self) -> None:
-        if self._sweep is None and self.owed:
-            self._sweep = self.broker.deadlines.set(self.broker.clock.now() + UNHEARD_MS, self._again)
+    def _schedule_retry(self) -> None:
+        if self._retry_timer is None and self.pending_releases:
+            self._retry_timer = self.broker.deadlines.set(
+                self.broker.clock.now() + RELEASE_RETRY_MS, self._retry_releases
+            )
 
-    def _again(self) -> None:
+    def _retry_releases(self) -> None:
         """Guards against releases told to a client that does not hear: another one is told, for a while."""
-        self._sweep, now = None, self.broker.clock.now()
-        for owed in self.owed.values():
+        self._retry_timer, now = None, self.broker.clock.now()
+        for owed in self.pending_releases.values():
             if owed.held_until and owed.held_until <= now:
                 owed.held_until, owed.since = 0.0, now
         for call in [
             call
-            for call, owed in self.owed.items()
-            if now - owed.since >= (KEEP_MS if owed.slot < 0 else REPEAT_MS)
+            for call, owed in self.pending_releases.items()
+            if now - owed.since >= (UNSENT_RELEASE_KEEP_MS if owed.slot < 0 else RELEASE_RETRY_WINDOW_MS)
         ]:
-            self._settle(call)
-        for call, owed in self.owed.items():
+            self._settle_release(call)
+        for call, owed in self.pending_releases.items():
             # At doubling gaps.
-            if not owed.held_until and now - owed.said_at >= max(UNHEARD_MS, owed.said_at - owed.since):
-                self._tell(call, None)
-        self._watch()
+            if not owed.held_until and now - owed.said_at >= max(RELEASE_RETRY_MS, owed.said_at - owed.since):
+                self._send_release(call, None)
+        self._schedule_retry()
--- a/frostport/net/gossip.py
+++ b/frostport/net/gossip.py
@@ -18,12 +18,12 @@
 
 log = logging.getLogger("frostport.gossip")
 
-LONGEST = 256
-DIGEST = 16
-HEAD = 1 + DIGEST
+MAX_DATAGRAM_BYTES = 256
+DIGEST_BYTES = 16
+HEADER_BYTES = 1 + DIGEST_BYTES
 
 
-class Seal:
+class DatagramCodec:
     """The form of a datagram. The digest is BLAKE2b (RFC 7693), keyed, over fleet, version and message."""
 
     def __init__(self, fleet: str, key: bytes) -> None:
@@ -31,22 +31,22 @@
 
     def _digest(self, body: bytes) -> bytes:
         return hashlib.blake2b(
-            bytes([messages.VERSION]) + body, digest_size=DIGEST, key=self.key, person=self.fleet
+            bytes([messages.VERSION]) + body, digest_size=DIGEST_BYTES, key=self.key, person=self.fleet
         ).digest()
 
-    def close(self, message: Message) -> bytes:
+    def encode(self, message: Message) -> bytes:
         body = messages.encode(message)
         return bytes([messages.VERSION]) + self._digest(body) + body
 
-    def open(self, data: bytes) -> Message:
+    def decode(self, data: bytes) -> Message:
         """Raises BadMessageError, and nothing else."""
-        if not HEAD < len(data) <= LONGEST:
+        if not HEADER_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
             raise BadMessageError(f"{len(data)} bytes")
         if data[0] != messages.VERSION:
             raise BadMessageError(f"version {data[0]}")
-        if not hmac.compare_digest(data[1:HEAD], self._digest(data[HEAD:])):
+        if not hmac.compare_digest(data[1:HEADER_BYTES], self._digest(data[HEADER_BYTES:])):
             raise BadMessageError("not of this fleet")
-        return messages.decode(data[HEAD:])
+        return messages.decode(data[HEADER_BYTES:])
 
 
 class Gossip(protocol.DatagramProtocol):
@@ -55,15 +55,19 @@
     transport: Any = None
 
     def __init__(
-        self, seal: Seal, hear: Callable[[str, Message], None], clock: Clock, routes: Mapping[str, str]
+        self,
+        seal: DatagramCodec,
+        hear: Callable[[str, Message], None],
+        clock: Clock,
+        routes: Mapping[str, str],
     ) -> None:
-        self.seal, self.hear, self.clock, self.routes = seal, hear, clock, routes
+        self.codec, self.on_message, self.clock, self.routes = seal, hear, clock, routes
         self.complaints = Complaints(log)
         self.sent = self.received = self.sent_bytes = self.refused = 0
 
     def send(self, address: str, message: Message) -> None:
-        data = self.seal.close(message)
-        if self.transport is None or len(data) > LONGEST:
+        data = self.codec.encode(message)
+        if self.transport is None or len(data) > MAX_DATAGRAM_BYTES:
             return
         try:
             self.transport.write(data, split(self.routes.get(address, address)))
@@ -73,10 +77,10 @@
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
         try:
-            message = self.seal.open(datagram)
+            message = self.codec.decode(datagram)
         except BadMessageError as problem:
             self.refused += 1
             self.complaints.say(self.clock.now(), addr[0], f"datagram dropped: {problem}")
             return
         self.received += 1
-        self.hear(f"{addr[0]}:{addr[1]}", message)
+        self.on_message(f"{addr[0]}:{addr[1]}", message)
--- a/frostport/net/jsonl.py
+++ b/frostport/net/jsonl.py
@@ -16,17 +16,17 @@
 from frostport.core.clock import Clock
 from frostport.core.complaints import Complaints
 from frostport.core.deadlines import Deadline, Deadlines
-from frostport.net import liveness
+from frostport.net import peer_close
 
 log = logging.getLogger("frostport.net")
 
-MAX_LINE = 16 * 1024
-LINES_A_TURN = 50
-TAG = re.compile(r"[0-9a-fA-F]{16}\Z")
-TEXTS = ("class", "key", "extras", "tenant", "load", "note")  # fields that are never bare numbers
-TAG_INSIDE = re.compile(rb'"tag"\s*:\s*"([0-9a-fA-F]{16})"')
-START_INSIDE = re.compile(rb'"verb"\s*:\s*"START"')
-FINISH_INSIDE = re.compile(rb'"verb"\s*:\s*"FINISH"')
+MAX_LINE_BYTES = 16 * 1024
+LINES_PER_TURN = 50
+TAG_PATTERN = re.compile(r"[0-9a-fA-F]{16}\Z")
+TEXT_OPTIONS = ("class", "key", "extras", "tenant", "load", "note")  # fields that are never bare numbers
+TAG_FIELD = re.compile(rb'"tag"\s*:\s*"([0-9a-fA-F]{16})"')
+START_VERB = re.compile(rb'"verb"\s*:\s*"START"')
+FINISH_VERB = re.compile(rb'"verb"\s*:\s*"FINISH"')
 
 FULL, OVERLOADED, MOOT = 34, 42, 102  # refused: trying again is harmless
 NORMAL, BUSY, BROKEN, FAULT = 16, 17, 41, 47
@@ -37,9 +37,9 @@
 
     def __init__(self, problem: str, line: bytes = b"") -> None:
         super().__init__(problem)
-        found = TAG_INSIDE.search(line)
+        found = TAG_FIELD.search(line)
         self.tag = found.group(1).decode() if found else None
-        self.is_start = START_INSIDE.search(line) is not None
+        self.is_start = START_VERB.search(line) is not None
 
 
 @dataclass(slots=True)
@@ -72,7 +72,7 @@
     rc, blob = record.get("rc"), record.get("blob")
     if not isinstance(verb, str):
         raise BadLineError("verb: not text", line)
-    if not isinstance(tag, str) or not TAG.match(tag):
+    if not isinstance(tag, str) or not TAG_PATTERN.match(tag):
         raise BadLineError("tag: not 16 hex digits", line)
     if opts is None:
         opts = {}
@@ -81,7 +81,7 @@
     for name, value in opts.items():
         if isinstance(value, bool) or not isinstance(value, str | int | float):
             raise BadLineError(f"opts.{name}: neither text nor number", line)
-        if name in TEXTS and not isinstance(value, str):
+        if name in TEXT_OPTIONS and not isinstance(value, str):
             raise BadLineError(f"opts.{name}: not text", line)
     if rc is not None and (isinstance(rc, bool) or not isinstance(rc, int)):
         raise BadLineError("rc: not a whole number", line)
@@ -94,7 +94,7 @@
     return Message(verb, tag, {name: str(value) for name, value in opts.items()}, rc, blob)
 
 
-def figures(text: str) -> dict[str, float]:
+def parse_numbers(text: str) -> dict[str, float]:
     """The name:number pairs of `extras` and `load`; a pair that does not parse is left out."""
     found = {}
     for pair in text.split(";"):
@@ -106,38 +106,38 @@
     return found
 
 
-class Lines:
+class LineSplitter:
     """Cuts a stream into lines. One that grows past the limit ends the stream: what follows is not kept."""
 
-    def __init__(self, limit: int = MAX_LINE) -> None:
+    def __init__(self, limit: int = MAX_LINE_BYTES) -> None:
         self._limit = limit
-        self._rest = b""
-        self.ended = False
+        self._partial_line = b""
+        self.overflowed = False
 
     def feed(self, data: bytes) -> list[tuple[bytes, bool]]:
         """The lines that are whole now, each with whether it was too long (then only its head is given)."""
         lines: list[tuple[bytes, bool]] = []
-        if self.ended:
+        if self.overflowed:
             return lines
-        *whole, self._rest = (self._rest + data).split(b"\n")
+        *whole, self._partial_line = (self._partial_line + data).split(b"\n")
         for line in whole:
             if len(line) >= self._limit:
-                self._end(line, lines)
+                self._overflow(line, lines)
                 return lines
             lines.append((line, False))
-        if len(self._rest) >= self._limit:
-            self._end(self._rest, lines)
+        if len(self._partial_line) >= self._limit:
+            self._overflow(self._partial_line, lines)
         return lines
 
-    def _end(self, line: bytes, lines: list[tuple[bytes, bool]]) -> None:
+    def _overflow(self, line: bytes, lines: list[tuple[bytes, bool]]) -> None:
         """Guards against lines without end: nothing after the first that is too long can be trusted."""
-        self.ended, self._rest = True, b""
+        self.overflowed, self._partial_line = True, b""
         lines.append((line[: self._limit], True))
 
     @property
     def partial(self) -> bool:
         """Whether a line has begun and not ended."""
-        return bool(self._rest)
+        return bool(self._partial_line)
 
 
 class LineConnection(protocol.Protocol):
@@ -146,100 +146,106 @@
     peer = "?"
     transport: Any = None
     complaints = Complaints(log)
-    read_ahead = 0  # bytes of lines that may wait while more is read
+    read_ahead_bytes = 0  # bytes of lines that may wait while more is read
 
-    def __init__(self, clock: Clock, deadlines: Deadlines, longest: int = MAX_LINE) -> None:
+    def __init__(self, clock: Clock, deadlines: Deadlines, longest: int = MAX_LINE_BYTES) -> None:
         self.clock, self.deadlines = clock, deadlines
-        self.lines = Lines(longest)
+        self.splitter = LineSplitter(longest)
         self.alive = False
-        self.gone = False  # the other side has closed; what was read before is still handled
-        self.ending = False  # we close it once what is owed on it is said; nothing more is heard on it
+        self.peer_closed = False  # the other side has closed; what was read before is still handled
+        self.closing = False  # we close it once what is owed on it is said; nothing more is heard on it
         self.released: Callable[[], None] = lambda: None  # its descriptor is free again
-        self.stuck = False  # what is written waits for the other side to read: its lines are not handled
-        self.turns = 0  # how often something was read: lines of one turn were written before they were read
-        self._waiting: deque[tuple[bytes, bool]] = deque()
-        self._ahead = 0  # bytes of the lines that wait
-        self._again: Deadline | None = None
+        self.write_blocked = (
+            False  # what is written waits for the other side to read: its lines are not handled
+        )
+        self.read_count = (
+            0  # how often something was read: lines of one turn were written before they were read
+        )
+        self._pending_lines: deque[tuple[bytes, bool]] = deque()
+        self._pending_bytes = 0  # bytes of the lines that wait
+        self._next_turn: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         self.alive = True
         if interfaces.ITCPTransport.providedBy(self.transport):
             self.transport.setTcpNoDelay(True)
-        self.opened()
+        self.on_open()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.alive and not self.ending:
-            self.turns += 1
-            lines = self.ahead(self.lines.feed(data))
-            self._waiting.extend(lines)
-            self._ahead += sum(len(line) for line, _ in lines)
-            if self._again is None:
-                self._work()
+        if self.alive and not self.closing:
+            self.read_count += 1
+            lines = self.on_lines_read(self.splitter.feed(data))
+            self._pending_lines.extend(lines)
+            self._pending_bytes += sum(len(line) for line, _ in lines)
+            if self._next_turn is None:
+                self._handle_lines()
             else:
-                self._hold_back()
-            if self.alive and not self.ending:
-                self.read()
+                self._limit_read_ahead()
+            if self.alive and not self.closing:
+                self.on_read()
 
-    def _work(self, most: int = LINES_A_TURN) -> None:
+    def _handle_lines(self, most: int = LINES_PER_TURN) -> None:
         """Handles lines up to a number; then the others' turn comes, and no more is read ahead than is
         allowed.
 
         Guards against a peer that writes at full speed: it would keep the agent from everyone else."""
-        while self._waiting and most and self._handles():
+        while self._pending_lines and most and self._may_handle():
             most -= 1
-            line, oversize = self._waiting.popleft()
-            self._ahead -= len(line)
-            self._one(line, oversize)
-        self.go_on()
-        self._hold_back()
+            line, oversize = self._pending_lines.popleft()
+            self._pending_bytes -= len(line)
+            self._handle_line(line, oversize)
+        self.resume_handling()
+        self._limit_read_ahead()
 
-    def _handles(self) -> bool:
-        return self.alive and not self.ending and (self.gone or not self.stuck)
+    def _may_handle(self) -> bool:
+        return self.alive and not self.closing and (self.peer_closed or not self.write_blocked)
 
-    def go_on(self) -> None:
+    def resume_handling(self) -> None:
         """Lines that wait are handled in their turn, if nothing stands against it."""
-        if self._waiting and self._handles() and self._again is None:
-            self._again = self.deadlines.set(self.clock.now(), self._more)
+        if self._pending_lines and self._may_handle() and self._next_turn is None:
+            self._next_turn = self.deadlines.set(self.clock.now(), self._on_next_turn)
 
-    def _hold_back(self) -> None:
-        if self._waiting and self.alive and self._ahead >= self.read_ahead:
+    def _limit_read_ahead(self) -> None:
+        if self._pending_lines and self.alive and self._pending_bytes >= self.read_ahead_bytes:
             self.transport.pauseProducing()
 
-    def _more(self) -> None:
-        self._again = None
-        self._work()
+    def _on_next_turn(self) -> None:
+        self._next_turn = None
+        self._handle_lines()
         if self.alive:
-            self.read_on()
-            self.read()
+            self.resume_reading()
+            self.on_read()
 
-    def read_on(self) -> None:
+    def resume_reading(self) -> None:
         """Reads again, unless something still stands against it."""
-        if not self._waiting or self._ahead < self.read_ahead:
+        if not self._pending_lines or self._pending_bytes < self.read_ahead_bytes:
             self.transport.resumeProducing()
 
-    def _one(self, line: bytes, oversize: bool) -> None:
+    def _handle_line(self, line: bytes, oversize: bool) -> None:
         try:
             if oversize:
                 raise BadLineError(f"over {len(line)} bytes", line)
             if line.strip():
-                self.line(line)
+                self.on_line(line)
         except BadLineError as problem:
             self.complaints.say(self.clock.now(), self.peer, f"malformed: {problem}")
-            self.malformed(problem)
+            self.on_malformed(problem)
         except Exception:  # a fault in one line costs that line, not the agent
             log.exception("%s: line failed", self.peer)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        if self._again is not None:
-            self._again.cancel()
-        self.gone = True
-        self._work(len(self._waiting))  # a release that was read before the connection closed still counts
+        if self._next_turn is not None:
+            self._next_turn.cancel()
+        self.peer_closed = True
+        self._handle_lines(
+            len(self._pending_lines)
+        )  # a release that was read before the connection closed still counts
         self.alive = False
-        self._waiting.clear()
+        self._pending_lines.clear()
         self.released()
-        self.closed()
+        self.on_close()
 
-    def say(self, message: Message) -> bool:
+    def send_message(self, message: Message) -> bool:
         return self.write(message.encode())
 
     def write(self, data: bytes) -> bool:
@@ -254,25 +260,25 @@
             self.alive = False
             self.transport.abortConnection()
 
-    def left(self) -> bool:
+    def check_peer_closed(self) -> bool:
         """Whether the other side has closed, as far as can be told now: also where nothing is read."""
-        return self.gone or not self.alive or liveness.closed(self.transport)
+        return self.peer_closed or not self.alive or peer_close.closed_by_peer(self.transport)
 
-    def ahead(self, lines: list[tuple[bytes, bool]]) -> list[tuple[bytes, bool]]:
+    def on_lines_read(self, lines: list[tuple[bytes, bool]]) -> list[tuple[bytes, bool]]:
         """Lines that were just read, before any of them is handled; those that are to be handled in turn."""
         return lines
 
-    def opened(self) -> None:
+    def on_open(self) -> None:
         """The connection is up."""
 
-    def closed(self) -> None:
+    def on_close(self) -> None:
         """The connection is gone."""
 
-    def read(self) -> None:
+    def on_read(self) -> None:
         """Something was read, and all its lines are handled."""
 
-    def line(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         raise NotImplementedError
 
-    def malformed(self, problem: BadLineError) -> None:
+    def on_malformed(self, problem: BadLineError) -> None:
         """A line that could not be read."""
--- a/frostport/net/link.py
+++ b/frostport/net/link.py
@@ -26,21 +26,21 @@
 log = logging.getLogger("frostport.link")
 
 VERSION = 1
-FRAME_MOST, FIRST_MOST = 1024 * 1024, 512  # bytes of a frame; of the first
-QUEUE_MOST = 4 * 1024 * 1024  # bytes that wait for a peer
-FIRST_MS, STUCK_MS, BEAT_MS, SILENT_MS = 2000.0, 5000.0, 1500.0, 6000.0
-DIAL_MS = 2000.0  # for a connection to be made
-REDIAL_MS, REDIAL_MOST_MS = 100.0, 5000.0  # gaps that double, drawn from 0 up
-LENGTH = struct.Struct(">I")
+MAX_FRAME_BYTES, MAX_HELLO_BYTES = 1024 * 1024, 512  # bytes of a frame; of the first
+MAX_QUEUE_BYTES = 4 * 1024 * 1024  # bytes that wait for a peer
+HELLO_TIMEOUT_MS, WRITE_STALL_TIMEOUT_MS, HEARTBEAT_MS, SILENCE_TIMEOUT_MS = 2000.0, 5000.0, 1500.0, 6000.0
+DIAL_TIMEOUT_MS = 2000.0  # for a connection to be made
+MIN_REDIAL_MS, MAX_REDIAL_MS = 100.0, 5000.0  # gaps that double, drawn from 0 up
+LENGTH_PREFIX = struct.Struct(">I")
 
 
-class First(msgspec.Struct, array_like=True, frozen=True):
+class Hello(msgspec.Struct, array_like=True, frozen=True):
     """The first frame."""
 
     version: int
     fleet: str
     name: str
-    life: int
+    incarnation: int
 
 
 class Frame(msgspec.Struct, array_like=True, frozen=True):
@@ -51,35 +51,35 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_first = msgspec.msgpack.Decoder(First)
-_frame = msgspec.msgpack.Decoder(Frame)
-BEAT = Frame("")
+_hello_decoder = msgspec.msgpack.Decoder(Hello)
+_frame_decoder = msgspec.msgpack.Decoder(Frame)
+HEARTBEAT = Frame("")
 
 
 class BadFrameError(ValueError):
     """Not a frame of this version."""
 
 
-class Frames:
+class FrameDecoder:
     """Cuts what is read into frames; holds at most one unfinished frame."""
 
     def __init__(self) -> None:
-        self.held, self.most = b"", FIRST_MOST
+        self.buffer, self.max_bytes = b"", MAX_HELLO_BYTES
 
-    def take(self, data: bytes) -> list[bytes]:
+    def feed(self, data: bytes) -> list[bytes]:
         """Whole frames' bodies. Raises BadFrameError, and nothing else."""
-        self.held += data
+        self.buffer += data
         found, at = [], 0
-        while len(self.held) - at >= LENGTH.size:
-            size = LENGTH.unpack_from(self.held, at)[0]
-            if not 0 < size <= self.most:
+        while len(self.buffer) - at >= LENGTH_PREFIX.size:
+            size = LENGTH_PREFIX.unpack_from(self.buffer, at)[0]
+            if not 0 < size <= self.max_bytes:
                 raise BadFrameError(f"a frame of {size} bytes")
-            if len(self.held) - at - LENGTH.size < size:
+            if len(self.buffer) - at - LENGTH_PREFIX.size < size:
                 break
-            found.append(self.held[at + LENGTH.size : at + LENGTH.size + size])
-            at += LENGTH.size + size
-            self.most = FRAME_MOST
-        self.held = self.held[at:]
+            found.append(self.buffer[at + LENGTH_PREFIX.size : at + LENGTH_PREFIX.size + size])
+            at += LENGTH_PREFIX.size + size
+            self.max_bytes = MAX_FRAME_BYTES
+        self.buffer = self.buffer[at:]
         return found
 
 
@@ -90,9 +90,9 @@
         raise BadFrameError(str(problem)) from None
 
 
-def framed(record: msgspec.Struct) -> bytes:
+def encode_frame(record: msgspec.Struct) -> bytes:
     body = _encoder.encode(record)
-    return LENGTH.pack(len(body)) + body
+    return LENGTH_PREFIX.pack(len(body)) + body
 
 
 class Connection(protocol.Protocol):
@@ -101,107 +101,107 @@
     transport: Any
 
     def __init__(self, link: Link, dialled: str = "") -> None:
-        self.link, self.dialled, self.name = link, dialled, ""
-        self.frames, self.queue, self.queued = Frames(), deque[bytes](), 0
-        self.open = self.stuck = False
+        self.link, self.dialled_name, self.name = link, dialled, ""
+        self.frames, self.queue, self.queued_bytes = FrameDecoder(), deque[bytes](), 0
+        self.open = self.write_blocked = False
         self.heard_at = 0.0
-        self._limit: Deadline | None = None
+        self._timeout: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         self.open, self.heard_at = True, self.link.clock.now()
         self.transport.registerProducer(self, True)
         self.transport.setTcpNoDelay(True)
-        self._await(FIRST_MS)
-        if self.dialled:
-            self.transport.write(framed(self.link.first()))
+        self._set_timeout(HELLO_TIMEOUT_MS)
+        if self.dialled_name:
+            self.transport.write(encode_frame(self.link.hello()))
 
-    def _await(self, ms: float | None) -> None:
-        if self._limit is not None:
-            self._limit.cancel()
-        self._limit = None if ms is None else self.link.deadlines.set(self.link.clock.now() + ms, self.drop)
+    def _set_timeout(self, ms: float | None) -> None:
+        if self._timeout is not None:
+            self._timeout.cancel()
+        self._timeout = None if ms is None else self.link.deadlines.set(self.link.clock.now() + ms, self.drop)
 
     def drop(self) -> None:
-        self._limit = None
+        self._timeout = None
         if self.open:
             self.open = False
             self.transport.abortConnection()
-            self.link.lost(self)
+            self.link.on_lost(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         if not self.open:
             return
         self.heard_at = self.link.clock.now()
         try:
-            for body in self.frames.take(data):
+            for body in self.frames.feed(data):
                 if not self.open:
                     return
                 if self.name:
-                    frame = decode(_frame, body)
+                    frame = decode(_frame_decoder, body)
                     if frame.kind:
-                        self.link.hear(self.name, frame.kind, frame.body)
+                        self.link.on_frame(self.name, frame.kind, frame.body)
                 else:
-                    self._first(decode(_first, body))
+                    self._on_hello(decode(_hello_decoder, body))
         except BadFrameError as problem:
             self.link.complaints.say(self.heard_at, self.name or "a stranger", f"closed: {problem}")
             self.drop()
 
-    def _first(self, first: First) -> None:
+    def _on_hello(self, first: Hello) -> None:
         if (
             first.version != VERSION
             or first.fleet != self.link.fleet
-            or not self.link.known(first.name)
-            or (self.dialled and first.name != self.dialled)
+            or not self.link.is_known(first.name)
+            or (self.dialled_name and first.name != self.dialled_name)
         ):
             raise BadFrameError(f"fleet {first.fleet[:20]!r}, agent {first.name[:30]!r}: not known here")
         self.name = first.name
-        self._await(None)
-        if not self.dialled:
-            self.transport.write(framed(self.link.first()))
-        self.link.opened(self)
+        self._set_timeout(None)
+        if not self.dialled_name:
+            self.transport.write(encode_frame(self.link.hello()))
+        self.link.on_identified(self)
 
     def send(self, data: bytes) -> bool:
-        if not self.stuck:
+        if not self.write_blocked:
             self.transport.write(data)
             return True
-        if self.queued + len(data) > QUEUE_MOST:
+        if self.queued_bytes + len(data) > MAX_QUEUE_BYTES:
             return False
         self.queue.append(data)
-        self.queued += len(data)
+        self.queued_bytes += len(data)
         return True
 
     def pauseProducing(self) -> None:  # noqa: N802
-        self.stuck = True
+        self.write_blocked = True
         if self.open:
-            self._await(STUCK_MS)
+            self._set_timeout(WRITE_STALL_TIMEOUT_MS)
 
     def resumeProducing(self) -> None:  # noqa: N802
-        self.stuck = False
+        self.write_blocked = False
         if self.open and self.name:
-            self._await(None)
-            while self.queue and not self.stuck:
+            self._set_timeout(None)
+            while self.queue and not self.write_blocked:
                 data = self.queue.popleft()
-                self.queued -= len(data)
+                self.queued_bytes -= len(data)
                 self.transport.write(data)
 
     def stopProducing(self) -> None:  # noqa: N802
         pass
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        self._await(None)
+        self._set_timeout(None)
         if self.open:
             self.open = False
-            self.link.lost(self)
+            self.link.on_lost(self)
 
 
-class Dial:
+class PendingDial:
     """What is on its way to a peer that is not connected."""
 
     def __init__(self) -> None:
-        self.waiting: deque[bytes] = deque()
-        self.bytes = 0
-        self.gap_ms = REDIAL_MS
-        self.under_way = False
-        self.at: Deadline | None = None
+        self.queue: deque[bytes] = deque()
+        self.queued_bytes = 0
+        self.max_delay_ms = MIN_REDIAL_MS
+        self.in_progress = False
+        self.retry_timer: Deadline | None = None
 
 
 class Link(protocol.Factory):
@@ -223,121 +223,130 @@
     ) -> None:
         """`address` says where a peer is, "" where it isn't known; `connect` dials, its Deferred fails where
         that can't be done."""
-        self.fleet, self.name, self.life = fleet, name, life
+        self.fleet, self.name, self.incarnation = fleet, name, life
         self.clock, self.deadlines, self.connect, self.address = clock, deadlines, connect, address
-        self.hear, self.chance = hear, chance
-        self.by_name: dict[str, Connection] = {}
-        self.dials: dict[str, Dial] = {}
-        self.strangers: set[Connection] = set()
+        self.on_frame, self.rng = hear, chance
+        self.connections: dict[str, Connection] = {}
+        self.dials: dict[str, PendingDial] = {}
+        self.unidentified: set[Connection] = set()
         self.complaints = Complaints(log)
-        self.ending = False
+        self.stopping = False
         self.sent_bytes = self.refused = 0
-        self.deadlines.set(self.clock.now() + BEAT_MS, self._beat)
+        self.deadlines.set(self.clock.now() + HEARTBEAT_MS, self._send_heartbeats)
 
     def buildProtocol(self, addr: IAddress | None) -> Connection:  # noqa: N802
         connection = Connection(self)
-        self.strangers.add(connection)
+        self.unidentified.add(connection)
         return connection
 
-    def known(self, name: str) -> bool:
+    def is_known(self, name: str) -> bool:
         return bool(self.address(name))
 
-    def first(self) -> First:
-        return First(VERSION, self.fleet, self.name, self.life)
+    def hello(self) -> Hello:
+        return Hello(VERSION, self.fleet, self.name, self.incarnation)
 
     def send(self, name: str, kind: str, body: bytes) -> bool:
         """False where it can't be taken: the queue is full, or nobody knows where this agent is."""
-        if self.ending or not self.address(name) or len(body) > FRAME_MOST - 64:
+        if self.stopping or not self.address(name) or len(body) > MAX_FRAME_BYTES - 64:
             self.refused += 1
             return False
-        data = framed(Frame(kind, body))
-        connection = self.by_name.get(name)
+        data = encode_frame(Frame(kind, body))
+        connection = self.connections.get(name)
         if connection is not None:
             taken = connection.send(data)
         else:
-            dial = self.dials.setdefault(name, Dial())
-            taken = dial.bytes + len(data) <= QUEUE_MOST
+            dial = self.dials.setdefault(name, PendingDial())
+            taken = dial.queued_bytes + len(data) <= MAX_QUEUE_BYTES
             if taken:
-                dial.waiting.append(data)
-                dial.bytes += len(data)
+                dial.queue.append(data)
+                dial.queued_bytes += len(data)
             self._dial(name)
         self.sent_bytes += len(data) if taken else 0
         self.refused += not taken
         return taken
 
     def _dial(self, name: str) -> None:
-        dial = self.dials.setdefault(name, Dial())
+        dial = self.dials.setdefault(name, PendingDial())
         address = self.address(name)
-        if dial.under_way or dial.at is not None or name in self.by_name or self.ending or not address:
+        if (
+            dial.in_progress
+            or dial.retry_timer is not None
+            or name in self.connections
+            or self.stopping
+            or not address
+        ):
             return
-        dial.under_way = True
+        dial.in_progress = True
         connection = Connection(self, name)
         dialing = self.connect(address, connection)
-        limit = self.deadlines.set(self.clock.now() + DIAL_MS, dialing.cancel)
+        limit = self.deadlines.set(self.clock.now() + DIAL_TIMEOUT_MS, dialing.cancel)
 
         def settled(result: object) -> None:
             limit.cancel()
-            dial.under_way = False
+            dial.in_progress = False
             if isinstance(result, Failure):
-                self._later(name, dial)
+                self._schedule_redial(name, dial)
 
         dialing.addBoth(settled)
 
-    def _later(self, name: str, dial: Dial) -> None:
+    def _schedule_redial(self, name: str, dial: PendingDial) -> None:
         """Guards a peer that comes back against all the others at once: full jitter, growing gaps."""
-        if dial.at is None and not self.ending:
-            wait, dial.gap_ms = self.chance.random() * dial.gap_ms, min(2.0 * dial.gap_ms, REDIAL_MOST_MS)
+        if dial.retry_timer is None and not self.stopping:
+            wait, dial.max_delay_ms = (
+                self.rng.random() * dial.max_delay_ms,
+                min(2.0 * dial.max_delay_ms, MAX_REDIAL_MS),
+            )
 
             def again() -> None:
-                dial.at = None
-                if dial.waiting:
+                dial.retry_timer = None
+                if dial.queue:
                     self._dial(name)
 
-            dial.at = self.deadlines.set(self.clock.now() + wait, again)
+            dial.retry_timer = self.deadlines.set(self.clock.now() + wait, again)
 
-    def opened(self, connection: Connection) -> None:
+    def on_identified(self, connection: Connection) -> None:
         """Its peer has said who it is. Of two connections the lesser name's stays; else the newer."""
-        self.strangers.discard(connection)
-        name, before = connection.name, self.by_name.get(connection.name)
+        self.unidentified.discard(connection)
+        name, before = connection.name, self.connections.get(connection.name)
         if (
             before is not None
-            and bool(before.dialled) != bool(connection.dialled)
-            and bool(connection.dialled) is not (self.name < name)
+            and bool(before.dialled_name) != bool(connection.dialled_name)
+            and bool(connection.dialled_name) is not (self.name < name)
         ):
             connection.drop()
             return
-        self.by_name[name] = connection
+        self.connections[name] = connection
         if before is not None:
             before.drop()
         dial = self.dials.pop(name, None)
         if dial is not None:
-            if dial.at is not None:
-                dial.at.cancel()
-            for data in dial.waiting:
+            if dial.retry_timer is not None:
+                dial.retry_timer.cancel()
+            for data in dial.queue:
                 connection.send(data)
 
-    def lost(self, connection: Connection) -> None:
-        self.strangers.discard(connection)
-        name = connection.name or connection.dialled
-        if connection.name and self.by_name.get(name) is connection:
-            del self.by_name[name]
-        elif connection.dialled and name not in self.by_name:  # closed before it was known
-            self._later(name, self.dials.setdefault(name, Dial()))
+    def on_lost(self, connection: Connection) -> None:
+        self.unidentified.discard(connection)
+        name = connection.name or connection.dialled_name
+        if connection.name and self.connections.get(name) is connection:
+            del self.connections[name]
+        elif connection.dialled_name and name not in self.connections:  # closed before it was known
+            self._schedule_redial(name, self.dials.setdefault(name, PendingDial()))
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         now = self.clock.now()
-        for connection in list(self.by_name.values()):
-            if now - connection.heard_at > SILENT_MS:
+        for connection in list(self.connections.values()):
+            if now - connection.heard_at > SILENCE_TIMEOUT_MS:
                 self.complaints.say(now, connection.name, "closed: nothing heard")
                 connection.drop()
             else:
-                connection.send(framed(BEAT))
-        if not self.ending:
-            self.deadlines.set(now + BEAT_MS, self._beat)
+                connection.send(encode_frame(HEARTBEAT))
+        if not self.stopping:
+            self.deadlines.set(now + HEARTBEAT_MS, self._send_heartbeats)
 
     def stop(self) -> None:
-        self.ending = True
-        for connection in (*self.by_name.values(), *self.strangers):
+        self.stopping = True
+        for connection in (*self.connections.values(), *self.unidentified):
             connection.open = False
             connection.transport.loseConnection()
-        self.by_name.clear()
+        self.connections.clear()
--- a/frostport/net/operator.py
+++ b/frostport/net/operator.py
@@ -21,10 +21,10 @@
 
 log = logging.getLogger("frostport.operator")
 
-LONGEST_LINE = 512  # bytes of one call, its end of line included
-SAY_WITHIN_MS = 2000.0  # a connection without a whole line by then is closed
-MOST_OPEN = 16  # door connections at once; more are closed as they come
-METHODS = ("PUT", "GET", "POST")  # a call may begin with one of these; it changes nothing
+MAX_LINE_BYTES = 512  # bytes of one call, its end of line included
+LINE_TIMEOUT_MS = 2000.0  # a connection without a whole line by then is closed
+MAX_CONNECTIONS = 16  # door connections at once; more are closed as they come
+IGNORED_METHODS = ("PUT", "GET", "POST")  # a call may begin with one of these; it changes nothing
 
 
 class OperatorError(Exception):
@@ -34,7 +34,7 @@
 Operation = Callable[[str], Sequence[str]]  # takes what follows the call's name, returns the answer's lines
 
 
-def argument(text: str, name: str = "id") -> str:
+def parse_argument(text: str, name: str = "id") -> str:
     """A call's argument: a bare word, or a JSON object with it under `name`."""
     text = text.strip()
     if text.startswith("{"):
@@ -51,14 +51,14 @@
     return text
 
 
-def answer(operations: Mapping[str, Operation], line: bytes) -> list[str]:
+def execute(operations: Mapping[str, Operation], line: bytes) -> list[str]:
     """The lines that answer one call."""
     try:
         text = line.decode("ascii").strip()
     except UnicodeDecodeError:
         return ["ERR not ASCII"]
     words = text.split(None, 1)
-    if words and words[0].upper() in METHODS:
+    if words and words[0].upper() in IGNORED_METHODS:
         words = words[1].split(None, 1) if len(words) > 1 else []
     if not words:
         return ["ERR no call"]
@@ -78,23 +78,23 @@
     return said
 
 
-class DoorConnection(protocol.Protocol):
+class OperatorConnection(protocol.Protocol):
     """One caller: one line in, the answer out, closed."""
 
     transport: Any
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: OperatorPort) -> None:
         self.door = door
         self.heard = b""
         self.done = False
-        self._limit: Deadline | None = None
+        self._timeout: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         self.door.open += 1
-        if self.door.open > MOST_OPEN:
+        if self.door.open > MAX_CONNECTIONS:
             self._close(["ERR busy"])
             return
-        self._limit = self.door.deadlines.set(self.door.clock.now() + SAY_WITHIN_MS, self._late)
+        self._timeout = self.door.deadlines.set(self.door.clock.now() + LINE_TIMEOUT_MS, self._on_timeout)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         if self.done:
@@ -102,35 +102,35 @@
         self.heard += data
         line, end, _ = self.heard.partition(b"\n")
         if end:
-            if len(line) + 1 > LONGEST_LINE:
+            if len(line) + 1 > MAX_LINE_BYTES:
                 self._close(["ERR line too long"])
             else:
-                self._close(answer(self.door.operations, line.rstrip(b"\r")))
-        elif len(self.heard) >= LONGEST_LINE:
+                self._close(execute(self.door.operations, line.rstrip(b"\r")))
+        elif len(self.heard) >= MAX_LINE_BYTES:
             self._close(["ERR line too long"])
 
-    def _late(self) -> None:
-        self._limit = None
+    def _on_timeout(self) -> None:
+        self._timeout = None
         if not self.done:
             self.done = True
             self.transport.abortConnection()
 
     def _close(self, lines: Sequence[str]) -> None:
         self.done = True
-        if self._limit is not None:
-            self._limit.cancel()
-            self._limit = None
+        if self._timeout is not None:
+            self._timeout.cancel()
+            self._timeout = None
         self.transport.write("".join(f"{line}\n" for line in lines).encode())
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
         self.door.open -= 1
-        if self._limit is not None:
-            self._limit.cancel()
-            self._limit = None
+        if self._timeout is not None:
+            self._timeout.cancel()
+            self._timeout = None
 
 
-class Door(protocol.Factory):
+class OperatorPort(protocol.Factory):
     """Makes a connection for each caller; `operations` maps a call's name to what carries it out."""
 
     noisy = False
@@ -139,5 +139,5 @@
         self.operations, self.clock, self.deadlines = operations, clock, deadlines
         self.open = 0
 
-    def buildProtocol(self, addr: IAddress | None) -> DoorConnection:  # noqa: N802 (Twisted's name)
-        return DoorConnection(self)
+    def buildProtocol(self, addr: IAddress | None) -> OperatorConnection:  # noqa: N802 (Twisted's name)
+        return OperatorConnection(self)
--- a/frostport/net/liveness.py
+++ b/frostport/net/peer_close.py
@@ -5,10 +5,10 @@
 import select
 from typing import Any
 
-CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+CLOSE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-def closed(transport: Any) -> bool:
+def closed_by_peer(transport: Any) -> bool:
     """Whether a close or a reset has arrived, also behind bytes that nobody has read yet.
 
     The reactor hears of neither while reading is paused. False where the transport has no descriptor, or
@@ -18,7 +18,7 @@
         return False
     poll = select.poll()
     try:
-        poll.register(fileno(), CLOSED)
-        return any(events & CLOSED for _, events in poll.poll(0))
+        poll.register(fileno(), CLOSE_EVENTS)
+        return any(events & CLOSE_EVENTS for _, events in poll.poll(0))
     except (OSError, ValueError):  # closed on our side: its owner has been told
         return False
--- a/frostport/net/peers.py
+++ b/frostport/net/peers.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger("frostport.peers")
 
-LONGEST = 256
+MAX_DATAGRAM_BYTES = 256
 
 
 def split(address: str) -> tuple[str, int]:
@@ -52,10 +52,10 @@
     def __init__(self, broker: Broker, addresses: list[str]) -> None:
         self.broker, self.complaints = broker, Complaints(log)
         self.addresses = [split(address) for address in addresses]
-        self.numbers = {address: number for number, address in enumerate(self.addresses)}
+        self.number_by_address = {address: number for number, address in enumerate(self.addresses)}
 
-    def tell(self, peer: int, data: bytes) -> None:
-        if len(data) > LONGEST or not 0 <= peer < len(self.addresses):
+    def send(self, peer: int, data: bytes) -> None:
+        if len(data) > MAX_DATAGRAM_BYTES or not 0 <= peer < len(self.addresses):
             log.warning("message of %d bytes to peer %d not sent", len(data), peer)
         elif self.transport is not None:
             try:
@@ -64,7 +64,7 @@
                 log.warning("message to peer %d lost: %s", peer, problem)
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
-        sender = self.numbers.get((addr[0], addr[1]))
+        sender = self.number_by_address.get((addr[0], addr[1]))
         if sender is None:
             self.complaints.say(self.broker.clock.now(), addr[0], "message from an unknown address dropped")
         else:
--- a/frostport/net/upstream.py
+++ b/frostport/net/upstream.py
@@ -23,38 +23,38 @@
     Outcome,
 )
 from frostport.net import jsonl
-from frostport.net.connection_lag import SILENT_MS, LagDetector
+from frostport.net.connection_lag import SILENCE_LIMIT_MS, LagDetector
 from frostport.net.jsonl import BadLineError, Message
-from frostport.net.upstream_connection import CONFIRM_MS, ServerConnection
+from frostport.net.upstream_connection import RELEASE_CONFIRM_MS, ServerConnection
 
 if TYPE_CHECKING:
     from frostport.net.upstream_pool import UpstreamPool
 
 log = logging.getLogger("frostport.upstream")
 
-CONNECTIONS_MOST = 4  # to one server
-ENOUGH_MS = 5000.0  # how long the connections there are do, after a further one was not to be had
-CUT_MS = 100.0  # from a refused connection to the release of what stood there
+MAX_CONNECTIONS = 4  # to one server
+NO_DIAL_MS = 5000.0  # how long the connections there are do, after a further one was not to be had
+CUT_DELAY_MS = 100.0  # from a refused connection to the release of what stood there
 REDIAL_MS = 500.0  # pause after a connect that failed; the first try after a loss goes out at once
-REDIAL_MOST_MS = 1000.0  # pauses double up to this while other connections are open
+MAX_REDIAL_MS = 1000.0  # pauses double up to this while other connections are open
 
-NOTES = {
+NOTE_BY_NAME = {
     "blocked": NOTE_NO_LINE,
     "bounced": NOTE_RETURNED,
     "swamped": NOTE_PROCESSOR_FULL,
     "occupied": NOTE_NUMBER_BUSY,
     "far_swamped": NOTE_RETURNED,
 }
-BEFORE = {
+OUTCOME_BY_CAUSE = {
     jsonl.FULL: Outcome.FULL,
     jsonl.BUSY: Outcome.ERROR,
     jsonl.FAULT: Outcome.ERROR,
     jsonl.MOOT: Outcome.NOT_SENT,
     jsonl.BROKEN: Outcome.RESET,
 }
-AFTER = (jsonl.NORMAL, jsonl.BROKEN)  # how a call that stands ends; another cause is a second answer
+END_CAUSES = (jsonl.NORMAL, jsonl.BROKEN)  # how a call that stands ends; another cause is a second answer
 # The names of the settings' report columns beside those that a report carries.
-COLUMNS = {
+COLUMN_ALIASES = {
     "free": "x0",
     "size": "x1",
     "can_take": "qps",
@@ -76,15 +76,15 @@
         self.broker = pool.broker
         self.connections: list[ServerConnection] = []
         self.dialing: defer.Deferred[object] | None = None
-        self.redial: Deadline | None = None
-        self.waiting: list[Attempt] = []
-        self.probes: list[int] = []
+        self.redial_timer: Deadline | None = None
+        self.waiting_attempts: list[Attempt] = []
+        self.waiting_probes: list[int] = []
         self.pending_releases: dict[str, int] = {}  # releases not sent for want of a connection
         self.lag = LagDetector(self)
-        self.enough_until = -math.inf  # no further connection is dialed before
+        self.no_dial_before = -math.inf  # no further connection is dialed before
         self.listed = True
         self.liveness = ServerLiveness(pool.clock.now(), old_are_asked=pool.probes)
-        self.greets = False  # it has told its state first of all on a new connection
+        self.sends_greeting = False  # it has told its state first of all on a new connection
         self.retired: ServerConnection | None = None  # silent, and kept: it may show that the process goes on
         self.replacing = False  # a connection was lost, and no later one has come up
         self.redial_pause_ms = REDIAL_MS
@@ -93,10 +93,10 @@
 
     def connect(self) -> None:
         """Dials, unless a connection is on its way."""
-        if self.dialing is not None or not self.listed or self.open_connections() >= CONNECTIONS_MOST:
+        if self.dialing is not None or not self.listed or self.open_connections() >= MAX_CONNECTIONS:
             return
-        if self.redial is not None:
-            self.redial.cancel()
+        if self.redial_timer is not None:
+            self.redial_timer.cancel()
         connection = ServerConnection(self)
         dialing = self.dialing = self.pool.connect(self.dial, connection)
         limit = self.pool.deadlines.set(self.pool.clock.now() + self.pool.connect_timeout_ms, dialing.cancel)
@@ -108,7 +108,7 @@
             return result
 
         dialing.addBoth(settled)
-        dialing.addErrback(self.unreachable)
+        dialing.addErrback(self.on_dial_failed)
 
     def open_connections(self) -> int:
         """How many connections count against the most that a server takes."""
@@ -118,13 +118,13 @@
         """Dials after a time, unless a dial is on its way or due before."""
         if wait_ms <= 0.0:
             self.connect()
-        elif self.listed and self.dialing is None and self.open_connections() < CONNECTIONS_MOST:
+        elif self.listed and self.dialing is None and self.open_connections() < MAX_CONNECTIONS:
             at = self.pool.clock.now() + wait_ms
-            if self.redial is not None:
-                if self.redial.action is not None and self.redial.at_ms <= at:
+            if self.redial_timer is not None:
+                if self.redial_timer.action is not None and self.redial_timer.at_ms <= at:
                     return
-                self.redial.cancel()
-            self.redial = self.pool.deadlines.set(at, self.connect)
+                self.redial_timer.cancel()
+            self.redial_timer = self.pool.deadlines.set(at, self.connect)
 
     def request_connection(self) -> float:
         """A call, a release or a probe needs a connection; how long its dial has to wait."""
@@ -132,39 +132,39 @@
         self.schedule_dial(wait)
         return wait
 
-    def unreachable(self, failure: Failure) -> None:
+    def on_dial_failed(self, failure: Failure) -> None:
         """No connection: refused proves that the process is dead, silence proves nothing."""
         refused = isinstance(failure.value, ConnectionRefusedError)
         log.info("%s: no connection: %s", self.host, failure.type.__name__ if failure.type else failure.value)
         self.broker.tally.avoided(self.host, "connection", True)
         self.pool.dialing.failed(self.host)
-        waiting, self.waiting = self.waiting, []
-        probes, self.probes = self.probes, []
+        waiting, self.waiting_attempts = self.waiting_attempts, []
+        probes, self.waiting_probes = self.waiting_probes, []
         if self.connections:  # guards against dialing for each set-up a server that takes no more connections
-            self.enough_until = self.pool.clock.now() + ENOUGH_MS
+            self.no_dial_before = self.pool.clock.now() + NO_DIAL_MS
             if refused and self.pool.probes:
-                self.lag.test(list(self.connections))
+                self.lag.start_test(list(self.connections))
         elif refused:
             # Guards against being ahead of the cuts themselves: a reset connection is heard before them.
             refused_at = self.pool.clock.now()
-            self.pool.deadlines.set(refused_at + CUT_MS, lambda: self._process_died(refused_at))
+            self.pool.deadlines.set(refused_at + CUT_DELAY_MS, lambda: self._process_died(refused_at))
         for attempt in waiting:
             self.broker.ended(attempt, Outcome.CONNECT_FAILED)
         for number in probes:
             self.broker.probed(number, Outcome.CONNECT_FAILED)
         if not self.connections:
-            self._again(REDIAL_MS)
+            self._redial(REDIAL_MS)
         elif self.replacing:
             # Guards against never hearing what the server tells again on the next connection.
-            self._again(self.redial_pause_ms)
-            self.redial_pause_ms = min(2.0 * self.redial_pause_ms, REDIAL_MOST_MS)
+            self._redial(self.redial_pause_ms)
+            self.redial_pause_ms = min(2.0 * self.redial_pause_ms, MAX_REDIAL_MS)
 
     def _process_died(self, refused_at: float) -> None:
         self.broker.cut(self.host, refused_at, "its process is dead")
         if self.retired is not None and self.retired.opened_at <= refused_at:
             self._drop_retired()
 
-    def _again(self, pause_ms: float) -> None:
+    def _redial(self, pause_ms: float) -> None:
         self.schedule_dial(self.pool.dialing.again(self.host, pause_ms))
 
     def connection_opened(self, connection: ServerConnection) -> None:
@@ -178,39 +178,39 @@
         connection.slot = self.pool.connections.add(connection)
         self.connections.append(connection)
         self.replacing, self.redial_pause_ms = False, REDIAL_MS
-        if not self.greets:
+        if not self.sends_greeting:
             self.sign_of_life(connection)  # else its greeting is the sign
-        self.say_pending_releases(connection)
-        waiting, self.waiting = self.waiting, []
+        self.send_pending_releases(connection)
+        waiting, self.waiting_attempts = self.waiting_attempts, []
         for attempt in waiting:
             if self.broker.wanted(attempt):
                 self.send(attempt)
-        probes, self.probes = self.probes, []
+        probes, self.waiting_probes = self.waiting_probes, []
         for number in probes:
             self.probe(number)
 
-    def say_pending_releases(self, connection: ServerConnection) -> None:
+    def send_pending_releases(self, connection: ServerConnection) -> None:
         """Releases that waited for a connection go out, unless their calls have begun anew there."""
         pending, self.pending_releases = self.pending_releases, {}
         for tag, cause in pending.items():
             self.broker.recorder.release_paid(self.host, tag)
             request = self.broker.find(tag)
             if request is None or request.attempt is None or request.attempt.server != self.host:
-                connection.release(tag, cause)
+                connection.send_release(tag, cause)
 
     def connection_closed(self, connection: ServerConnection) -> None:
         """The set-ups open on a connection that breaks are reset; calls that stand are not its own."""
         if connection is self.retired:
             self.retired = None
-            self._keep_releases(connection)
+            self._requeue_releases(connection)
             return
         if connection not in self.connections:
             return  # its loss has been dealt with
         out = self._take_out_of_use(connection)
-        self._keep_releases(connection)
+        self._requeue_releases(connection)
         log.info("%s: connection lost, %d set-ups open", self.host, len(out))
         self._reset(out)
-        self._replace(connection)
+        self._replace_connection(connection)
 
     def retire(self, connection: ServerConnection) -> None:
         """A connection that is open and silent is of no further use for set-ups.
@@ -225,10 +225,10 @@
             or connection.heard_at < last_heard
             or not self.broker.calls_stand(self.host)
         ):
-            connection.spoilt()
+            connection.abandon()
             return
         if kept is not None:
-            kept.spoilt()
+            kept.abandon()
         out = self._take_out_of_use(connection)
         self.retired, connection.retired = connection, True
         log.info(
@@ -238,43 +238,43 @@
             len(out),
         )
         for tag in out:
-            connection.say(Message("FINISH", tag, rc=jsonl.NORMAL))
+            connection.send_message(Message("FINISH", tag, rc=jsonl.NORMAL))
         self._reset(out)
-        self._replace(connection)
+        self._replace_connection(connection)
 
     def _take_out_of_use(self, connection: ServerConnection) -> dict[str, Attempt]:
         """Nothing more goes out on a connection; returns the attempts that are out on it."""
         self.connections.remove(connection)
         self.pool.connections.free(connection.slot)
-        out, connection.out = connection.out, {}
+        out, connection.open_attempts = connection.open_attempts, {}
         return out
 
     def _reset(self, out: dict[str, Attempt]) -> None:
         for attempt in out.values():
             self.broker.ended(attempt, Outcome.RESET)
 
-    def _keep_releases(self, connection: ServerConnection) -> None:
+    def _requeue_releases(self, connection: ServerConnection) -> None:
         """Releases that a server had not confirmed when a connection broke are said again on the next."""
-        releases, connection.releases = connection.releases, OrderedDict()
+        releases, connection.unconfirmed_releases = connection.unconfirmed_releases, OrderedDict()
         if not self.listed:
             return
-        oldest = self.pool.clock.now() - CONFIRM_MS
+        oldest = self.pool.clock.now() - RELEASE_CONFIRM_MS
         for tag, (cause, said_at) in releases.items():
             if said_at >= oldest:
-                self._release_later(tag, cause)
+                self._queue_release(tag, cause)
 
-    def _release_later(self, tag: str, cause: int) -> None:
+    def _queue_release(self, tag: str, cause: int) -> None:
         self.pending_releases[tag] = cause
         self.broker.recorder.release_owed(self.host, tag)
 
-    def _replace(self, connection: ServerConnection) -> None:
+    def _replace_connection(self, connection: ServerConnection) -> None:
         """Dials again after a loss, also where others are open: on the next connection the server tells again
         what was lost with this one."""
         self.pool.dialing.lost(self.host)
         self.replacing = True
         # Guards against a server that closes each new connection at once.
         lasted = self.pool.clock.now() >= connection.opened_at + REDIAL_MS
-        self._again(0.0 if lasted else REDIAL_MS)
+        self._redial(0.0 if lasted else REDIAL_MS)
 
     # Liveness
 
@@ -292,7 +292,7 @@
         connection.slot = self.pool.connections.add(connection)
         self.connections.append(connection)
 
-    def look(self, now_ms: float) -> None:
+    def check_liveness(self, now_ms: float) -> None:
         """Looks after calls that stand at a server which may have vanished."""
         if not self.liveness.quiet(now_ms):
             if self.retired is not None and self.liveness.heard_after(self.retired.heard_at):
@@ -312,19 +312,19 @@
                     )
                     self.broker.tally.suspected(self.host)
                 case AskForLife(since_ms):
-                    self.ask_for_life(since_ms)
+                    self.request_sign_of_life(since_ms)
                 case CallsLost(since_ms, stood_by_ms):
-                    self.calls_lost(since_ms, stood_by_ms)
+                    self.on_calls_lost(since_ms, stood_by_ms)
 
     def _drop_retired(self) -> None:
         """The silent connection that was kept has nothing to prove any more: it gives its place up."""
         if self.retired is not None:
-            self.retired.spoilt()
+            self.retired.abandon()
 
-    def ask_for_life(self, since_ms: float | None) -> None:
+    def request_sign_of_life(self, since_ms: float | None) -> None:
         """Tests the connections, or where tests are not allowed dials a new one, which is greeted."""
         if not self.pool.probes:
-            self._make_room()
+            self._close_idle_connection()
             self.connect()
             return
         open_now = self.connections if self.retired is None else [*self.connections, self.retired]
@@ -333,18 +333,18 @@
         else:
             tested = [at for at in open_now if at.opened_at <= since_ms]
         for connection in tested:
-            connection.say(Message("ECHO", "0" * 16, rc=0))
+            connection.send_message(Message("ECHO", "0" * 16, rc=0))
         if not tested:
             self.connect()
 
-    def _make_room(self) -> None:
+    def _close_idle_connection(self) -> None:
         """Closes the idle connection that was heard longest ago, where a server has as many as it takes."""
-        idle = [at for at in self.connections if not at.out]
-        if self.dialing is None and self.open_connections() >= CONNECTIONS_MOST and len(idle) > 1:
+        idle = [at for at in self.connections if not at.open_attempts]
+        if self.dialing is None and self.open_connections() >= MAX_CONNECTIONS and len(idle) > 1:
             oldest = min(idle, key=lambda at: at.heard_at)
-            oldest.spoilt()
+            oldest.abandon()
 
-    def calls_lost(self, since_ms: float, stood_by_ms: float) -> None:
+    def on_calls_lost(self, since_ms: float, stood_by_ms: float) -> None:
         """A server has been silent for too long: its calls are over, for their callers and for itself.
 
         It may only have been cut off, and still hold them: it is told on a connection that is newer than its
@@ -354,24 +354,24 @@
         over = self.broker.cut(self.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
         old = [at for at in self.connections if at.opened_at <= since_ms]
         for connection in old if self.retired is None else [*old, self.retired]:
-            connection.spoilt()
+            connection.abandon()
         for tag in over:
-            self._release_later(tag, jsonl.NORMAL)
+            self._queue_release(tag, jsonl.NORMAL)
         if self.connections:
-            self.say_pending_releases(self.connections[-1])
+            self.send_pending_releases(self.connections[-1])
 
-    def leave(self) -> None:
+    def on_unlisted(self) -> None:
         """The server is off the list: nothing is sent, no call stands there any more."""
         self.listed = False
         for tag in self.pending_releases:
             self.broker.recorder.release_paid(self.host, tag)
         self.lag.stop()
-        if self.redial is not None:
-            self.redial.cancel()
+        if self.redial_timer is not None:
+            self.redial_timer.cancel()
         self.reset(math.inf, "off the list")
         if self.dialing is not None:
             self.dialing.cancel()
-        waiting, self.waiting = self.waiting, []
+        waiting, self.waiting_attempts = self.waiting_attempts, []
         for attempt in waiting:  # guards against one that waits for a dial which is never made
             self.broker.ended(attempt, Outcome.CONNECT_FAILED)
 
@@ -379,7 +379,7 @@
         """The process that ran before a time is gone: its connections, its set-ups and its calls with it."""
         self.broker.cut(self.host, before_ms, why)
         for connection in [at for at in self.connections if at.opened_at <= before_ms]:
-            connection.spoilt()
+            connection.abandon()
         if self.retired is not None and self.retired.opened_at <= before_ms:
             self._drop_retired()
 
@@ -388,85 +388,96 @@
     def send(self, attempt: Attempt) -> None:
         request, link = attempt.request, attempt.request.last_link
         if not self.connections:
-            self.waiting.append(attempt)
-            if self.request_connection() > self.pool.connect_timeout_ms and attempt in self.waiting:
-                self.waiting.remove(attempt)  # its turn comes too late: another server
+            self.waiting_attempts.append(attempt)
+            if self.request_connection() > self.pool.connect_timeout_ms and attempt in self.waiting_attempts:
+                self.waiting_attempts.remove(attempt)  # its turn comes too late: another server
                 self.broker.ended(attempt, Outcome.CONNECT_FAILED)
             return
         # Guards against second copies of the last attempt's answer: elsewhere they are not this one's.
-        chosen = min(self.connections, key=lambda at: (len(at.out) + (at.slot == link), at.opened_at))
-        if chosen.out and len(self.connections) < CONNECTIONS_MOST and attempt.sent_at >= self.enough_until:
+        chosen = min(
+            self.connections, key=lambda at: (len(at.open_attempts) + (at.slot == link), at.opened_at)
+        )
+        if (
+            chosen.open_attempts
+            and len(self.connections) < MAX_CONNECTIONS
+            and attempt.sent_at >= self.no_dial_before
+        ):
             self.request_connection()  # the fewer set-ups share a connection, the fewer break with it
         left = max(1, round(attempt.end_at - self.pool.clock.now()))
         opts = {"class": request.call_class, "left": str(left)}
         if request.key:
             opts["key"] = request.key
         request.last_link = chosen.slot
-        if chosen.start(attempt, Message("START", request.id, opts, blob=str(request.description)).encode()):
+        if chosen.send_set_up(
+            attempt, Message("START", request.id, opts, blob=str(request.description)).encode()
+        ):
             self.broker.tally.sent(request.call_class)
 
     def give_up(self, attempt: Attempt) -> None:
-        if attempt in self.waiting:
-            self.waiting.remove(attempt)
+        if attempt in self.waiting_attempts:
+            self.waiting_attempts.remove(attempt)
             return
         for connection in list(self.connections):
-            if connection.out.get(attempt.request.id) is attempt:
-                del connection.out[attempt.request.id], connection.sent_in[attempt.request.id]
-                connection.say(Message("FINISH", attempt.request.id, rc=jsonl.NORMAL))
-                if connection.heard_at <= attempt.sent_at < self.pool.clock.now() - SILENT_MS:
+            if connection.open_attempts.get(attempt.request.id) is attempt:
+                del (
+                    connection.open_attempts[attempt.request.id],
+                    connection.read_count_at_send[attempt.request.id],
+                )
+                connection.send_message(Message("FINISH", attempt.request.id, rc=jsonl.NORMAL))
+                if connection.heard_at <= attempt.sent_at < self.pool.clock.now() - SILENCE_LIMIT_MS:
                     self.retire(connection)  # nothing came while it waited: no better for the next
 
     def release(self, tag: str, cause: int) -> None:
         """Ends a call that stands here: on any connection, on the next if none is open."""
-        if not self.connections or not self.connections[0].release(tag, cause):
-            self._release_later(tag, cause)
+        if not self.connections or not self.connections[0].send_release(tag, cause):
+            self._queue_release(tag, cause)
             self.request_connection()
 
     def probe(self, number: int) -> None:
         if not self.connections:
-            self.probes.append(number)
+            self.waiting_probes.append(number)
             self.request_connection()
         else:
-            self.connections[0].say(Message("ECHO", f"{number:016x}", rc=1))
+            self.connections[0].send_message(Message("ECHO", f"{number:016x}", rc=1))
 
     # Hearing
 
-    def report(self, message: Message) -> tuple[float, ...]:
+    def report_values(self, message: Message) -> tuple[float, ...]:
         """The report in the settings' order of columns; -1 for what it does not tell."""
-        told = jsonl.figures(message.opts.get("load", ""))
+        told = jsonl.parse_numbers(message.opts.get("load", ""))
         if not told:
             return ()
         return tuple(
-            told.get(name, told.get(COLUMNS.get(name, name), -1.0))
+            told.get(name, told.get(COLUMN_ALIASES.get(name, name), -1.0))
             for name in self.broker.rules.settings.report_columns
         )
 
-    def hear(self, connection: ServerConnection, message: Message) -> None:
+    def handle_message(self, connection: ServerConnection, message: Message) -> None:
         match message.verb:
             case "STARTED":
-                self.answered(connection, message, connection.match_response(message.tag))
+                self.handle_answer(connection, message, connection.match_response(message.tag))
             case "FINISH":
-                self.finished(connection, message, connection.match_response(message.tag))
+                self.handle_finish(connection, message, connection.match_response(message.tag))
             case "LOAD":
-                self.lag.reported(connection)
+                self.lag.on_report(connection)
                 # Each connection brings it: the module hears it once, as from the simulator.
-                if (report := self.report(message)) and connection is self.connections[0]:
+                if (report := self.report_values(message)) and connection is self.connections[0]:
                     self.broker.reported(self.host, report)
             case "ECHOED":
                 outcome = Outcome.OK if message.rc == 1 else Outcome.FULL
-                self.broker.probed(int(message.tag, 16), outcome, self.report(message))
+                self.broker.probed(int(message.tag, 16), outcome, self.report_values(message))
             case "ECHO":
-                connection.say(Message("ECHOED", message.tag, rc=1))
+                connection.send_message(Message("ECHOED", message.tag, rc=1))
             case "FINISHED":
-                connection.releases.pop(message.tag, None)
+                connection.unconfirmed_releases.pop(message.tag, None)
             case "PENDING":
                 pass
             case _:
                 raise BadLineError(f"verb: unknown: {message.verb}")
 
-    def answered(self, connection: ServerConnection, message: Message, attempt: Attempt | None) -> None:
+    def handle_answer(self, connection: ServerConnection, message: Message, attempt: Attempt | None) -> None:
         if attempt is None and self.broker.recorder.defers(
-            message.tag, self.host, lambda: self.answered(connection, message, None)
+            message.tag, self.host, lambda: self.handle_answer(connection, message, None)
         ):
             return
         if attempt is not None:
@@ -478,31 +489,31 @@
         ):
             # Guards against an answer that crosses our give-up, also where the call stands at another server
             # meanwhile: what it set up must not be left standing.
-            connection.say(Message("FINISH", message.tag, rc=jsonl.NORMAL))
+            connection.send_message(Message("FINISH", message.tag, rc=jsonl.NORMAL))
 
-    def finished(self, connection: ServerConnection, message: Message, attempt: Attempt | None) -> None:
+    def handle_finish(self, connection: ServerConnection, message: Message, attempt: Attempt | None) -> None:
         if attempt is None and self.broker.recorder.defers(
-            message.tag, self.host, lambda: self.finished(connection, message, None)
+            message.tag, self.host, lambda: self.handle_finish(connection, message, None)
         ):
             return
 
         def confirm() -> None:
-            connection.say(Message("FINISHED", message.tag))
+            connection.send_message(Message("FINISHED", message.tag))
 
         request = self.broker.find(message.tag)
         if attempt is not None and message.rc == jsonl.NORMAL:
-            self.broker.over_unheard(attempt, self.report(message))
+            self.broker.over_unheard(attempt, self.report_values(message))
         elif attempt is not None:
-            note = NOTES.get(message.opts.get("note", ""), 0)
-            outcome = BEFORE.get(message.rc or 0, Outcome.ERROR)
-            self.broker.ended(attempt, outcome, note, report=self.report(message))
+            note = NOTE_BY_NAME.get(message.opts.get("note", ""), 0)
+            outcome = OUTCOME_BY_CAUSE.get(message.rc or 0, Outcome.ERROR)
+            self.broker.ended(attempt, outcome, note, report=self.report_values(message))
         elif request is None:
             over = Outcome.OK if message.rc == jsonl.NORMAL else Outcome.RESET
             self.broker.over_unknown(message.tag, self.pool.front, over)
         elif request.attempt is not None and request.attempt.server == self.host:
-            if request.state is State.STANDING and message.rc in AFTER:
+            if request.state is State.STANDING and message.rc in END_CAUSES:
                 over = Outcome.OK if message.rc == jsonl.NORMAL else Outcome.RESET
-                self.broker.ended(request.attempt, over, report=self.report(message))
+                self.broker.ended(request.attempt, over, report=self.report_values(message))
             elif (
                 request.attempt.out
                 and request.attempt.link not in (None, connection.slot)
--- a/frostport/net/upstream_connection.py
+++ b/frostport/net/upstream_connection.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from frostport.net.upstream import UpstreamServer
 
-HALF_LINE_MS = 300.0  # an answer that stops short for so long ends its connection
-CONFIRM_MS = 10_000.0  # a release that a server has not confirmed for so long counts as heard
+PARTIAL_LINE_TIMEOUT_MS = 300.0  # an answer that stops short for so long ends its connection
+RELEASE_CONFIRM_MS = 10_000.0  # a release that a server has not confirmed for so long counts as heard
 
 
 class ServerConnection(LineConnection):
@@ -31,17 +31,19 @@
         self.slot = -1
         self.opened_at = math.inf
         self.peer = server.host
-        self.out: dict[str, Attempt] = {}
-        self.sent_in: dict[str, int] = {}  # the turn in which each went out
+        self.open_attempts: dict[str, Attempt] = {}
+        self.read_count_at_send: dict[str, int] = {}  # the turn in which each went out
         self.heard_at = self.reported_at = math.inf  # when anything was read, and when a report came unasked
-        self.behind_since = math.inf  # when another brought a report, with nothing heard here since
+        self.lagging_since = math.inf  # when another brought a report, with nothing heard here since
         self.tested_at = -math.inf
         self.greeted = False  # the first report has come
         self.retired = False  # it was silent: no set-ups go out on it, it is kept to be heard
-        self.releases: OrderedDict[str, tuple[int, float]] = OrderedDict()  # not confirmed: cause, said at
-        self._half: Deadline | None = None
+        self.unconfirmed_releases: OrderedDict[str, tuple[int, float]] = (
+            OrderedDict()
+        )  # not confirmed: cause, said at
+        self._partial_line_timer: Deadline | None = None
 
-    def opened(self) -> None:
+    def on_open(self) -> None:
         self.server.connection_opened(self)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 (Twisted's name)
@@ -52,57 +54,59 @@
             self.server.liveness.reset(self.clock.now())
         super().connectionLost(reason)
 
-    def closed(self) -> None:
-        if self._half is not None:
-            self._half.cancel()
+    def on_close(self) -> None:
+        if self._partial_line_timer is not None:
+            self._partial_line_timer.cancel()
         self.server.connection_closed(self)
 
-    def line(self, line: bytes) -> None:
-        self.server.hear(self, jsonl.decode(line))
+    def on_line(self, line: bytes) -> None:
+        self.server.handle_message(self, jsonl.decode(line))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
-        self.heard_at, self.behind_since = self.clock.now(), math.inf
+        self.heard_at, self.lagging_since = self.clock.now(), math.inf
         self.server.sign_of_life(self)
         super().dataReceived(data)
 
-    def read(self) -> None:
-        if self._half is not None and not self.lines.partial:
-            self._half.cancel()
-            self._half = None
-        elif self.lines.partial and self._half is None:
+    def on_read(self) -> None:
+        if self._partial_line_timer is not None and not self.splitter.partial:
+            self._partial_line_timer.cancel()
+            self._partial_line_timer = None
+        elif self.splitter.partial and self._partial_line_timer is None:
             # Guards against an answer that stops short: what comes after it would never be read.
-            self._half = self.deadlines.set(self.clock.now() + HALF_LINE_MS, self.spoilt)
+            self._partial_line_timer = self.deadlines.set(
+                self.clock.now() + PARTIAL_LINE_TIMEOUT_MS, self.abandon
+            )
 
-    def malformed(self, problem: BadLineError) -> None:
+    def on_malformed(self, problem: BadLineError) -> None:
         # Guards against waiting on a connection that is of no further use: what is open on it ends too.
-        self.spoilt()
+        self.abandon()
 
-    def spoilt(self) -> None:
+    def abandon(self) -> None:
         self.drop()
         self.server.connection_closed(self)
 
-    def start(self, attempt: Attempt, line: bytes) -> bool:
+    def send_set_up(self, attempt: Attempt, line: bytes) -> bool:
         """Writes a set-up; whether it was written in full to the transport."""
         attempt.link = self.slot
-        self.out[attempt.request.id] = attempt
-        self.sent_in[attempt.request.id] = self.turns
+        self.open_attempts[attempt.request.id] = attempt
+        self.read_count_at_send[attempt.request.id] = self.read_count
         return self.write(line)
 
-    def release(self, tag: str, cause: int) -> bool:
+    def send_release(self, tag: str, cause: int) -> bool:
         """Writes the release of a call, and remembers it until the server confirms it."""
-        if not self.say(Message("FINISH", tag, rc=cause)):
+        if not self.send_message(Message("FINISH", tag, rc=cause)):
             return False
         now = self.clock.now()
-        self.releases[tag] = (cause, now)
-        while next(iter(self.releases.values()))[1] < now - CONFIRM_MS:
-            self.releases.popitem(last=False)
+        self.unconfirmed_releases[tag] = (cause, now)
+        while next(iter(self.unconfirmed_releases.values()))[1] < now - RELEASE_CONFIRM_MS:
+            self.unconfirmed_releases.popitem(last=False)
         return True
 
     def match_response(self, tag: str) -> Attempt | None:
         """The attempt that an answer is for, no longer out here; None if it is for none.
 
         Guards against second copies: what was read before an attempt went out can't be its answer."""
-        if tag not in self.out or self.sent_in[tag] == self.turns:
+        if tag not in self.open_attempts or self.read_count_at_send[tag] == self.read_count:
             return None
-        del self.sent_in[tag]
-        return self.out.pop(tag)
+        del self.read_count_at_send[tag]
+        return self.open_attempts.pop(tag)
--- a/frostport/net/upstream_pool.py
+++ b/frostport/net/upstream_pool.py
@@ -11,7 +11,7 @@
 from frostport.core.slots import Slots
 from frostport.interface import Outcome
 from frostport.net import jsonl
-from frostport.net.upstream import CONNECTIONS_MOST, Connect, UpstreamServer
+from frostport.net.upstream import MAX_CONNECTIONS, Connect, UpstreamServer
 from frostport.net.upstream_connection import ServerConnection
 
 
@@ -25,9 +25,13 @@
         self.connections: Slots[ServerConnection] = Slots()
         self.members: dict[str, UpstreamServer] = {}
         self.dialing: Dialing = EAGER
-        self.due: Callable[[int], None] = lambda connections: None  # told how many these may open in all
+        self.on_connection_limit: Callable[[int], None] = (
+            lambda connections: None
+        )  # told how many these may open in all
         self.probes = broker.rules.settings.probes  # whether servers may be tested
-        self._sweep = LivenessSweep(self.clock, self.deadlines, self.members.values, UpstreamServer.look)
+        self._sweep = LivenessSweep(
+            self.clock, self.deadlines, self.members.values, UpstreamServer.check_liveness
+        )
 
     def start(self) -> None:
         """Looks after silent servers from now on."""
@@ -41,7 +45,7 @@
             server = None
         if server is None:
             server = self.members[host] = UpstreamServer(self, host, dial)
-            self.due(len(self.members) * CONNECTIONS_MOST)
+            self.on_connection_limit(len(self.members) * MAX_CONNECTIONS)
         if born_ms:
             server.reset(born_ms, "a new process")
         if not server.connections and self.dialing.wanted(host):
@@ -50,8 +54,8 @@
     def remove(self, host: str) -> None:
         server = self.members.pop(host, None)
         if server is not None:
-            server.leave()
-            self.due(len(self.members) * CONNECTIONS_MOST)
+            server.on_unlisted()
+            self.on_connection_limit(len(self.members) * MAX_CONNECTIONS)
 
     def resume(self, releases: Iterable[tuple[str, str]]) -> None:
         """Servers and calls: what is to be released there since before a restart."""
--- a/frostport/operations.py
+++ b/frostport/operations.py
@@ -6,7 +6,7 @@
 
 from frostport.core.broker import Broker
 from frostport.core.lifecycle import DRAINS, Lifecycle, Phase
-from frostport.net.operator import Operation, OperatorError, argument
+from frostport.net.operator import Operation, OperatorError, parse_argument
 from frostport.observe.figures import Figures
 
 
@@ -34,7 +34,7 @@
         return self._rotate(rest, False, "in rotation")
 
     def _rotate(self, rest: str, out: bool, said: str) -> list[str]:
-        name = argument(rest)
+        name = parse_argument(rest)
         if not out and (why := self.kept(self.broker.rotation.find(name) or name)):
             raise OperatorError(why)
         address = self.broker.rotate(name, out)
--- a/frostport/side_diameter.py
+++ b/frostport/side_diameter.py
@@ -11,7 +11,7 @@
 from frostport.diameter.front import DiameterFront
 from frostport.diameter.peer import Identity
 from frostport.diameter.route import DiameterRoute
-from frostport.net import liveness
+from frostport.net import peer_close
 from frostport.net.peers import split
 from frostport.sides import Accept, Parts
 
@@ -40,7 +40,7 @@
             wanted.watchdog_ms,
             chance,
             agent.gate,
-            liveness.closed,
+            peer_close.closed_by_peer,
         )
         self.route = DiameterRoute(
             agent.broker,
--- a/frostport/sides.py
+++ b/frostport/sides.py
@@ -56,7 +56,7 @@
         agent.broker.route = self.servers
         due = agent.gate.descriptors.due
         due[Owner.BUS] = 2 if config.bus else 0  # the one that is left, and the one that it moves to
-        self.servers.due = partial(due.__setitem__, Owner.SERVERS)
+        self.servers.on_connection_limit = partial(due.__setitem__, Owner.SERVERS)
         self.list = ServerList(agent.broker, self.servers)
         self.bus = EventBus(self.list, config.bus, agent.connect, random.Random(config.seed))
 
@@ -69,13 +69,13 @@
             peers = Peers(agent.broker, config.peers)
             listen_peers(agent.reactor, config.peer_listen, peers)
             agent.gate.descriptors.take(Owner.PEERS)
-            agent.broker.tell = peers.tell
-        self.list.known(config.known, config.offset)
+            agent.broker.tell = peers.send
+        self.list.load_known(config.known, config.offset)
         self.servers.start()
         self.bus.start()
 
     def reload(self, config: Config) -> None:
-        self.bus.move(config.bus)
+        self.bus.change_address(config.bus)
 
     def resume(self, restored: Restored) -> None:
         """Goes on with what was on record: the list, and releases owed to clients."""
--- a/frostport/starting.py
+++ b/frostport/starting.py
@@ -198,7 +198,7 @@
                     record = orjson.loads(line)
                     if not isinstance(record, dict):
                         raise BadLineError("not an event")
-                    known.event(record)
+                    known.apply_event(record)
                     break
                 except (BadLineError, orjson.JSONDecodeError) as problem:
                     log.warning("an event of another agent: %s", problem)
@@ -269,7 +269,7 @@
         lobby = self._joined.side.servers.members.get(target)
         for connection in lobby.connections if lobby is not None else ():
             if connection.heard_at <= connection.opened_at:
-                connection.say(Message("ECHO", "0" * 16, rc=0))
+                connection.send_message(Message("ECHO", "0" * 16, rc=0))
 
     def failed(self, target: str) -> None:
         self.turns.pressed(target, self.monotonic.now())
--- a/tests/diameter.py
+++ b/tests/diameter.py
@@ -181,7 +181,7 @@
         else:
             super().send(text)
 
-    def unasked(self, heard: Heard) -> bool:
+    def may_be_skipped(self, heard: Heard) -> bool:
         return False
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
--- a/tests/restart.py
+++ b/tests/restart.py
@@ -19,7 +19,7 @@
 from frostport.durability import Durability
 from standins.files import MemoryFolder
 from tests.diameter import DiameterWorld
-from tests.scenario import Nobody, World
+from tests.scenario import ClosedEnd, World
 
 Job = Callable[[], Callable[[], None]]
 STORE = {"path": "s0.store", "checkpoint_records": 100}
@@ -81,7 +81,7 @@
         self.reactor.factory = None
         for actor in self.actors.values():
             for wire in list(actor.wires):
-                wire.other.protocol = Nobody()
+                wire.other.protocol = ClosedEnd()
                 wire.other.loseConnection()
 
     def start_again(self: Any) -> None:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -33,7 +33,7 @@
 from frostport.core.clock import SetClock
 from frostport.core.lifecycle import Phase
 from frostport.net import jsonl
-from frostport.net.operator import Door
+from frostport.net.operator import OperatorPort
 
 START_MS = 1_800_000_000_000.0
 Heard = dict[str, str]
@@ -93,7 +93,7 @@
     abortConnection = loseConnection  # noqa: N815
 
 
-class Nobody:
+class ClosedEnd:
     """Has closed its end, and hears no more."""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -117,7 +117,7 @@
         return type("Call", (), {"active": lambda self: False})()  # the world runs the deadlines itself
 
     def listenTCP(self, port: int, factory: Any, **more: Any) -> Reactor:  # noqa: N802
-        if isinstance(factory, Door):
+        if isinstance(factory, OperatorPort):
             self.door = factory
         else:
             self.factory = factory
@@ -161,13 +161,13 @@
         self.asked_on: dict[str, Any] = {}  # the connection that each set-up came on
         self.inbox: list[Heard] = []
         self.state = "alive"
-        self.lines = jsonl.Lines()
+        self.lines = jsonl.LineSplitter()
 
     # As the protocol of its end of a connection
 
     def connect(self, wire: Any) -> None:
         self.wires.append(wire)
-        self.lines = jsonl.Lines()
+        self.lines = jsonl.LineSplitter()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         for line, _ in self.lines.feed(data):
@@ -237,12 +237,12 @@
             and all(heard.get(key) == value for key, value in wanted.items())
         )
 
-    def unasked(self, heard: Heard) -> bool:
+    def may_be_skipped(self, heard: Heard) -> bool:
         """What may be passed over where it is not asked for."""
         return heard[""] == "FINISHED"
 
     def expect(self, text: str) -> None:
-        while self.inbox and self.unasked(self.inbox[0]) and not self.matches(self.inbox[0], text):
+        while self.inbox and self.may_be_skipped(self.inbox[0]) and not self.matches(self.inbox[0], text):
             self.inbox.pop(0)
         if text == "nothing":
             assert not self.inbox, f"{self.name} heard {self.inbox}"
@@ -258,7 +258,7 @@
             self.state, stays = "dead", self.asked_on[how[4:]]
             for wire in [wire for wire in self.wires if wire is not stays]:
                 self.wires.remove(wire)
-                wire.protocol = Nobody()
+                wire.protocol = ClosedEnd()
                 wire.loseConnection()
             return
         if how == "unheard":
@@ -270,7 +270,7 @@
         stay = how in ("silent", "full")
         wires, self.wires = ([], self.wires) if stay else (self.wires, [])
         for wire in wires:
-            wire.protocol = Nobody()
+            wire.protocol = ClosedEnd()
             wire.loseConnection()
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -22,7 +22,7 @@
 from frostport.admission.settings import Limits, Shared
 from frostport.admission.tables import Buckets, Earned, Offenders, prefix_of
 from frostport.net.jsonl import Message
-from tests.scenario import Nobody, Wire, platform, play
+from tests.scenario import ClosedEnd, Wire, platform, play
 
 KNOWN = ipaddress.ip_network("10.9.0.0/16")
 BASE = Limits(connections=12, known=(KNOWN,))
@@ -282,7 +282,7 @@
     idle = [world.reactor.factory.buildProtocol(None) for _ in range(3)]
     for protocol in idle:
         wire = Wire(world, protocol)
-        wire.other = Wire(world, Nobody())
+        wire.other = Wire(world, ClosedEnd())
         protocol.makeConnection(wire)
     world.wait(GRACE_MS + 1.0)
     world.reload('admission={"by_address": 1}')
@@ -486,7 +486,7 @@
     ledger = agent.gate.descriptors
     for _ in range(2 * agent.config.sockets):
         wire = Wire(world, factory.buildProtocol(None))
-        wire.other = Wire(world, Nobody())
+        wire.other = Wire(world, ClosedEnd())
         wire.protocol.makeConnection(wire)
         wire.deliver(Message("ECHO", "b".zfill(16), rc=0).encode())
     # As where others hold more than was foreseen: nothing is left, and no dial goes out.
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -9,8 +9,8 @@
 import pytest
 from twisted.internet import error
 
-from frostport.net import liveness
-from frostport.net.jsonl import LINES_A_TURN, Message
+from frostport.net import peer_close
+from frostport.net.jsonl import LINES_PER_TURN, Message
 from tests.scenario import Wire, World, event, failure, host, platform, play
 
 LATE_DIAL = """
@@ -231,7 +231,7 @@
     wire.other = Wire(world, world.actors["c2"])
     protocol.makeConnection(wire)
     start = Message("START", "a".zfill(16), {"class": "race", "left": "3000"}, blob="x").encode()
-    wire.deliver(b'{"verb":"ECHO","tag":"0000000000000002"}\n' * LINES_A_TURN + start + after)
+    wire.deliver(b'{"verb":"ECHO","tag":"0000000000000002"}\n' * LINES_PER_TURN + start + after)
     return wire
 
 
@@ -276,14 +276,16 @@
         client = socket.create_connection(listener.getsockname())
         ours, _ = listener.accept()
         with ours:
-            assert not liveness.closed(ours)
+            assert not peer_close.closed_by_peer(ours)
             client.sendall(b"unread")
-            assert not liveness.closed(ours)
+            assert not peer_close.closed_by_peer(ours)
             client.close()
-            while not liveness.closed(ours):  # bounded by the test's own time; loopback tells at once
+            while not peer_close.closed_by_peer(
+                ours
+            ):  # bounded by the test's own time; loopback tells at once
                 pass
-        assert not liveness.closed(ours)  # ours is closed: its owner has been told
-        assert not liveness.closed(object())
+        assert not peer_close.closed_by_peer(ours)  # ours is closed: its owner has been told
+        assert not peer_close.closed_by_peer(object())
 
 
 def test_a_request_that_the_module_has_lost_sight_of_is_answered_just_after_its_time() -> None:
--- a/tests/test_gossip_wire.py
+++ b/tests/test_gossip_wire.py
@@ -29,12 +29,12 @@
 from frostport.membership.settings import Settings
 from frostport.membership.swim import Swim
 from frostport.net import link
-from frostport.net.gossip import LONGEST, Seal
-from frostport.net.link import BadFrameError, Connection, Frame, Frames, Link, framed
+from frostport.net.gossip import MAX_DATAGRAM_BYTES, DatagramCodec
+from frostport.net.link import BadFrameError, Connection, Frame, FrameDecoder, Link, encode_frame
 from standins.lobby import configuration
 
 ROOT = pathlib.Path(__file__).parent.parent
-SEAL = Seal("coastline", bytes(range(32)))
+SEAL = DatagramCodec("coastline", bytes(range(32)))
 texts = st.text("abcdefghij0123456789.:-", max_size=messages.TEXT_MOST)
 names = st.text("abcdefghij-0123456789", min_size=1, max_size=messages.NAME_MOST)
 wholes = st.integers(0, messages.WHOLE_MOST - 1)
@@ -54,12 +54,12 @@
 
 @given(said)
 def test_what_is_sealed_is_read_again_with_the_key_alone(message: messages.Message) -> None:
-    data = SEAL.close(message)
-    if len(data) <= LONGEST:
-        assert SEAL.open(data) == message
-        for other in (Seal("coastline", bytes(32)), Seal("another", bytes(range(32)))):
+    data = SEAL.encode(message)
+    if len(data) <= MAX_DATAGRAM_BYTES:
+        assert SEAL.decode(data) == message
+        for other in (DatagramCodec("coastline", bytes(32)), DatagramCodec("another", bytes(range(32)))):
             with pytest.raises(BadMessageError):
-                other.open(data)
+                other.decode(data)
 
 
 @settings(max_examples=300)
@@ -67,13 +67,13 @@
 def test_every_cut_and_change_of_a_datagram_is_refused(
     message: messages.Message, data: st.DataObject
 ) -> None:
-    whole = SEAL.close(message)
+    whole = SEAL.encode(message)
     at = data.draw(st.integers(0, len(whole) - 1))
     changed = bytearray(whole)
     changed[at] ^= data.draw(st.integers(1, 255))
     for bad in (whole[:at], bytes(changed), whole + b"x"):
         with pytest.raises(BadMessageError):
-            SEAL.open(bad)
+            SEAL.decode(bad)
     body = messages.encode(message)
     for bad in (body[:at], bytes(changed[17:]), data.draw(st.binary(max_size=300))):
         with contextlib.suppress(BadMessageError):  # behind a true digest, too: this, or a message
@@ -97,28 +97,28 @@
         now = agent.next_ms()
         for action in agent.handle(Tick(), now):
             if isinstance(action, Send):
-                longest = max(longest, len(SEAL.close(action.message)))
+                longest = max(longest, len(SEAL.encode(action.message)))
                 carried += len(getattr(action.message, "updates", ()))
-    assert 200 < longest <= LONGEST and carried > 20
+    assert 200 < longest <= MAX_DATAGRAM_BYTES and carried > 20
 
 
 @given(st.lists(st.builds(Frame, st.text(max_size=8), st.binary(max_size=200)), max_size=6), st.data())
 def test_frames_come_out_of_any_pieces(frames: list[Frame], data: st.DataObject) -> None:
-    whole, cutter, found = b"".join(map(framed, frames)), Frames(), list[bytes]()
+    whole, cutter, found = b"".join(map(encode_frame, frames)), FrameDecoder(), list[bytes]()
     while whole:
         size = data.draw(st.integers(1, len(whole)))
-        found += cutter.take(whole[:size])
+        found += cutter.feed(whole[:size])
         whole = whole[size:]
     assert [msgspec.msgpack.decode(body, type=Frame) for body in found] == frames
 
 
 @given(st.binary(max_size=2000))
 def test_no_bytes_make_frames_grow_or_raise_anything_else(noise: bytes) -> None:
-    cutter = Frames()
+    cutter = FrameDecoder()
     try:
         for at in range(0, len(noise), 50):
-            cutter.take(noise[at : at + 50])
-            assert len(cutter.held) <= link.FIRST_MOST + 54
+            cutter.feed(noise[at : at + 50])
+            assert len(cutter.buffer) <= link.MAX_HELLO_BYTES + 54
     except BadFrameError:
         pass
 
@@ -171,29 +171,29 @@
 @pytest.mark.parametrize(
     "first",
     [
-        link.First(1, "another", "b", 1),
-        link.First(2, "coastline", "b", 1),
-        link.First(1, "coastline", "c", 1),
+        link.Hello(1, "another", "b", 1),
+        link.Hello(2, "coastline", "b", 1),
+        link.Hello(1, "coastline", "c", 1),
     ],
 )
-def test_a_strangers_connection_is_closed(first: link.First) -> None:
+def test_a_strangers_connection_is_closed(first: link.Hello) -> None:
     agents, _, _, heard = made("a")
     connection, wire = opened(agents)
-    connection.dataReceived(framed(first) + framed(Frame("raft", b"x")))
-    assert wire.aborted and not heard and not agents.by_name
+    connection.dataReceived(encode_frame(first) + encode_frame(Frame("raft", b"x")))
+    assert wire.aborted and not heard and not agents.connections
 
 
 def test_of_two_that_cross_the_lesser_names_stays_and_silence_closes() -> None:
     agents, clock, deadlines, heard = made("a")
     ours, our_wire = opened(agents, "b")
     theirs, their_wire = opened(agents)
-    theirs.dataReceived(framed(link.First(1, "coastline", "b", 1)))
-    ours.dataReceived(framed(link.First(1, "coastline", "b", 1)))
-    assert agents.by_name["b"] is ours and their_wire.aborted and not our_wire.aborted
-    ours.dataReceived(framed(Frame("raft", b"x")))
+    theirs.dataReceived(encode_frame(link.Hello(1, "coastline", "b", 1)))
+    ours.dataReceived(encode_frame(link.Hello(1, "coastline", "b", 1)))
+    assert agents.connections["b"] is ours and their_wire.aborted and not our_wire.aborted
+    ours.dataReceived(encode_frame(Frame("raft", b"x")))
     assert heard == [("b", "raft", b"x")]
     for _ in range(6):
-        clock.at += link.BEAT_MS
+        clock.at += link.HEARTBEAT_MS
         deadlines.run(clock.now())
     assert our_wire.aborted and not agents.by_name
 
@@ -201,11 +201,11 @@
 def test_a_peer_that_reads_nothing_costs_its_queue_and_then_its_connection() -> None:
     agents, clock, deadlines, _ = made("a")
     connection, wire = opened(agents, "b")
-    connection.dataReceived(framed(link.First(1, "coastline", "b", 1)))
+    connection.dataReceived(encode_frame(link.Hello(1, "coastline", "b", 1)))
     connection.pauseProducing()
     taken = [agents.send("b", "raft", bytes(500_000)) for _ in range(12)]
-    assert taken.count(True) == 8 and agents.refused == 4 and connection.queued <= link.QUEUE_MOST
-    clock.at += link.STUCK_MS
+    assert taken.count(True) == 8 and agents.refused == 4 and connection.queued_bytes <= link.MAX_QUEUE_BYTES
+    clock.at += link.WRITE_STALL_TIMEOUT_MS
     deadlines.run(clock.now())
     assert wire.aborted
     assert not agents.send("c", "raft", b"x")  # nobody knows where it is
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -13,7 +13,14 @@
 from frostport.core.clock import SetClock
 from frostport.core.deadlines import Deadlines
 from frostport.net import operator
-from frostport.net.operator import LONGEST_LINE, MOST_OPEN, SAY_WITHIN_MS, Door, Operation, OperatorError
+from frostport.net.operator import (
+    LINE_TIMEOUT_MS,
+    MAX_CONNECTIONS,
+    MAX_LINE_BYTES,
+    Operation,
+    OperatorError,
+    OperatorPort,
+)
 from tests.scenario import World, event, host, platform, play
 
 SET_UP = """
@@ -227,19 +234,19 @@
     world.held.close()
 
 
-def door() -> tuple[Door, SetClock, Deadlines]:
+def door() -> tuple[OperatorPort, SetClock, Deadlines]:
     clock, deadlines = SetClock(0.0), Deadlines()
     calls: dict[str, Operation] = {
         "ready": lambda rest: ["OK yes"],
-        "disable-server": lambda rest: [f"OK {operator.argument(rest)}"],
+        "disable-server": lambda rest: [f"OK {operator.parse_argument(rest)}"],
     }
-    return Door(calls, clock, deadlines), clock, deadlines
+    return OperatorPort(calls, clock, deadlines), clock, deadlines
 
 
 class Caller:
     """A transport that keeps what the door writes."""
 
-    def __init__(self, made: Door) -> None:
+    def __init__(self, made: OperatorPort) -> None:
         self.text, self.closed = b"", False
         self.protocol: Any = made.buildProtocol(None)
         self.protocol.makeConnection(self)  # type: ignore[no-untyped-call]
@@ -258,13 +265,13 @@
     made, clock, deadlines = door()
     silent = Caller(made)
     silent.protocol.dataReceived(b"rea")
-    clock.at = SAY_WITHIN_MS - 1.0
+    clock.at = LINE_TIMEOUT_MS - 1.0
     deadlines.run(clock.now())
     other = Caller(made)
     other.protocol.dataReceived(b"ready\r\n")
     assert other.text == b"OK yes\n" and other.closed
     assert not silent.closed
-    clock.at = SAY_WITHIN_MS
+    clock.at = LINE_TIMEOUT_MS
     deadlines.run(clock.now())
     assert silent.closed and silent.text == b""
     assert made.open == 0
@@ -273,9 +280,9 @@
 def test_the_door_bounds_lines_and_connections() -> None:
     made, _, _ = door()
     long = Caller(made)
-    long.protocol.dataReceived(b"x" * LONGEST_LINE)
+    long.protocol.dataReceived(b"x" * MAX_LINE_BYTES)
     assert long.text == b"ERR line too long\n" and long.closed
-    held = [Caller(made) for _ in range(MOST_OPEN)]
+    held = [Caller(made) for _ in range(MAX_CONNECTIONS)]
     extra = Caller(made)
     assert extra.text == b"ERR busy\n" and extra.closed
     assert not any(caller.closed for caller in held)
@@ -302,9 +309,9 @@
 
 
 def test_an_argument_is_a_word_or_json() -> None:
-    assert operator.argument(' {"id": 7} ') == "7"
+    assert operator.parse_argument(' {"id": 7} ') == "7"
     with pytest.raises(OperatorError):
-        operator.argument('{"id": true}')
+        operator.parse_argument('{"id": true}')
 
 
 def test_a_bad_inherited_descriptor_is_named(tmp_path: pathlib.Path) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,9 +6,9 @@
 
 from frostport.decide import Controller
 from frostport.net.front import PlatformFront
-from frostport.net.jsonl import LINES_A_TURN
+from frostport.net.jsonl import LINES_PER_TURN
 from frostport.sides import PlatformSide
-from tests.scenario import START_MS, Nobody, Wire, event, host, platform, play
+from tests.scenario import START_MS, ClosedEnd, Wire, event, host, platform, play
 
 REFUSED_AND_OVER = (
     r'{"verb":"FINISH","tag":"000000000000000a","opts":{},"rc":102}\n'
@@ -764,15 +764,15 @@
     wire = Wire(world, flood)
     wire.other = Wire(world, world.actors["c2"])
     flood.makeConnection(wire)
-    line = b'{"verb":"ECHO","tag":"0000000000000002"}'.ljust(flood.read_ahead // LINES_A_TURN) + b"\n"
-    flood.dataReceived(line * LINES_A_TURN)
-    assert not wire.paused and not flood._waiting  # one turn's lines: a close behind them is heard
+    line = b'{"verb":"ECHO","tag":"0000000000000002"}'.ljust(flood.read_ahead_bytes // LINES_PER_TURN) + b"\n"
+    flood.dataReceived(line * LINES_PER_TURN)
+    assert not wire.paused and not flood._pending_lines  # one turn's lines: a close behind them is heard
     world.settle()
     world.actors["c2"].inbox.clear()
-    flood.dataReceived(line * (2 * LINES_A_TURN + 1))
-    assert len(world.later) == LINES_A_TURN and wire.paused
+    flood.dataReceived(line * (2 * LINES_PER_TURN + 1))
+    assert len(world.later) == LINES_PER_TURN and wire.paused
     world.settle()
-    assert len(world.actors["c2"].inbox) == 2 * LINES_A_TURN + 1 and not wire.paused
+    assert len(world.actors["c2"].inbox) == 2 * LINES_PER_TURN + 1 and not wire.paused
 
 
 def test_in_a_full_table_the_silent_make_room_first_and_those_who_wait_for_an_answer_stay() -> None:
@@ -780,7 +780,7 @@
     factory, agent = world.reactor.factory, world.agent
     for _ in range(2 * agent.config.sockets):
         wire = Wire(world, factory.buildProtocol(None))
-        wire.other = Wire(world, Nobody())
+        wire.other = Wire(world, ClosedEnd())
         wire.protocol.makeConnection(wire)
         world.wait(1.0)
     front = agent.side.front
@@ -830,7 +830,7 @@
     assert set(module.controls) == names and not module.calls and not module.held
     assert all(control.out == 0 for control in module.controls.values())
     assert not agent.broker.by_id and not len(agent.broker.requests) and len(agent.broker.ended_ids) == 1
-    assert not side.front.owed and len(side.front.connections) == 1
+    assert not side.front.pending_releases and len(side.front.connections) == 1
     assert len(side.servers.connections) == sum(
         len(lobby.connections) for lobby in side.servers.members.values()
     )
--- a/trials/planted.py
+++ b/trials/planted.py
@@ -60,7 +60,7 @@
         connection = self.connections.get(request.place)
         real(self, request, description)
         if connection is not None:
-            connection.open[request.id] = request
+            connection.open_set_ups[request.id] = request
             real(self, request, description)
 
     setattr(PlatformFront, "stands", stands)  # noqa: B010
