--- a/frostport/net/__init__.py
+++ b/frostport/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wires: JSON lines to clients and lobby servers, the event bus, datagrams between agents."""
+"""Networking: JSON lines to clients and servers, the event bus, links and datagrams between agents."""
--- a/frostport/net/bus.py
+++ b/frostport/net/bus.py
@@ -1,4 +1,8 @@
-"""The event bus: numbered events that carry the server list and its changes."""
+"""The event bus: numbered events that carry the server list and its changes.
+
+On each connection the agent writes `from N`, and the bus answers with the events after number N. Between
+events it sends a bare number each second.
+"""
 
 from __future__ import annotations
 
@@ -22,27 +26,30 @@
 
 log = logging.getLogger("frostport.bus")
 
-REDIAL_MS = 200.0  # at most, and at least half: all that a lost bus held would else dial it in step
-CONNECT_TIMEOUT_MS = 1000.0  # a connection that is not up by then is dialed anew
+REDIAL_MS = 200.0  # upper bound; the pause is drawn from its upper half, so that agents don't dial in step
+CONNECT_TIMEOUT_MS = 1000.0
 ADDRESS_PATTERN = re.compile(r"[^:\s]+:[0-9]{1,5}\Z")
-MAX_LINE_BYTES = 1024 * 1024  # a whole list may be long
-SILENCE_TIMEOUT_MS = (
-    2500.0  # a line comes each second: this long without a whole one, the connection is given up
-)
+MAX_LINE_BYTES = 1024 * 1024  # an event may carry the whole list
+SILENCE_TIMEOUT_MS = 2500.0  # without a complete line; one is due each second
 
 
 class ServerList:
-    """Applies events to the list, and hands them to the servers' side and to the broker in turn."""
+    """The server list as of the last event; passes each change to the upstream servers and the broker."""
 
     def __init__(self, broker: Broker, servers: UpstreamPool) -> None:
         self.broker, self.servers = broker, servers
-        self.offset, self.unreadable_offset = 0, -1  # the last event had, and the last that could not be read
+        self.offset, self.unreadable_offset = (
+            0,
+            -1,
+        )  # the last event applied, and the last that failed to parse
         self.version = 0
         self.entries: dict[str, tuple[api.Server, str]] = {}
 
     def load_known(self, batch: list[dict[str, Any]], offset: int) -> None:
-        """The events up to the start make one list, as the module last had it."""
-        if offset >= self.offset:  # else the list on record is newer than the one that the start was given
+        """Loads the events of the configuration, up to number `offset`, and announces the list.
+
+        They are ignored if the list on record is newer."""
+        if offset >= self.offset:
             self.entries.clear()
             for event in batch:
                 self.version, whole, entries = parse_event(event)
@@ -55,15 +62,17 @@
         self.broker.recorder.bus(self.offset, self.version)
 
     def resume(self, offset: int, version: int, entries: Iterable[tuple[api.Server, str]]) -> None:
-        """The list as it was on record: servers and their addresses."""
+        """Restores the list on record: servers with their dial addresses."""
         self.offset, self.version = offset, version
         self.entries = {server.address: (server, dial) for server, dial in entries}
 
     def apply_event(self, record: dict[str, Any]) -> None:
-        """One later event; one that was heard before is passed over."""
+        """Applies one event; one already applied is skipped.
+
+        Raises BadLineError when it can't be parsed for the first time; the second time it is skipped."""
         offset = record.get("offset")
         if isinstance(offset, bool) or not isinstance(offset, int):
-            raise BadLineError("offset: not a whole number")
+            raise BadLineError("offset: not an integer")
         if offset <= self.offset:
             return
         if "topology" in record:
@@ -73,8 +82,8 @@
                 if offset != self.unreadable_offset:
                     self.unreadable_offset = offset
                     raise
-                # Guards against asking for ever: told twice, it is the event and not the way that is bad.
-                log.error("event %d passed over: %s", offset, problem)
+                # Received twice, the event itself is bad, not its transmission: asking again would never end.
+                log.error("event %d skipped: %s", offset, problem)
                 self._advance(offset)
                 return
             self.version = version
@@ -103,7 +112,9 @@
 
 
 def parse_event(record: dict[str, Any]) -> tuple[int, bool, list[tuple[api.Server, str]]]:
-    """An event's version, whether it is the whole list, and its servers with their addresses."""
+    """An event's list version, whether it is the complete list, and its servers with their dial addresses.
+
+    Raises BadLineError."""
     try:
         topology = record["topology"]
         entries = []
@@ -134,7 +145,7 @@
     def __init__(self, bus: EventBus) -> None:
         super().__init__(bus.clock, bus.deadlines, MAX_LINE_BYTES)
         self.bus = bus
-        self.answered = False  # a line has come on it
+        self.answered = False  # a line has been received on it
 
     def on_open(self) -> None:
         self.bus.on_connected(self)
@@ -150,12 +161,12 @@
             self.bus.server_list.apply_event(record)
             self.bus.dialing.told(self.bus.server_list.offset, line)
         elif isinstance(record, bool) or not isinstance(record, int):
-            raise BadLineError("neither an event nor a number")
+            raise BadLineError("neither an event nor an integer")
         else:
             self.bus.dialing.heard()
 
     def on_malformed(self, problem: BadLineError) -> None:
-        # Guards against an event lost for good: what follows it would be applied, its number passed over.
+        # Guards against losing the event: later ones would be applied, and it would never be sent again.
         self.drop()
 
     def on_close(self) -> None:
@@ -163,28 +174,27 @@
 
 
 class EventBus:
-    """Keeps one connection to the event bus, and asks each new one for what came since the last event."""
+    """Keeps one connection to the event bus, and asks on each new one for the events since the last."""
 
     def __init__(
         self,
         server_list: ServerList,
         address: str | None,
         connect: Callable[[str, BusConnection], defer.Deferred[object]],
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
-        self.rng = chance or random.Random(0)
+        self.rng = rng or random.Random(0)
         self.server_list, self.address, self.connect = server_list, address, connect
         self.clock, self.deadlines = server_list.broker.clock, server_list.broker.deadlines
         self.connection: BusConnection | None = None
-        self.earlier_connection: BusConnection | None = (
-            None  # asked before, silent, and still open: it may yet answer
-        )
+        # Has not answered the request yet and stays open, as it may still do so.
+        self.earlier_connection: BusConnection | None = None
         self.dialing: Dialing = EAGER
         self.pending_dial: defer.Deferred[object] | None = None
-        self._timer: Deadline | None = None  # the next dial, or the end of a silence
+        self._timer: Deadline | None = None  # for the next dial, or for silence
 
     def start(self) -> None:
-        """At its turn; it may have none, and be started later."""
+        """Dials when `dialing` allows; with an infinite wait, `start_in` is called later."""
         wait = self.dialing.first(LIST)
         if wait <= 0.0:
             self._dial()
@@ -192,6 +202,7 @@
             self.start_in(wait)
 
     def start_in(self, wait_ms: float) -> None:
+        """Dials after `wait_ms`."""
         self._set_timer(wait_ms, self._dial)
 
     def _dial(self) -> None:
@@ -213,7 +224,7 @@
         self._set_timer(self.dialing.again(LIST, pause_ms), self._dial)
 
     def disconnect(self) -> None:
-        """No connection, and none on its way, until it is started again."""
+        """Drops the connections and any dial in progress, until it is started again."""
         old, self.connection = self.connection, None
         dialing, self.pending_dial = self.pending_dial, None
         self._drop_earlier()
@@ -225,10 +236,12 @@
             old.drop()
 
     def change_address(self, address: str | None) -> None:
-        """Another address from now on: the numbers go on there, and the old connection is left."""
+        """Moves to a bus at another address, where the event numbers continue."""
         if address == self.address:
             return
-        log.info("event bus: %s from now on, from %d", address, self.server_list.offset)
+        log.info(
+            "event bus: address changed to %s, continuing from event %d", address, self.server_list.offset
+        )
         self.address = address
         self.disconnect()
         self.start()
@@ -239,37 +252,39 @@
         self._timer = self.deadlines.set(self.clock.now() + ms, action)
 
     def on_connected(self, connection: BusConnection) -> None:
+        """Asks on a new connection for the events after the last one applied."""
         if connection is not self.connection:
-            connection.drop()  # it came up after its address was left
+            connection.drop()  # its dial had been given up
             return
         connection.write(b"from %d\n" % self.server_list.offset)
         self.dialing.up(LIST)
         self.on_line_received(connection)
 
     def on_line_received(self, connection: BusConnection) -> None:
-        """A line came, or the connection is up."""
+        """Restarts the silence timer; called for each line and when a connection opens."""
         if connection is self.earlier_connection:
             self._keep_earlier(connection)
         if connection is self.connection:
             self._set_timer(SILENCE_TIMEOUT_MS, self._on_silence)
 
     def _on_silence(self) -> None:
-        """Nothing came for too long. One that has never answered is left open while another is asked.
+        """Handles a silent connection; one that has never answered stays open while another is asked.
 
-        Guards against a discovery that is slow to answer: each connection would be given up before."""
+        Guards against a bus that is slower to answer than the timeout: each connection would be given up
+        before its answer."""
         connection = self.connection
         if connection is None:
             return
         if connection.answered:
             connection.drop()
             return
-        log.info("event bus: no answer for %.0f ms, asked on another connection", SILENCE_TIMEOUT_MS)
+        log.info("event bus: no answer for %.0f ms, asking on another connection", SILENCE_TIMEOUT_MS)
         self._drop_earlier()
         self.earlier_connection = connection
         self._dial()
 
     def _keep_earlier(self, connection: BusConnection) -> None:
-        """The connection that was asked first has answered: the other is not needed."""
+        """Returns to the connection that was asked first, as it has answered; drops the other."""
         later, dialing = self.connection, self.pending_dial
         self.connection, self.earlier_connection, self.pending_dial = connection, None, None
         if dialing is not None:
@@ -278,14 +293,15 @@
             later.drop()
 
     def _drop_earlier(self) -> None:
-        slow, self.earlier_connection = self.earlier_connection, None
-        if slow is not None:
-            slow.drop()
+        earlier, self.earlier_connection = self.earlier_connection, None
+        if earlier is not None:
+            earlier.drop()
 
     def on_lost(self, connection: BusConnection) -> None:
+        """Dials again when the connection in use is lost."""
         if connection is self.earlier_connection:
             self.earlier_connection = None
         if connection is self.connection:
-            log.warning("event bus lost; again from %d", self.server_list.offset)
+            log.warning("event bus: connection lost, continuing from event %d", self.server_list.offset)
             self.dialing.lost(LIST)
             self._redial()
--- a/frostport/net/connection_lag.py
+++ b/frostport/net/connection_lag.py
@@ -1,4 +1,4 @@
-"""Finds the connections to an upstream server that have fallen silent beside others that have not."""
+"""Detects connections to an upstream server that have fallen silent while others have not."""
 
 from __future__ import annotations
 
@@ -15,27 +15,25 @@
 
 log = logging.getLogger("frostport.upstream")
 
-REPORT_SKEW_MS = 150.0  # by so much the connections may differ in when they bring a report
-SILENCE_LIMIT_MS = (
-    1000.0  # a connection on which nothing came for so long, while something was due, is of no use
-)
+REPORT_SKEW_MS = 150.0  # how far apart a report may arrive on two connections; also the time for a test
+SILENCE_LIMIT_MS = 1000.0  # without any data while some was due, after which a connection is out of use
 
 
 class LagDetector:
-    """Compares when the connections to one server bring its reports, and tests those that lag behind."""
+    """Compares when a server's reports arrive on its connections, and tests or closes those that lag."""
 
     def __init__(self, server: UpstreamServer) -> None:
         self._server = server
-        self._reported_at = -math.inf  # when a report came unasked
+        self._reported_at = -math.inf  # the last unsolicited report on any connection
         self._check_timer: Deadline | None = None
 
     def stop(self) -> None:
-        """The server is off the list: nothing is compared any more."""
+        """Stops comparing, once the server is off the list."""
         if self._check_timer is not None:
             self._check_timer.cancel()
 
     def start_test(self, connections: list[ServerConnection]) -> None:
-        """Guards against silent connections that stay open: each has to answer."""
+        """Sends a test on each connection; one without any data within REPORT_SKEW_MS is closed."""
         if not connections:
             return
         asked = self._server.pool.clock.now()
@@ -45,25 +43,23 @@
         self._server.pool.deadlines.set(asked + REPORT_SKEW_MS, lambda: self.finish_test(connections, asked))
 
     def finish_test(self, connections: list[ServerConnection], asked: float) -> None:
-        """Closes those that have said nothing since they were asked."""
+        """Closes the connections without data since the test at `asked` (ms)."""
         for connection in connections:
             if connection in self._server.connections and connection.heard_at <= asked:
                 log.info("%s: connection %d does not answer", self._server.host, connection.slot)
                 connection.abandon()
 
     def on_report(self, connection: ServerConnection) -> None:
-        """A report came unasked. It comes on each connection, on all at once or on each in its own time."""
+        """Called for an unsolicited report; the server sends it on each connection, not always at once."""
         connection.reported_at = self._server.pool.clock.now()
         if not connection.greeted:
-            connection.greeted = self._server.sends_greeting = (
-                True  # a new connection's own report goes to no other
-            )
+            # The report on a new connection is sent on that one only.
+            connection.greeted = self._server.sends_greeting = True
             return
         self._reported_at = connection.reported_at
         for other in self._server.connections:
-            if (
-                other.reported_at < self._reported_at - REPORT_SKEW_MS
-            ):  # else it has had this one, or the last
+            # Otherwise this report, or the one before it, has arrived there.
+            if other.reported_at < self._reported_at - REPORT_SKEW_MS:
                 other.lagging_since = min(other.lagging_since, self._reported_at)
         if self._check_timer is None:
             self._check_timer = self._server.pool.deadlines.set(
@@ -71,10 +67,10 @@
             )
 
     def check_lag(self) -> None:
-        """Guards against a connection that stays open and silent: with few set-ups out, it gets ever more.
+        """Tests the connections that lag; where probes are not allowed, closes them after SILENCE_LIMIT_MS.
 
-        One that lags behind the others is tested; where tests are not allowed, it is closed once it has
-        lagged for as long as a set-up may go unheard."""
+        Guards against an open connection that has gone silent: as the one with the fewest open attempts, it
+        would get ever more of them."""
         self._check_timer = None
         now = self._server.pool.clock.now()
         behind = [at for at in self._server.connections if at.lagging_since <= now - REPORT_SKEW_MS]
--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -1,4 +1,7 @@
-"""The platform's front: JSON lines from clients, as thin as it can be."""
+"""The platform's front: the JSON-lines connections of clients.
+
+It parses set-ups and releases, hands them to the broker, and writes the broker's answers. Routing decisions
+are made elsewhere."""
 
 from __future__ import annotations
 
@@ -22,62 +25,63 @@
 
 log = logging.getLogger("frostport.front")
 
-RELEASE_RETRY_WINDOW_MS = 8000.0  # a release not yet heard is sent again on another connection for so long
-RELEASE_RETRY_MS = 250.0  # after this long without a word on it
-FIRST_LINE_TIMEOUT_MS = 2000.0  # a connection that has said nothing whole by then is closed
-PARTIAL_LINE_TIMEOUT_MS = 2000.0  # so is one that stops in the middle of a line
-WRITE_STALL_TIMEOUT_MS = 2000.0  # and one that does not read what is sent to it
-CLOSE_TIMEOUT_MS = 1000.0  # for what was said before a close to leave
-MAX_MALFORMED_LINES = 3  # set-ups that can't be used, on one connection, before it is closed
-MAX_OPEN_SET_UPS = 100  # open set-ups on one connection: it is refused more
-MAX_DESCRIPTION_BYTES = jsonl.MAX_LINE_BYTES - 512  # a set-up of this size still fits a line when it goes on
-UNSENT_RELEASE_KEEP_MS = 60_000.0  # one that could be told nobody is kept so long for the next that connects
+RELEASE_RETRY_WINDOW_MS = 8000.0  # how long an unconfirmed release is resent, on other connections
+RELEASE_RETRY_MS = 250.0  # wait for the confirmation of a release before it is sent again
+FIRST_LINE_TIMEOUT_MS = 2000.0  # from connect to the first complete line
+PARTIAL_LINE_TIMEOUT_MS = 2000.0  # for a line that has begun to be completed
+WRITE_STALL_TIMEOUT_MS = 2000.0  # for a client to read what was written to it
+CLOSE_TIMEOUT_MS = 1000.0  # for buffered output to be sent before a connection is aborted
+MAX_MALFORMED_LINES = 3  # malformed set-ups on one connection before it is closed
+MAX_OPEN_SET_UPS = 100  # per connection; further ones are refused
+MAX_DESCRIPTION_BYTES = jsonl.MAX_LINE_BYTES - 512  # leaves room for the other fields of the forwarded line
+UNSENT_RELEASE_KEEP_MS = 60_000.0  # how long a release is kept for the next client if none is connected
 KEY_PATTERN = re.compile(r"[0-9a-fA-F]{1,16}\Z")
 INTEGER_PATTERN = re.compile(r"-?[0-9]{1,9}\Z")
 CAUSE_BY_OUTCOME = {Outcome.OK: jsonl.NORMAL, Outcome.CANCELLED: jsonl.NORMAL}
-# The figures of a set-up, and how far each may go; the pool of first choice is also looked up.
+# The numbers in a set-up's `extras` with their ranges; `dest` must also be one of the class's pools.
 EXTRAS_RANGES = {"dest": (-1, 0xFFFF), "width": (1, 0xFFFF), "via": (-1, 0xFFFF), "again": (0, 1)}
 
 
 @dataclass(slots=True)
 class PendingRelease:
-    """A release that no client has confirmed yet."""
+    """The release of a call, to be sent to a client until one confirms it."""
 
     cause: int
-    since: float
-    slot: int  # the connection it went out on, -1: none
-    host: str  # where the call's client connects from
-    said_at: float = 0.0
-    given: Given | None = None  # the answer on record, where the client may not have heard it
-    held_until: float = 0.0  # not told before: until then a repeated set-up gets the answer, and this after
+    since_ms: float
+    slot: int  # the connection that it was last sent on; -1: none
+    host: str  # the address of the client that set the call up
+    sent_at_ms: float = 0.0
+    answer: Given | None = None  # the recorded answer to the set-up, if the client may have missed it
+    hold_until_ms: float = (
+        0.0  # not sent before; a repeated set-up meanwhile gets the answer, then the release
+    )
 
 
 class ClientConnection(LineConnection):
-    """One connection of clients; it carries many calls and owns none that stands.
+    """One connection of a client. It carries many calls; an established call outlives it.
 
-    Each set-up that it opened ends through its answer or `Broker.gone`, once; no attempt
-    begins for one whose client has closed or given it up, wherever that is heard first."""
+    Each set-up opened on it ends exactly once, through its answer or `Broker.gone`. No attempt starts for a
+    set-up whose client has closed the connection or given it up, wherever that is noticed first."""
 
-    read_ahead_bytes = (
-        64 * 1024
-    )  # guards against a close or a give-up that nobody hears behind a turn's lines
+    # Reading ahead while lines wait finds a close or a give-up behind the lines of the current turn.
+    read_ahead_bytes = 64 * 1024
 
     def __init__(self, front: PlatformFront, seat: Seat) -> None:
         super().__init__(front.broker.clock, front.broker.deadlines)
         self.front, self.seat = front, seat
-        self.seat_in_use = False  # its seat is known to be in use
+        self.seat_in_use = False  # as last reported to the gate
         self.slot = -1
         self.host = ""
         self.open_set_ups: dict[str, Request] = {}
-        self.heard_at = 0.0  # the last whole line
-        self.identified = False  # a well-formed message has come
-        self.trusted = False  # a call has stood here, or a release was heard: a usual client's
+        self.heard_at = 0.0  # when the last complete line arrived
+        self.identified = False  # a well-formed message has been received
+        self.trusted = False  # an answer was sent or a release confirmed on it: a regular client
         self.malformed_count = 0
-        self.unconfirmed_releases: set[str] = set()  # releases said here and not confirmed
-        self.standing: set[str] = set()  # calls answered here that stand: their release is told here
+        self.unconfirmed_releases: set[str] = set()  # sent on it, not confirmed yet
+        self.standing: set[str] = set()  # established calls answered on it
         self._timeout: Deadline | None = None
-        self._unhandled_set_ups: set[str] = set()  # set-ups read and not handled yet
-        self._early_give_ups: Counter[str] = Counter()  # those of them whose give-up has been read as well
+        self._unhandled_set_ups: set[str] = set()  # read, not handled yet
+        self._early_give_ups: Counter[str] = Counter()  # give-ups read for those
 
     def on_open(self) -> None:
         self.slot = self.front.connections.add(self)
@@ -86,7 +90,7 @@
         self.front.connections_by_seat[self.seat.number] = self
         self.heard_at = self.clock.now()
         self.transport.registerProducer(self, True)
-        # Guards against connections that come by hundreds and say nothing, or half a line.
+        # Guards against hundreds of connections that send nothing, or part of a line.
         self._set_timeout(FIRST_LINE_TIMEOUT_MS)
 
     def _set_timeout(self, ms: float | None, then: Callable[[], None] | None = None) -> None:
@@ -98,18 +102,20 @@
         self._set_timeout(None)
         self.front.connection_lost(self)
 
-    # As the producer of what is written to it
+    # Twisted's IPushProducer: backpressure from the output buffer
 
     def pauseProducing(self) -> None:  # noqa: N802 (Twisted's name)
-        """Guards against a client that asks and does not read: nothing is begun for it until it does.
+        """Guards against a client that sends requests and does not read: none is handled until it does.
 
-        What is read ahead meanwhile tells of its give-ups."""
+        Lines read ahead meanwhile are searched for give-ups."""
         self.write_blocked = True
         if self.alive:
             self._set_timeout(WRITE_STALL_TIMEOUT_MS, self._on_write_stall)
 
     def _on_write_stall(self) -> None:
-        """It has not read for too long. Guards releases among lines that wait: they count as on a close."""
+        """Closes a client that has not read for too long.
+
+        Lines already read are handled first, as on a close, so that releases among them are not lost."""
         self.peer_closed = True
         self._handle_lines(len(self._pending_lines))
         self.drop()
@@ -123,12 +129,12 @@
     def stopProducing(self) -> None:  # noqa: N802
         pass
 
-    # What it says
+    # Input
 
     def on_lines_read(self, lines: list[tuple[bytes, bool]]) -> list[tuple[bytes, bool]]:
-        """Guards against an attempt for a set-up that is given up already, in lines read and not handled.
+        """Looks for give-ups in lines that are read and not handled yet, to start no attempt in vain.
 
-        A give-up of an open set-up is handled at once; one of a set-up that waits here stops it."""
+        The give-up of an open set-up is handled at once; that of a set-up still waiting here cancels it."""
         if not self.write_blocked and not self._pending_lines and len(lines) < 2:
             return lines
         later = []
@@ -147,18 +153,18 @@
         return later
 
     def _still_wanted(self, tag: str) -> bool:
-        """Whether a set-up that was read is still wanted now that its turn has come.
+        """Whether a set-up is still wanted when its turn to be handled comes.
 
-        One that repeats a known call goes its usual way: its give-up releases what stands."""
+        The repeated set-up of a known call is handled in any case: its give-up then releases the call."""
         self._unhandled_set_ups.discard(tag)
         return not (self.peer_closed or self._early_give_ups[tag]) or not self.front.is_new_call(tag)
 
     def _cancels_unhandled(self, tag: str) -> bool:
-        """A give-up whose turn has come: whether it was for a set-up that it stopped here."""
+        """Whether a give-up is for a set-up that it cancelled before it was handled."""
         given_up = self._early_give_ups[tag] > 0
         if given_up:
             self._early_give_ups.subtract((tag,))
-            self._early_give_ups += Counter()  # drops what has come to nought
+            self._early_give_ups += Counter()  # drops counts of zero
         return given_up and self.front.is_new_call(tag)
 
     def on_read(self) -> None:
@@ -211,16 +217,16 @@
             self.close_gracefully()
 
     def update_seat(self) -> None:
-        """Tells the gate whether the seat is in use: by an open set-up, or something owed."""
+        """Tells the gate whether the seat is in use: by an open set-up or an unconfirmed release."""
         used = bool(self.open_set_ups or self.unconfirmed_releases)
         if used is not self.seat_in_use:
             self.seat_in_use = used
             (self.front.gate.took if used else self.front.gate.done)(self.seat)
 
     def close_if_idle(self) -> None:
-        """While the agent empties, closes once nothing is open or owed here and nothing waits to be read.
+        """Closes an idle connection without pending input, while the agent empties its connections.
 
-        Guards against losing a request: one that was read, or begun, is served first."""
+        A request that has been read, even in part, is served first, so that none is lost."""
         if (
             self.alive
             and self.identified
@@ -232,17 +238,17 @@
             self.close_gracefully()
 
     def carries_calls(self) -> bool:
-        """Whether a call that is not over, or whose end is not confirmed, was set up or is told here."""
+        """Whether it has an open set-up, an established call or an unconfirmed release."""
         return bool(self.open_set_ups or self.standing or self.unconfirmed_releases)
 
     def can_carry_release(self) -> bool:
-        """Whether a release may be told here."""
+        """Whether a release may be sent on it now."""
         return self.alive and not self.closing and self.identified and not self.write_blocked
 
     def close_gracefully(self) -> None:
-        """Closes once what was said has left; each set-up still open here is answered first.
+        """Fails the set-ups still open, then closes once the buffered output is sent.
 
-        An answer may wait for its record: the close comes after it. Nothing more is heard meanwhile."""
+        The close waits for answers that are still being put on record. Input is ignored meanwhile."""
         if self.alive and not self.closing:
             self.closing = True
             for request in list(self.open_set_ups.values()):
@@ -262,13 +268,15 @@
 
 
 def parse_extras(text: str, pools: Iterable[int] | None) -> dict[str, int]:
-    """The figures in `extras`; guards the module and the servers behind it against any out of range."""
+    """The numbers in a set-up's `extras`; `pools` are those of its class, None where it has no pools.
+
+    Raises BadLineError for one out of range, which neither the module nor a server should see."""
     found = {}
     for pair in text.split(";") if text else ():
         name, colon, value = pair.partition(":")
         if name in EXTRAS_RANGES or not colon:
             if not INTEGER_PATTERN.match(value):
-                raise BadLineError(f"opts.extras: {pair[:40]!r}: not a whole number")
+                raise BadLineError(f"opts.extras: {pair[:40]!r}: not an integer")
             least, most = EXTRAS_RANGES[name]
             if not least <= int(value) <= most:
                 raise BadLineError(f"opts.extras: {pair[:40]!r}: out of range")
@@ -279,21 +287,23 @@
 
 
 def is_repeat(message: Message, given: Given, connection: ClientConnection) -> bool:
-    """Whether a set-up is the very one that has been answered."""
+    """Whether a set-up is identical to the one that `given` answered."""
     return message.blob is not None and given.repeats(
         message.opts.get("class", ""), connection.host, message.blob.encode()
     )
 
 
 class PlatformFront:
-    """Reads set-ups and releases from clients, and writes answers, refusals and releases to them."""
+    """The broker's `Front` for clients that speak JSON lines.
+
+    It also keeps the releases of calls that ended at a server until a client confirms them."""
 
     def __init__(self, broker: Broker, lifecycle: Lifecycle, gate: Gate) -> None:
         self.broker, self.lifecycle, self.gate = broker, lifecycle, gate
         self.connections: Slots[ClientConnection] = Slots()
         self.connections_by_seat: dict[int, ClientConnection] = {}
         self.pending_releases: dict[str, PendingRelease] = {}
-        self.failed_ids: dict[str, float] = {}  # told as over without their answer: that was the final word
+        self.failed_ids: dict[str, float] = {}  # ended without their answer sent; id -> when, ms
         self._retry_timer: Deadline | None = None
         settings = broker.rules.settings
         self.longest_deadline_ms = max((cls.deadline_ms for cls in settings.classes), default=0.0)
@@ -302,31 +312,31 @@
         return self.lifecycle.ready()
 
     def empty(self) -> None:
-        """The agent empties: connections that hold nothing close now, the others once they do."""
+        """Closes idle connections while the agent empties; the others close once they are idle."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def hang_up(self) -> None:
-        """The program ends: closes every connection once what was said on it has left."""
+        """Closes every connection at the end of the program, once its buffered output is sent."""
         for connection in list(self.connections):
             connection.close_gracefully()
 
     def held(self) -> int:
-        """Client connections still open."""
+        """The number of open client connections."""
         return len(self.connections)
 
     def busy(self) -> bool:
-        """Whether a connection has a set-up open, a call standing or a release to be confirmed."""
+        """Whether any connection has an open set-up, an established call or an unconfirmed release."""
         return any(at.carries_calls() for at in self.connections)
 
     def build(self, address: str) -> ClientConnection | None:
-        """A protocol for a new connection that the gate admits; those who make room for it are closed."""
+        """A protocol for a new connection if the gate admits it; those evicted for it are closed."""
         verdict = self.gate.arrive(address, self.broker.clock.now())
         self.shed(verdict.shed)
         return None if verdict.seat is None else ClientConnection(self, verdict.seat)
 
     def shed(self, seats: Iterable[Seat]) -> None:
-        """Closes connections that the gate has given up."""
+        """Closes connections that the gate evicts."""
         for seat in seats:
             connection = self.connections_by_seat.get(seat.number)
             if connection is not None:
@@ -336,14 +346,16 @@
     def record_offence(self, connection: ClientConnection) -> None:
         now = self.broker.clock.now()
         if self.gate.is_known(connection.host, now):
-            connection.complaints.say(now, connection.peer, f"a known client's, {connection.host}")
+            connection.complaints.say(
+                now, connection.peer, f"malformed line from a known client, {connection.host}"
+            )
         self.gate.offends(connection.host, now)
 
     # From clients
 
     def is_new_call(self, call: str) -> bool:
-        """Whether a set-up of this id would begin a call: none is open, standing, ending or owed its end,
-        here or in the process before this one."""
+        """Whether no call of this id is open, established, ending or still to be released, here or in the
+        process that hands over to this one."""
         broker = self.broker
         return (
             broker.find(call) is None
@@ -360,7 +372,7 @@
                 self.reject_duplicate(connection, known)
             return
         if tag in self.failed_ids or (
-            (owed := self.pending_releases.get(tag)) is not None and owed.given is not None
+            (release := self.pending_releases.get(tag)) is not None and release.answer is not None
         ):
             self.answer_ended_call(connection, message)
             return
@@ -369,12 +381,12 @@
         if name not in broker.rules.pools:
             raise BadLineError(f"opts.class: unknown: {name[:40]!r}")
         if not 0.0 < left <= self.longest_deadline_ms * 2.0:
-            raise BadLineError("opts.left: no time that a caller could wait")
+            raise BadLineError("opts.left: not a positive time in ms, or over twice the longest deadline")
         if key and not KEY_PATTERN.match(key):
             raise BadLineError("opts.key: not 16 hex digits")
         if message.blob is None or len(message.blob.encode()) + len(name) > MAX_DESCRIPTION_BYTES:
-            raise BadLineError("blob: no description, or one too long to go on")
-        parse_numbers = parse_extras(opts.get("extras", ""), broker.rules.pools[name])
+            raise BadLineError("blob: no description, or one too long to forward")
+        extras = parse_extras(opts.get("extras", ""), broker.rules.pools[name])
         if (
             not self.lifecycle.takes()
             or len(connection.open_set_ups) >= MAX_OPEN_SET_UPS
@@ -409,16 +421,20 @@
                 name,
                 team,
                 left,
-                parse_numbers.get("dest", -1),
+                extras.get("dest", -1),
                 int(key, 16) if key else 0,
                 redial=opts.get("retry", "0") not in ("", "0"),
-                cut_before=bool(parse_numbers.get("again", 0)),
+                cut_before=bool(extras.get("again", 0)),
             ),
         )
 
     def reject_duplicate(self, connection: ClientConnection, known: Request) -> None:
-        """Guards against an id that is open or stands: which one an answer is for, nobody could tell."""
-        connection.complaints.say(self.broker.clock.now(), connection.peer, f"set-up {known.id} came again")
+        """Refuses a set-up whose id is in use: nobody could tell which of the two an answer is for.
+
+        Repeated on its own connection, the open set-up itself fails. The connection is closed."""
+        connection.complaints.say(
+            self.broker.clock.now(), connection.peer, f"set-up {known.id}: id already in use"
+        )
         if known.front is not self or known.place != connection.slot:
             connection.send_message(Message("FINISH", known.id, rc=jsonl.OVERLOADED))
         elif known.state is State.OPEN:
@@ -426,10 +442,10 @@
         connection.close_gracefully()
 
     def repeat_answer(self, connection: ClientConnection, known: Request, message: Message) -> bool:
-        """A client repeats a set-up whose answer is on record, and may never have come to it.
+        """Sends the recorded answer again to a client that repeats a set-up and may have missed the answer.
 
-        It gets that answer, and there is no second set-up; False where this is another set-up, or the
-        connection that the answer was given on is still there."""
+        Returns False, and sends nothing, if this is a different set-up or the connection on which the answer
+        was sent is still open."""
         if (
             known.given is None
             or known.id in getattr(self.connections.get(known.place), "standing", ())
@@ -447,28 +463,29 @@
         connection.send_message(Message("STARTED", call, blob=str(given.answer)))
 
     def answer_ended_call(self, connection: ClientConnection, message: Message) -> None:
-        """A client repeats a set-up that was answered, and whose call is over by now: it gets one final word.
+        """Answers the repeated set-up of a call that has ended by now.
 
-        While the end is held back, that is the answer, with the release after it; once the end has been told,
-        it is the end, a failure to whom still waits: no answer comes after it."""
-        call, owed = message.tag, self.pending_releases.get(message.tag)
-        if owed is None:
+        While the release is held back, the client gets the recorded answer and then the release. Once the
+        release has been sent it gets that alone, which a waiting client takes for a failure: an answer after
+        it would be a second final answer."""
+        call, release = message.tag, self.pending_releases.get(message.tag)
+        if release is None:
             connection.send_message(Message("FINISH", call, rc=jsonl.BROKEN))
-        elif owed.given is None or not is_repeat(message, owed.given, connection):
+        elif release.answer is None or not is_repeat(message, release.answer, connection):
             connection.send_message(Message("FINISH", call, rc=jsonl.OVERLOADED))
             connection.close_gracefully()
         else:
-            if owed.held_until:
-                self._send_answer(connection, call, owed.given)
-                owed.held_until, owed.given = 0.0, None
+            if release.hold_until_ms:
+                self._send_answer(connection, call, release.answer)
+                release.hold_until_ms, release.answer = 0.0, None
             self._send_release(call, connection)
 
     def handle_finish(self, connection: ClientConnection, message: Message) -> None:
-        """A give-up before the answer, or the release of a call that stands, on any connection."""
+        """Handles a give-up before the answer or the release of an established call, on any connection."""
         self.broker.recorder.look()
         request, answered_on = self.broker.find(message.tag), None
         if request is None:
-            # Also where a give-up crosses our final answer: there the broker knows the id, and does nothing.
+            # Also a give-up that crosses the final answer: the broker still knows the id and does nothing.
             connection.open_set_ups.pop(message.tag, None)
             connection.update_seat()
             self._settle_release(message.tag)
@@ -483,7 +500,7 @@
         self.broker.recorder.barrier(lambda: self._confirm_finish(connection, message.tag, answered_on))
 
     def _remove_standing(self, call: str, place: int) -> ClientConnection | None:
-        """A call no longer stands on the connection where it was answered; that connection, if any."""
+        """Removes a call from the connection on which it was answered; returns that connection, if open."""
         connection = self.connections.get(place)
         if connection is None or call not in connection.standing:
             return None
@@ -494,7 +511,7 @@
         self, connection: ClientConnection, tag: str, answered_on: ClientConnection | None
     ) -> None:
         connection.send_message(Message("FINISHED", tag))
-        connection.close_if_idle()  # only now: the confirmation leaves before the close
+        connection.close_if_idle()  # after the confirmation, which must be sent before the close
         if answered_on is not None:
             answered_on.close_if_idle()
 
@@ -503,22 +520,22 @@
             connection.trusted = True
 
     def _settle_release(self, tag: str) -> bool:
-        """A release is no longer owed, if it was."""
-        owed = self.pending_releases.pop(tag, None)
-        if owed is None:
+        """Stops sending a release, confirmed or too old; False if none is pending."""
+        release = self.pending_releases.pop(tag, None)
+        if release is None:
             return False
-        if owed.given is not None:
+        if release.answer is not None:
             self.failed_ids[tag] = now = self.broker.clock.now()
             while next(iter(self.failed_ids.values())) < now - UNSENT_RELEASE_KEEP_MS:
                 del self.failed_ids[next(iter(self.failed_ids))]
-        self._assign_release(tag, owed, -1)
+        self._assign_release(tag, release, -1)
         self.broker.recorder.settled(tag)
         return True
 
     def connection_lost(self, connection: ClientConnection) -> None:
-        """The open set-ups of a connection go with it; what is owed on it goes to another."""
+        """Gives up the open set-ups of a closed connection; its unconfirmed releases go to another one."""
         if self.connections.get(connection.slot) is not connection:
-            return  # it made room for another already
+            return  # evicted by the gate, and already handled
         self.connections.free(connection.slot)
         del self.connections_by_seat[connection.seat.number]
         self.gate.gone(connection.seat)
@@ -527,7 +544,7 @@
             if request.state is State.OPEN:
                 self.broker.gone(request)
             else:
-                self.broker.release(request)  # its answer waits for its record, and has nobody to go to
+                self.broker.release(request)  # answered, but the answer is still being recorded
         for tag in connection.unconfirmed_releases:
             self.pending_releases[tag].slot = -1
         connection.unconfirmed_releases.clear()
@@ -544,10 +561,9 @@
         )
 
     def _remove_open(self, request: Request) -> ClientConnection | None:
-        """Its connection, if that still waits for the answer: it has left, or has nobody to go to,
-        afterwards.
+        """Removes a set-up from the connection that waits for its answer; None if that one is closed.
 
-        Guards against another connection in the same slot: an answer may have waited for its record."""
+        Guards against a later connection in the same slot: the answer may have waited to be recorded."""
         connection = self.connections.get(request.place)
         if connection is None or connection.open_set_ups.get(request.id) is not request:
             return None
@@ -569,7 +585,7 @@
         self._send_final(request, Message("STARTED", request.id, blob=str(description)))
 
     def refused(self, request: Request, stay_away_ms: float) -> None:
-        # The platform's refusal has no field for a time to come back.
+        # The platform's refusal has no field for `stay_away_ms`.
         self._send_final(request, Message("FINISH", request.id, rc=jsonl.OVERLOADED))
 
     def failed(self, request: Request) -> None:
@@ -579,12 +595,12 @@
         connection, now = self.connections.get(place), self.broker.clock.now()
         answered_on = self._remove_standing(call, place)
         host = connection.host if connection is not None else ""
-        owed = self.pending_releases[call] = PendingRelease(
+        release = self.pending_releases[call] = PendingRelease(
             CAUSE_BY_OUTCOME.get(outcome, jsonl.BROKEN), now, -1, host
         )
         if given is not None and answered_on is None:
-            self._hold_release(owed, given, now, place < 0)
-        if not owed.held_until:
+            self._hold_release(release, given, now, place < 0)
+        if not release.hold_until_ms:
             self._send_release(
                 call, connection if connection is not None and connection.can_carry_release() else None
             )
@@ -592,24 +608,26 @@
             answered_on.close_if_idle()
         self._schedule_retry()
 
-    def _hold_release(self, owed: PendingRelease, given: Given, now: float, restarted: bool) -> None:
-        """Guards a client that waits for the answer of a repeated set-up against hearing the end first.
+    def _hold_release(self, release: PendingRelease, given: Given, now: float, restarted: bool) -> None:
+        """Delays a release whose client may have missed the answer, so that it doesn't get the release first.
 
-        Without a restart since the answer, the end is told at once: it is the final word then."""
-        owed.given = given
+        Without a restart since the answer, the release is sent at once and is the final answer."""
+        release.answer = given
         until = held_until(given.at, now, self.longest_deadline_ms)
         if restarted and until > now:
-            owed.host, owed.held_until = given.client, until
+            release.host, release.hold_until_ms = given.client, until
 
     def resume(
-        self, owed: Mapping[str, tuple[str, Outcome, float]], given: Callable[[str], Given | None]
+        self, releases: Mapping[str, tuple[str, Outcome, float]], given: Callable[[str], Given | None]
     ) -> None:
-        """Releases owed since before a restart: client, outcome, since when. Each goes to whoever speaks
-        next, unless its answer may not have been heard."""
+        """Takes over releases from before a restart or handover: call -> (client, outcome, since ms).
+
+        Each is sent to the next client that speaks, or held back if its answer may have been missed; `given`
+        returns the recorded answer of a call."""
         now = self.broker.clock.now()
-        for call, (host, outcome, since) in owed.items():
+        for call, (host, outcome, since) in releases.items():
             if call in self.pending_releases:
-                continue  # owed here already
+                continue  # already pending here
             self.pending_releases[call] = PendingRelease(
                 CAUSE_BY_OUTCOME.get(outcome, jsonl.BROKEN), since, -1, host
             )
@@ -618,16 +636,16 @@
         self._schedule_retry()
 
     def _send_release(self, call: str, connection: ClientConnection | None) -> None:
-        """Says a release on a connection, else on the best one there is."""
-        owed, now = self.pending_releases[call], self.broker.clock.now()
-        chosen = connection or self.best_connection(owed)
-        owed.said_at = now
-        said = chosen is not None and chosen.send_message(Message("FINISH", call, rc=owed.cause))
-        self._assign_release(call, owed, chosen.slot if said and chosen is not None else -1)
-
-    def _assign_release(self, call: str, owed: PendingRelease, slot: int) -> None:
-        """A release is owed on another connection from now on, or on none."""
-        before, owed.slot = self.connections.get(owed.slot), slot
+        """Sends a release on the given connection, or on the best one available."""
+        release, now = self.pending_releases[call], self.broker.clock.now()
+        chosen = connection or self.best_connection(release)
+        release.sent_at_ms = now
+        sent = chosen is not None and chosen.send_message(Message("FINISH", call, rc=release.cause))
+        self._assign_release(call, release, chosen.slot if sent and chosen is not None else -1)
+
+    def _assign_release(self, call: str, release: PendingRelease, slot: int) -> None:
+        """Records the connection on which a release was sent; slot -1 is none."""
+        before, release.slot = self.connections.get(release.slot), slot
         if before is not None:
             before.unconfirmed_releases.discard(call)
             before.update_seat()
@@ -636,21 +654,24 @@
             after.unconfirmed_releases.add(call)
             after.update_seat()
 
-    def best_connection(self, owed: PendingRelease) -> ClientConnection | None:
-        """A usual client's connection, of the call's own client if it has one, and not the last one tried.
+    def best_connection(self, release: PendingRelease) -> ClientConnection | None:
+        """The connection to send a release on, None if there is none.
 
-        Guards against telling those who never asked: they would not pass it on."""
+        Prefers connections of regular clients, since others would not pass the release on; then one that was
+        not tried last, one from the address of the call's client, and the one heard from most recently."""
         usable = [at for at in self.connections if at.can_carry_release()]
         return max(
             usable,
-            key=lambda at: (at.trusted, at.slot != owed.slot, at.host == owed.host, at.heard_at),
+            key=lambda at: (at.trusted, at.slot != release.slot, at.host == release.host, at.heard_at),
             default=None,
         )
 
     def send_unsent_releases(self) -> None:
-        """Sends the releases owed that are on no connection."""
+        """Sends the pending releases that have not been sent on an open connection."""
         for call in [
-            call for call, owed in self.pending_releases.items() if owed.slot < 0 and not owed.held_until
+            call
+            for call, release in self.pending_releases.items()
+            if release.slot < 0 and not release.hold_until_ms
         ]:
             self._send_release(call, None)
 
@@ -661,19 +682,22 @@
             )
 
     def _retry_releases(self) -> None:
-        """Guards against releases told to a client that does not hear: another one is told, for a while."""
+        """Sends unconfirmed releases again, preferably on another connection, and drops those too old."""
         self._retry_timer, now = None, self.broker.clock.now()
-        for owed in self.pending_releases.values():
-            if owed.held_until and owed.held_until <= now:
-                owed.held_until, owed.since = 0.0, now
+        for release in self.pending_releases.values():
+            if release.hold_until_ms and release.hold_until_ms <= now:
+                release.hold_until_ms, release.since_ms = 0.0, now
         for call in [
             call
-            for call, owed in self.pending_releases.items()
-            if now - owed.since >= (UNSENT_RELEASE_KEEP_MS if owed.slot < 0 else RELEASE_RETRY_WINDOW_MS)
+            for call, release in self.pending_releases.items()
+            if now - release.since_ms
+            >= (UNSENT_RELEASE_KEEP_MS if release.slot < 0 else RELEASE_RETRY_WINDOW_MS)
         ]:
             self._settle_release(call)
-        for call, owed in self.pending_releases.items():
-            # At doubling gaps.
-            if not owed.held_until and now - owed.said_at >= max(RELEASE_RETRY_MS, owed.said_at - owed.since):
+        for call, release in self.pending_releases.items():
+            # The gaps between two tries double.
+            if not release.hold_until_ms and now - release.sent_at_ms >= max(
+                RELEASE_RETRY_MS, release.sent_at_ms - release.since_ms
+            ):
                 self._send_release(call, None)
         self._schedule_retry()
--- a/frostport/net/gossip.py
+++ b/frostport/net/gossip.py
@@ -1,4 +1,4 @@
-"""Membership's datagrams: a version, a keyed digest, a message; at most 256 bytes. It decides nothing."""
+"""Datagrams of the membership protocol: a version byte, a keyed digest and a message."""
 
 from __future__ import annotations
 
@@ -24,7 +24,9 @@
 
 
 class DatagramCodec:
-    """The form of a datagram. The digest is BLAKE2b (RFC 7693), keyed, over fleet, version and message."""
+    """Authenticates datagrams with keyed BLAKE2b (RFC 7693) over the version and the message.
+
+    The fleet's name is the personalization, so that fleets with the same key don't accept each other's."""
 
     def __init__(self, fleet: str, key: bytes) -> None:
         self.key, self.fleet = key[:64], hashlib.blake2b(fleet.encode(), digest_size=16).digest()
@@ -35,44 +37,48 @@
         ).digest()
 
     def encode(self, message: Message) -> bytes:
+        """The message as a datagram, which may exceed MAX_DATAGRAM_BYTES."""
         body = messages.encode(message)
         return bytes([messages.VERSION]) + self._digest(body) + body
 
     def decode(self, data: bytes) -> Message:
-        """Raises BadMessageError, and nothing else."""
+        """Checks and decodes a datagram. Raises only BadMessageError."""
         if not HEADER_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
-            raise BadMessageError(f"{len(data)} bytes")
+            raise BadMessageError(f"{len(data)} bytes, not {HEADER_BYTES + 1} to {MAX_DATAGRAM_BYTES}")
         if data[0] != messages.VERSION:
             raise BadMessageError(f"version {data[0]}")
         if not hmac.compare_digest(data[1:HEADER_BYTES], self._digest(data[HEADER_BYTES:])):
-            raise BadMessageError("not of this fleet")
+            raise BadMessageError("digest does not match: another fleet or key")
         return messages.decode(data[HEADER_BYTES:])
 
 
 class Gossip(protocol.DatagramProtocol):
-    """Hands on what is heard; `routes`: addresses that are reached by another way (a tunnel)."""
+    """Sends and receives datagrams; valid messages go to `on_message` with the sender's address.
+
+    `routes` maps addresses to others by which they are reached (a tunnel)."""
 
     transport: Any = None
 
     def __init__(
         self,
-        seal: DatagramCodec,
-        hear: Callable[[str, Message], None],
+        codec: DatagramCodec,
+        on_message: Callable[[str, Message], None],
         clock: Clock,
         routes: Mapping[str, str],
     ) -> None:
-        self.codec, self.on_message, self.clock, self.routes = seal, hear, clock, routes
+        self.codec, self.on_message, self.clock, self.routes = codec, on_message, clock, routes
         self.complaints = Complaints(log)
         self.sent = self.received = self.sent_bytes = self.refused = 0
 
     def send(self, address: str, message: Message) -> None:
+        """Sends a message; one that is too long, or that the system refuses, is lost."""
         data = self.codec.encode(message)
         if self.transport is None or len(data) > MAX_DATAGRAM_BYTES:
             return
         try:
             self.transport.write(data, split(self.routes.get(address, address)))
             self.sent, self.sent_bytes = self.sent + 1, self.sent_bytes + len(data)
-        except OSError as problem:  # a datagram may be lost anyway
+        except OSError as problem:  # counts as a lost datagram
             self.complaints.say(self.clock.now(), address, f"datagram lost: {problem}")
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
--- a/frostport/net/jsonl.py
+++ b/frostport/net/jsonl.py
@@ -1,4 +1,8 @@
-"""The JSON-lines codec: lines out of a byte stream, messages out of lines, and back."""
+"""The platform's JSON lines: the codec, and the base class of all connections that carry lines.
+
+A message is one JSON object per line with `verb`, `tag` (the call's id), `opts` and, for some verbs, `rc` (a
+cause code) and `blob` (a session description).
+"""
 
 from __future__ import annotations
 
@@ -21,19 +25,23 @@
 log = logging.getLogger("frostport.net")
 
 MAX_LINE_BYTES = 16 * 1024
-LINES_PER_TURN = 50
+LINES_PER_TURN = 50  # handled on one connection before others get their turn
 TAG_PATTERN = re.compile(r"[0-9a-fA-F]{16}\Z")
-TEXT_OPTIONS = ("class", "key", "extras", "tenant", "load", "note")  # fields that are never bare numbers
+TEXT_OPTIONS = ("class", "key", "extras", "tenant", "load", "note")  # `opts` that must be JSON strings
+# Find the id and the kind of a line before it is parsed, or although it can't be.
 TAG_FIELD = re.compile(rb'"tag"\s*:\s*"([0-9a-fA-F]{16})"')
 START_VERB = re.compile(rb'"verb"\s*:\s*"START"')
 FINISH_VERB = re.compile(rb'"verb"\s*:\s*"FINISH"')
 
-FULL, OVERLOADED, MOOT = 34, 42, 102  # refused: trying again is harmless
+# Cause codes (`rc`). The first three refuse a set-up that never ran, so trying again is harmless.
+FULL, OVERLOADED, MOOT = 34, 42, 102
 NORMAL, BUSY, BROKEN, FAULT = 16, 17, 41, 47
 
 
 class BadLineError(ValueError):
-    """A line that is no message; `tag` and `verb` are given where they can be read all the same."""
+    """A line that is not a valid message.
+
+    `tag` is the call's id, None if it can't be read; `is_start` tells whether the line is a set-up."""
 
     def __init__(self, problem: str, line: bytes = b"") -> None:
         super().__init__(problem)
@@ -44,7 +52,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """One message: type, id, fields, and where they belong a cause and a description."""
+    """One message. `rc` and `blob` are None where the verb has no cause or no description."""
 
     verb: str
     tag: str
@@ -53,6 +61,7 @@
     blob: str | None = None
 
     def encode(self) -> bytes:
+        """The message as a line, with its line feed."""
         record: dict[str, object] = {"verb": self.verb, "tag": self.tag, "opts": self.opts}
         if self.rc is not None:
             record["rc"] = self.rc
@@ -62,6 +71,7 @@
 
 
 def decode(line: bytes) -> Message:
+    """Parses one line; numbers in `opts` become strings. Raises BadLineError."""
     try:
         record = orjson.loads(line)
     except orjson.JSONDecodeError:
@@ -84,7 +94,7 @@
         if name in TEXT_OPTIONS and not isinstance(value, str):
             raise BadLineError(f"opts.{name}: not text", line)
     if rc is not None and (isinstance(rc, bool) or not isinstance(rc, int)):
-        raise BadLineError("rc: not a whole number", line)
+        raise BadLineError("rc: not an integer", line)
     if blob is not None and not isinstance(blob, str):
         raise BadLineError("blob: not text", line)
     if verb == "STARTED" and blob is None:
@@ -95,7 +105,7 @@
 
 
 def parse_numbers(text: str) -> dict[str, float]:
-    """The name:number pairs of `extras` and `load`; a pair that does not parse is left out."""
+    """The `name:number;...` pairs of `extras` and `load`; a pair that does not parse is left out."""
     found = {}
     for pair in text.split(";"):
         name, _, value = pair.partition(":")
@@ -107,7 +117,9 @@
 
 
 class LineSplitter:
-    """Cuts a stream into lines. One that grows past the limit ends the stream: what follows is not kept."""
+    """Splits a byte stream into lines.
+
+    A line over the limit ends the stream: `overflowed` is set and all later input is discarded."""
 
     def __init__(self, limit: int = MAX_LINE_BYTES) -> None:
         self._limit = limit
@@ -115,7 +127,7 @@
         self.overflowed = False
 
     def feed(self, data: bytes) -> list[tuple[bytes, bool]]:
-        """The lines that are whole now, each with whether it was too long (then only its head is given)."""
+        """Returns the lines completed by `data`, each with whether it was too long and is truncated."""
         lines: list[tuple[bytes, bool]] = []
         if self.overflowed:
             return lines
@@ -130,39 +142,38 @@
         return lines
 
     def _overflow(self, line: bytes, lines: list[tuple[bytes, bool]]) -> None:
-        """Guards against lines without end: nothing after the first that is too long can be trusted."""
+        """Ends the stream: guards against endless lines, as nothing after an overlong one can be trusted."""
         self.overflowed, self._partial_line = True, b""
         lines.append((line[: self._limit], True))
 
     @property
     def partial(self) -> bool:
-        """Whether a line has begun and not ended."""
+        """Whether an incomplete line is buffered."""
         return bool(self._partial_line)
 
 
 class LineConnection(protocol.Protocol):
-    """One connection that carries lines; what fails on one line costs that line only."""
+    """Base class of connections that carry lines.
+
+    Subclasses override the `on_...` methods. An exception while a line is handled affects that line only."""
 
     peer = "?"
     transport: Any = None
     complaints = Complaints(log)
-    read_ahead_bytes = 0  # bytes of lines that may wait while more is read
+    read_ahead_bytes = 0  # reading pauses once this much waits to be handled
 
-    def __init__(self, clock: Clock, deadlines: Deadlines, longest: int = MAX_LINE_BYTES) -> None:
+    def __init__(self, clock: Clock, deadlines: Deadlines, max_line_bytes: int = MAX_LINE_BYTES) -> None:
         self.clock, self.deadlines = clock, deadlines
-        self.splitter = LineSplitter(longest)
+        self.splitter = LineSplitter(max_line_bytes)
         self.alive = False
-        self.peer_closed = False  # the other side has closed; what was read before is still handled
-        self.closing = False  # we close it once what is owed on it is said; nothing more is heard on it
-        self.released: Callable[[], None] = lambda: None  # its descriptor is free again
-        self.write_blocked = (
-            False  # what is written waits for the other side to read: its lines are not handled
-        )
-        self.read_count = (
-            0  # how often something was read: lines of one turn were written before they were read
-        )
+        self.peer_closed = False  # lines read before the close are still handled
+        self.closing = False  # closed once pending output is sent; input is ignored
+        self.released: Callable[[], None] = lambda: None  # called when its descriptor is free
+        self.write_blocked = False  # the peer does not read: its lines are not handled meanwhile
+        # Reads so far. The peer wrote all lines of one read before it saw any response to them.
+        self.read_count = 0
         self._pending_lines: deque[tuple[bytes, bool]] = deque()
-        self._pending_bytes = 0  # bytes of the lines that wait
+        self._pending_bytes = 0
         self._next_turn: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
@@ -184,13 +195,12 @@
             if self.alive and not self.closing:
                 self.on_read()
 
-    def _handle_lines(self, most: int = LINES_PER_TURN) -> None:
-        """Handles lines up to a number; then the others' turn comes, and no more is read ahead than is
-        allowed.
+    def _handle_lines(self, max_lines: int = LINES_PER_TURN) -> None:
+        """Handles up to `max_lines` lines, then yields to other connections and limits the read-ahead.
 
-        Guards against a peer that writes at full speed: it would keep the agent from everyone else."""
-        while self._pending_lines and most and self._may_handle():
-            most -= 1
+        Guards against a peer that writes at full speed and would starve all others."""
+        while self._pending_lines and max_lines and self._may_handle():
+            max_lines -= 1
             line, oversize = self._pending_lines.popleft()
             self._pending_bytes -= len(line)
             self._handle_line(line, oversize)
@@ -201,7 +211,7 @@
         return self.alive and not self.closing and (self.peer_closed or not self.write_blocked)
 
     def resume_handling(self) -> None:
-        """Lines that wait are handled in their turn, if nothing stands against it."""
+        """Schedules the next turn if lines wait and may be handled."""
         if self._pending_lines and self._may_handle() and self._next_turn is None:
             self._next_turn = self.deadlines.set(self.clock.now(), self._on_next_turn)
 
@@ -217,68 +227,70 @@
             self.on_read()
 
     def resume_reading(self) -> None:
-        """Reads again, unless something still stands against it."""
+        """Resumes reading, unless too much still waits to be handled."""
         if not self._pending_lines or self._pending_bytes < self.read_ahead_bytes:
             self.transport.resumeProducing()
 
     def _handle_line(self, line: bytes, oversize: bool) -> None:
         try:
             if oversize:
-                raise BadLineError(f"over {len(line)} bytes", line)
+                raise BadLineError(f"line over {len(line)} bytes", line)
             if line.strip():
                 self.on_line(line)
         except BadLineError as problem:
             self.complaints.say(self.clock.now(), self.peer, f"malformed: {problem}")
             self.on_malformed(problem)
-        except Exception:  # a fault in one line costs that line, not the agent
-            log.exception("%s: line failed", self.peer)
+        except Exception:  # must not reach the reactor: it would close the connection
+            log.exception("%s: exception while handling a line", self.peer)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
         if self._next_turn is not None:
             self._next_turn.cancel()
         self.peer_closed = True
-        self._handle_lines(
-            len(self._pending_lines)
-        )  # a release that was read before the connection closed still counts
+        # A release that was read before the connection closed still counts.
+        self._handle_lines(len(self._pending_lines))
         self.alive = False
         self._pending_lines.clear()
         self.released()
         self.on_close()
 
     def send_message(self, message: Message) -> bool:
+        """Writes a message; False if the connection is closed."""
         return self.write(message.encode())
 
     def write(self, data: bytes) -> bool:
+        """Writes bytes; False if the connection is closed."""
         if not self.alive:
             return False
         self.transport.write(data)
         return True
 
     def drop(self) -> None:
-        """Closes at once; nothing more is heard on it, also of what was read already."""
+        """Aborts the connection; lines already read are not handled."""
         if self.alive:
             self.alive = False
             self.transport.abortConnection()
 
     def check_peer_closed(self) -> bool:
-        """Whether the other side has closed, as far as can be told now: also where nothing is read."""
+        """Whether the peer has closed. Asks the system, as a paused reader is not told."""
         return self.peer_closed or not self.alive or peer_close.closed_by_peer(self.transport)
 
     def on_lines_read(self, lines: list[tuple[bytes, bool]]) -> list[tuple[bytes, bool]]:
-        """Lines that were just read, before any of them is handled; those that are to be handled in turn."""
+        """Called with lines just read, before any is handled; returns those to be queued."""
         return lines
 
     def on_open(self) -> None:
-        """The connection is up."""
+        """Called when the connection is established."""
 
     def on_close(self) -> None:
-        """The connection is gone."""
+        """Called when the connection is closed, after its last lines were handled."""
 
     def on_read(self) -> None:
-        """Something was read, and all its lines are handled."""
+        """Called after data was read and a turn's lines were handled."""
 
     def on_line(self, line: bytes) -> None:
+        """Handles one non-empty line. Raises BadLineError if it is malformed."""
         raise NotImplementedError
 
     def on_malformed(self, problem: BadLineError) -> None:
-        """A line that could not be read."""
+        """Called after a malformed line."""
--- a/frostport/net/link.py
+++ b/frostport/net/link.py
@@ -1,8 +1,10 @@
-"""The link: one TCP connection a pair of agents, frames of a length and a msgpack array. It decides nothing.
+"""The link: one TCP connection per pair of agents, which carries length-prefixed msgpack frames.
 
-The first frame names fleet, agent and life; another fleet's, or an unknown agent's connection is closed. Of
-two that cross, the one dialled by the lesser name stays. Both sides say something every `BEAT_MS`; who hears
-nothing for `SILENT_MS` closes. A peer that reads nothing costs its queue, after `STUCK_MS` its connection.
+The first frame in each direction is a `Hello` with fleet, agent and incarnation; a connection from another
+fleet or an unknown agent is closed. If two agents dial each other at once, the connection dialed by the agent
+with the lesser name stays. Each side sends a heartbeat every `HEARTBEAT_MS` and closes a connection on which
+nothing arrives for `SILENCE_TIMEOUT_MS`. Frames for a peer that does not read are queued up to
+`MAX_QUEUE_BYTES`; after `WRITE_STALL_TIMEOUT_MS` its connection is closed.
 """
 
 from __future__ import annotations
@@ -26,16 +28,16 @@
 log = logging.getLogger("frostport.link")
 
 VERSION = 1
-MAX_FRAME_BYTES, MAX_HELLO_BYTES = 1024 * 1024, 512  # bytes of a frame; of the first
-MAX_QUEUE_BYTES = 4 * 1024 * 1024  # bytes that wait for a peer
+MAX_FRAME_BYTES, MAX_HELLO_BYTES = 1024 * 1024, 512  # without the length prefix
+MAX_QUEUE_BYTES = 4 * 1024 * 1024  # queued for one peer
 HELLO_TIMEOUT_MS, WRITE_STALL_TIMEOUT_MS, HEARTBEAT_MS, SILENCE_TIMEOUT_MS = 2000.0, 5000.0, 1500.0, 6000.0
-DIAL_TIMEOUT_MS = 2000.0  # for a connection to be made
-MIN_REDIAL_MS, MAX_REDIAL_MS = 100.0, 5000.0  # gaps that double, drawn from 0 up
+DIAL_TIMEOUT_MS = 2000.0
+MIN_REDIAL_MS, MAX_REDIAL_MS = 100.0, 5000.0  # bounds of the redial delay, which doubles; with full jitter
 LENGTH_PREFIX = struct.Struct(">I")
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True):
-    """The first frame."""
+    """The first frame in each direction."""
 
     version: int
     fleet: str
@@ -44,7 +46,7 @@
 
 
 class Frame(msgspec.Struct, array_like=True, frozen=True):
-    """Any other: `kind` "" is a beat."""
+    """Any later frame; an empty `kind` is a heartbeat."""
 
     kind: str
     body: bytes = b""
@@ -57,23 +59,25 @@
 
 
 class BadFrameError(ValueError):
-    """Not a frame of this version."""
+    """A frame that can't be decoded, is too long, or comes from an agent that is not accepted."""
 
 
 class FrameDecoder:
-    """Cuts what is read into frames; holds at most one unfinished frame."""
+    """Splits a byte stream into frames; buffers at most one incomplete frame.
+
+    The first frame is limited to MAX_HELLO_BYTES, later ones to MAX_FRAME_BYTES."""
 
     def __init__(self) -> None:
         self.buffer, self.max_bytes = b"", MAX_HELLO_BYTES
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Whole frames' bodies. Raises BadFrameError, and nothing else."""
+        """Returns the bodies of the frames completed by `data`. Raises only BadFrameError."""
         self.buffer += data
         found, at = [], 0
         while len(self.buffer) - at >= LENGTH_PREFIX.size:
             size = LENGTH_PREFIX.unpack_from(self.buffer, at)[0]
             if not 0 < size <= self.max_bytes:
-                raise BadFrameError(f"a frame of {size} bytes")
+                raise BadFrameError(f"frame of {size} bytes, limit {self.max_bytes}")
             if len(self.buffer) - at - LENGTH_PREFIX.size < size:
                 break
             found.append(self.buffer[at + LENGTH_PREFIX.size : at + LENGTH_PREFIX.size + size])
@@ -83,25 +87,27 @@
         return found
 
 
-def decode(form: msgspec.msgpack.Decoder[Any], data: bytes) -> Any:
+def decode(decoder: msgspec.msgpack.Decoder[Any], data: bytes) -> Any:
+    """Decodes a frame's body. Raises only BadFrameError."""
     try:
-        return form.decode(data)
+        return decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as problem:
         raise BadFrameError(str(problem)) from None
 
 
 def encode_frame(record: msgspec.Struct) -> bytes:
+    """The record as a frame, length prefix included."""
     body = _encoder.encode(record)
     return LENGTH_PREFIX.pack(len(body)) + body
 
 
 class Connection(protocol.Protocol):
-    """One connection; `name` is known once its first frame is read."""
+    """One connection to a peer, dialed if `dialed_name` is set; `name` is empty until its hello arrives."""
 
     transport: Any
 
-    def __init__(self, link: Link, dialled: str = "") -> None:
-        self.link, self.dialled_name, self.name = link, dialled, ""
+    def __init__(self, link: Link, dialed_name: str = "") -> None:
+        self.link, self.dialed_name, self.name = link, dialed_name, ""
         self.frames, self.queue, self.queued_bytes = FrameDecoder(), deque[bytes](), 0
         self.open = self.write_blocked = False
         self.heard_at = 0.0
@@ -112,7 +118,7 @@
         self.transport.registerProducer(self, True)
         self.transport.setTcpNoDelay(True)
         self._set_timeout(HELLO_TIMEOUT_MS)
-        if self.dialled_name:
+        if self.dialed_name:
             self.transport.write(encode_frame(self.link.hello()))
 
     def _set_timeout(self, ms: float | None) -> None:
@@ -121,6 +127,7 @@
         self._timeout = None if ms is None else self.link.deadlines.set(self.link.clock.now() + ms, self.drop)
 
     def drop(self) -> None:
+        """Aborts the connection and tells the link."""
         self._timeout = None
         if self.open:
             self.open = False
@@ -142,24 +149,25 @@
                 else:
                     self._on_hello(decode(_hello_decoder, body))
         except BadFrameError as problem:
-            self.link.complaints.say(self.heard_at, self.name or "a stranger", f"closed: {problem}")
+            self.link.complaints.say(self.heard_at, self.name or "unidentified agent", f"closed: {problem}")
             self.drop()
 
-    def _on_hello(self, first: Hello) -> None:
+    def _on_hello(self, hello: Hello) -> None:
         if (
-            first.version != VERSION
-            or first.fleet != self.link.fleet
-            or not self.link.is_known(first.name)
-            or (self.dialled_name and first.name != self.dialled_name)
+            hello.version != VERSION
+            or hello.fleet != self.link.fleet
+            or not self.link.is_known(hello.name)
+            or (self.dialed_name and hello.name != self.dialed_name)
         ):
-            raise BadFrameError(f"fleet {first.fleet[:20]!r}, agent {first.name[:30]!r}: not known here")
-        self.name = first.name
+            raise BadFrameError(f"fleet {hello.fleet[:20]!r}, agent {hello.name[:30]!r}: not accepted")
+        self.name = hello.name
         self._set_timeout(None)
-        if not self.dialled_name:
+        if not self.dialed_name:
             self.transport.write(encode_frame(self.link.hello()))
         self.link.on_identified(self)
 
     def send(self, data: bytes) -> bool:
+        """Writes or queues an encoded frame; False if the queue is full."""
         if not self.write_blocked:
             self.transport.write(data)
             return True
@@ -194,7 +202,7 @@
 
 
 class PendingDial:
-    """What is on its way to a peer that is not connected."""
+    """The dial of a peer that is not connected, with the frames that wait for it."""
 
     def __init__(self) -> None:
         self.queue: deque[bytes] = deque()
@@ -205,7 +213,7 @@
 
 
 class Link(protocol.Factory):
-    """The connections of one agent, by the peer's name."""
+    """All links of one agent. `connections` holds the identified ones by the peer's name."""
 
     noisy = False
 
@@ -213,19 +221,21 @@
         self,
         fleet: str,
         name: str,
-        life: int,
+        incarnation: int,
         clock: Clock,
         deadlines: Deadlines,
         connect: Callable[[str, Connection], Any],
         address: Callable[[str], str],
-        hear: Callable[[str, str, bytes], None],
-        chance: random.Random,
+        on_frame: Callable[[str, str, bytes], None],
+        rng: random.Random,
     ) -> None:
-        """`address` says where a peer is, "" where it isn't known; `connect` dials, its Deferred fails where
-        that can't be done."""
-        self.fleet, self.name, self.incarnation = fleet, name, life
+        """`incarnation` is that of this process. `address` returns a peer's address by name, "" if unknown.
+
+        `connect` dials an address; its Deferred fails if that is not possible. `on_frame` is called with
+        the sender, kind and body of each frame."""
+        self.fleet, self.name, self.incarnation = fleet, name, incarnation
         self.clock, self.deadlines, self.connect, self.address = clock, deadlines, connect, address
-        self.on_frame, self.rng = hear, chance
+        self.on_frame, self.rng = on_frame, rng
         self.connections: dict[str, Connection] = {}
         self.dials: dict[str, PendingDial] = {}
         self.unidentified: set[Connection] = set()
@@ -240,13 +250,15 @@
         return connection
 
     def is_known(self, name: str) -> bool:
+        """Whether the address of an agent of this name is known."""
         return bool(self.address(name))
 
     def hello(self) -> Hello:
+        """This agent's first frame."""
         return Hello(VERSION, self.fleet, self.name, self.incarnation)
 
     def send(self, name: str, kind: str, body: bytes) -> bool:
-        """False where it can't be taken: the queue is full, or nobody knows where this agent is."""
+        """Sends a frame, or queues it and dials; False if the queue is full or the peer's address unknown."""
         if self.stopping or not self.address(name) or len(body) > MAX_FRAME_BYTES - 64:
             self.refused += 1
             return False
@@ -290,7 +302,7 @@
         dialing.addBoth(settled)
 
     def _schedule_redial(self, name: str, dial: PendingDial) -> None:
-        """Guards a peer that comes back against all the others at once: full jitter, growing gaps."""
+        """Dials again after a backoff with full jitter: all agents may be dialing a peer that returns."""
         if dial.retry_timer is None and not self.stopping:
             wait, dial.max_delay_ms = (
                 self.rng.random() * dial.max_delay_ms,
@@ -305,13 +317,15 @@
             dial.retry_timer = self.deadlines.set(self.clock.now() + wait, again)
 
     def on_identified(self, connection: Connection) -> None:
-        """Its peer has said who it is. Of two connections the lesser name's stays; else the newer."""
+        """Takes a connection into use after its hello, and sends what waits for the peer.
+
+        Of two connections dialed from both sides, the one dialed by the lesser name stays; else the newer."""
         self.unidentified.discard(connection)
         name, before = connection.name, self.connections.get(connection.name)
         if (
             before is not None
-            and bool(before.dialled_name) != bool(connection.dialled_name)
-            and bool(connection.dialled_name) is not (self.name < name)
+            and bool(before.dialed_name) != bool(connection.dialed_name)
+            and bool(connection.dialed_name) is not (self.name < name)
         ):
             connection.drop()
             return
@@ -326,18 +340,19 @@
                 connection.send(data)
 
     def on_lost(self, connection: Connection) -> None:
+        """Forgets a closed connection; dials again if it closed before the peer's hello."""
         self.unidentified.discard(connection)
-        name = connection.name or connection.dialled_name
+        name = connection.name or connection.dialed_name
         if connection.name and self.connections.get(name) is connection:
             del self.connections[name]
-        elif connection.dialled_name and name not in self.connections:  # closed before it was known
+        elif connection.dialed_name and name not in self.connections:
             self._schedule_redial(name, self.dials.setdefault(name, PendingDial()))
 
     def _send_heartbeats(self) -> None:
         now = self.clock.now()
         for connection in list(self.connections.values()):
             if now - connection.heard_at > SILENCE_TIMEOUT_MS:
-                self.complaints.say(now, connection.name, "closed: nothing heard")
+                self.complaints.say(now, connection.name, "closed: silent for too long")
                 connection.drop()
             else:
                 connection.send(encode_frame(HEARTBEAT))
@@ -345,6 +360,7 @@
             self.deadlines.set(now + HEARTBEAT_MS, self._send_heartbeats)
 
     def stop(self) -> None:
+        """Closes all connections; nothing is sent or dialed from now on."""
         self.stopping = True
         for connection in (*self.connections.values(), *self.unidentified):
             connection.open = False
--- a/frostport/net/operator.py
+++ b/frostport/net/operator.py
@@ -1,8 +1,8 @@
-"""The operators' door: one line a connection on an address of its own, answered `OK ...` or `ERR ...`.
+"""The operators' port (the "door"): one command line per connection, answered by `OK ...` or `ERR ...`.
 
-It decides nothing: a call names an operation of the agent, whose answer lines it writes; `show-stat`
-ends its figures with `END`. Guards against callers that hold a connection without a whole line, send
-too much, or come by hundreds: each connection has 2 s and 512 bytes, and 16 may be open at once.
+A command is the name of an operation, with an argument for some; `show-stat` ends its figures with `END`.
+Guards against callers that send no complete line, send too much, or connect by hundreds: a connection has
+`LINE_TIMEOUT_MS` and `MAX_LINE_BYTES`, and only `MAX_CONNECTIONS` may be open at once.
 """
 
 from __future__ import annotations
@@ -21,21 +21,24 @@
 
 log = logging.getLogger("frostport.operator")
 
-MAX_LINE_BYTES = 512  # bytes of one call, its end of line included
-LINE_TIMEOUT_MS = 2000.0  # a connection without a whole line by then is closed
-MAX_CONNECTIONS = 16  # door connections at once; more are closed as they come
-IGNORED_METHODS = ("PUT", "GET", "POST")  # a call may begin with one of these; it changes nothing
+MAX_LINE_BYTES = 512  # of one command, line feed included
+LINE_TIMEOUT_MS = 2000.0  # from connect to a complete line
+MAX_CONNECTIONS = 16  # more are answered `ERR busy` and closed
+IGNORED_METHODS = ("PUT", "GET", "POST")  # a command may start with one of these HTTP methods; it is ignored
 
 
 class OperatorError(Exception):
-    """A call that can't be carried out; the text is the reason that follows `ERR`."""
+    """A command that can't be carried out; the text is the reason that follows `ERR`."""
 
 
-Operation = Callable[[str], Sequence[str]]  # takes what follows the call's name, returns the answer's lines
+# Takes what follows the name of the command, and returns the lines of the answer.
+Operation = Callable[[str], Sequence[str]]
 
 
 def parse_argument(text: str, name: str = "id") -> str:
-    """A call's argument: a bare word, or a JSON object with it under `name`."""
+    """A command's only argument: a bare word, or a JSON object with it under `name`.
+
+    Raises OperatorError."""
     text = text.strip()
     if text.startswith("{"):
         try:
@@ -52,7 +55,7 @@
 
 
 def execute(operations: Mapping[str, Operation], line: bytes) -> list[str]:
-    """The lines that answer one call."""
+    """Executes one command line; returns the lines of the answer."""
     try:
         text = line.decode("ascii").strip()
     except UnicodeDecodeError:
@@ -67,46 +70,46 @@
     if operation is None:
         return [f"ERR unknown call {name[:40]!r}; calls: {' '.join(sorted(operations))}"]
     try:
-        said = list(operation(rest))
+        lines = list(operation(rest))
     except OperatorError as problem:
-        said = [f"ERR {problem}"]
-    except Exception:  # a fault in one call costs that call, not the door
-        log.exception("operator call %s failed", name)
-        said = ["ERR failed"]
-    if name not in ("show-stat", "ready"):  # those come ten times a second
-        log.info("operator: %s %s: %s", name, rest[:80], said[0] if said else "")
-    return said
+        lines = [f"ERR {problem}"]
+    except Exception:  # a failed operation must not close the port
+        log.exception("operator command %s failed", name)
+        lines = ["ERR failed"]
+    if name not in ("show-stat", "ready"):  # pollers send these ten times a second
+        log.info("operator: %s %s: %s", name, rest[:80], lines[0] if lines else "")
+    return lines
 
 
 class OperatorConnection(protocol.Protocol):
-    """One caller: one line in, the answer out, closed."""
+    """One connection: reads one line, writes the answer, closes."""
 
     transport: Any
 
-    def __init__(self, door: OperatorPort) -> None:
-        self.door = door
-        self.heard = b""
+    def __init__(self, port: OperatorPort) -> None:
+        self.port = port
+        self.received = b""
         self.done = False
         self._timeout: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
-        self.door.open += 1
-        if self.door.open > MAX_CONNECTIONS:
+        self.port.open_count += 1
+        if self.port.open_count > MAX_CONNECTIONS:
             self._close(["ERR busy"])
             return
-        self._timeout = self.door.deadlines.set(self.door.clock.now() + LINE_TIMEOUT_MS, self._on_timeout)
+        self._timeout = self.port.deadlines.set(self.port.clock.now() + LINE_TIMEOUT_MS, self._on_timeout)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         if self.done:
             return
-        self.heard += data
-        line, end, _ = self.heard.partition(b"\n")
+        self.received += data
+        line, end, _ = self.received.partition(b"\n")
         if end:
             if len(line) + 1 > MAX_LINE_BYTES:
                 self._close(["ERR line too long"])
             else:
-                self._close(execute(self.door.operations, line.rstrip(b"\r")))
-        elif len(self.heard) >= MAX_LINE_BYTES:
+                self._close(execute(self.port.operations, line.rstrip(b"\r")))
+        elif len(self.received) >= MAX_LINE_BYTES:
             self._close(["ERR line too long"])
 
     def _on_timeout(self) -> None:
@@ -124,20 +127,20 @@
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        self.door.open -= 1
+        self.port.open_count -= 1
         if self._timeout is not None:
             self._timeout.cancel()
             self._timeout = None
 
 
 class OperatorPort(protocol.Factory):
-    """Makes a connection for each caller; `operations` maps a call's name to what carries it out."""
+    """Accepts connections; `operations` maps the name of each command to the function that executes it."""
 
     noisy = False
 
     def __init__(self, operations: Mapping[str, Operation], clock: Clock, deadlines: Deadlines) -> None:
         self.operations, self.clock, self.deadlines = operations, clock, deadlines
-        self.open = 0
+        self.open_count = 0
 
     def buildProtocol(self, addr: IAddress | None) -> OperatorConnection:  # noqa: N802 (Twisted's name)
         return OperatorConnection(self)
--- a/frostport/net/peer_close.py
+++ b/frostport/net/peer_close.py
@@ -1,4 +1,4 @@
-"""Whether the other side of a connection has closed its end, asked of the system without reading anything."""
+"""Detects without reading that the peer has closed a connection."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def closed_by_peer(transport: Any) -> bool:
-    """Whether a close or a reset has arrived, also behind bytes that nobody has read yet.
+    """Whether a close or a reset has arrived, even behind bytes that have not been read.
 
-    The reactor hears of neither while reading is paused. False where the transport has no descriptor, or
-    the system does not tell."""
+    The reactor notices neither while reading is paused. False if the transport has no descriptor or is
+    closed on this side."""
     fileno = getattr(transport, "fileno", None)
     if fileno is None:
         return False
@@ -20,5 +20,5 @@
     try:
         poll.register(fileno(), CLOSE_EVENTS)
         return any(events & CLOSE_EVENTS for _, events in poll.poll(0))
-    except (OSError, ValueError):  # closed on our side: its owner has been told
+    except (OSError, ValueError):  # closed on this side: its owner knows
         return False
--- a/frostport/net/peers.py
+++ b/frostport/net/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between call agents: late, lost, and never longer than the platform allows."""
+"""Unreliable datagrams between the call agents of the platform's configuration."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 def split(address: str) -> tuple[str, int]:
-    """`host:port` as a pair."""
+    """Splits `host:port`. Raises ValueError where the port is not a number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class SharedPort(udp.Port):
-    """A datagram port that a second process may bind as well, while both run: an upgrade's overlap.
+    """A datagram port that two processes may bind while an upgrade overlaps (SO_REUSEPORT).
 
-    Guards the newer process against `address already in use`: the old one holds the port until it ends."""
+    Otherwise the new process would fail with `address already in use` until the old one ends."""
 
     def createInternetSocket(self) -> socket.socket:  # noqa: N802 (Twisted's name)
         made: socket.socket = super().createInternetSocket()
@@ -35,7 +35,7 @@
 
 
 def listen(reactor: Any, address: str, peers: Peers) -> None:
-    """Binds the peers' datagrams, shared with a process that upgrades this one, where sockets are real."""
+    """Binds the datagram port; on a reactor with real sockets, shared with the process of an upgrade."""
     host, port = split(address)
     if not isinstance(reactor, PosixReactorBase):
         reactor.listenUDP(port, peers, interface=host)
@@ -45,7 +45,7 @@
 
 
 class Peers(protocol.DatagramProtocol):
-    """Sends to peers by their number, and knows a sender by its address."""
+    """Sends datagrams to peers by index, and passes those received to the broker with the sender's index."""
 
     transport: Any = None
 
@@ -55,12 +55,13 @@
         self.number_by_address = {address: number for number, address in enumerate(self.addresses)}
 
     def send(self, peer: int, data: bytes) -> None:
+        """Sends a datagram; one that is too long, or that the system refuses, is lost."""
         if len(data) > MAX_DATAGRAM_BYTES or not 0 <= peer < len(self.addresses):
             log.warning("message of %d bytes to peer %d not sent", len(data), peer)
         elif self.transport is not None:
             try:
                 self.transport.write(data, self.addresses[peer])
-            except OSError as problem:  # a datagram may be lost anyway
+            except OSError as problem:  # counts as a lost datagram
                 log.warning("message to peer %d lost: %s", peer, problem)
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
--- a/frostport/net/upstream.py
+++ b/frostport/net/upstream.py
@@ -1,4 +1,8 @@
-"""One upstream server on the platform's wire: its connections, set-ups, releases and reports."""
+"""One upstream server that speaks JSON lines: its connections, set-ups, releases and reports.
+
+A server tells the end of a call on any of its connections, and repeats on its next connection what was not
+confirmed on a lost one.
+"""
 
 from __future__ import annotations
 
@@ -32,12 +36,13 @@
 
 log = logging.getLogger("frostport.upstream")
 
-MAX_CONNECTIONS = 4  # to one server
-NO_DIAL_MS = 5000.0  # how long the connections there are do, after a further one was not to be had
-CUT_DELAY_MS = 100.0  # from a refused connection to the release of what stood there
-REDIAL_MS = 500.0  # pause after a connect that failed; the first try after a loss goes out at once
-MAX_REDIAL_MS = 1000.0  # pauses double up to this while other connections are open
+MAX_CONNECTIONS = 4  # to one server, a retired one included
+NO_DIAL_MS = 5000.0  # pause in dialing further connections after one failed while others were open
+CUT_DELAY_MS = 100.0  # from a refused dial to the end of the calls established there
+REDIAL_MS = 500.0  # pause after a failed dial; the first dial after a loss is immediate
+MAX_REDIAL_MS = 1000.0  # the pause doubles up to this while other connections are open
 
+# What the `note` of a refusal tells the decision module.
 NOTE_BY_NAME = {
     "blocked": NOTE_NO_LINE,
     "bounced": NOTE_RETURNED,
@@ -45,6 +50,7 @@
     "occupied": NOTE_NUMBER_BUSY,
     "far_swamped": NOTE_RETURNED,
 }
+# The outcome of an attempt that ends before its answer, by the cause.
 OUTCOME_BY_CAUSE = {
     jsonl.FULL: Outcome.FULL,
     jsonl.BUSY: Outcome.ERROR,
@@ -52,8 +58,11 @@
     jsonl.MOOT: Outcome.NOT_SENT,
     jsonl.BROKEN: Outcome.RESET,
 }
-END_CAUSES = (jsonl.NORMAL, jsonl.BROKEN)  # how a call that stands ends; another cause is a second answer
-# The names of the settings' report columns beside those that a report carries.
+END_CAUSES = (
+    jsonl.NORMAL,
+    jsonl.BROKEN,
+)  # of established calls; a FINISH with another cause is a late refusal
+# Names of the settings' report columns -> names in a report, where they differ.
 COLUMN_ALIASES = {
     "free": "x0",
     "size": "x1",
@@ -69,7 +78,7 @@
 
 
 class UpstreamServer:
-    """One upstream server: its connections, and what waits for one."""
+    """One upstream server: its connections, and the attempts, probes and releases that wait for one."""
 
     def __init__(self, pool: UpstreamPool, host: str, dial: str) -> None:
         self.pool, self.host, self.dial = pool, host, dial
@@ -79,20 +88,20 @@
         self.redial_timer: Deadline | None = None
         self.waiting_attempts: list[Attempt] = []
         self.waiting_probes: list[int] = []
-        self.pending_releases: dict[str, int] = {}  # releases not sent for want of a connection
+        self.pending_releases: dict[str, int] = {}  # call -> cause; sent on the next connection
         self.lag = LagDetector(self)
-        self.no_dial_before = -math.inf  # no further connection is dialed before
+        self.no_dial_before = -math.inf
         self.listed = True
         self.liveness = ServerLiveness(pool.clock.now(), old_are_asked=pool.probes)
-        self.sends_greeting = False  # it has told its state first of all on a new connection
-        self.retired: ServerConnection | None = None  # silent, and kept: it may show that the process goes on
-        self.replacing = False  # a connection was lost, and no later one has come up
+        self.sends_greeting = False  # it sends a report first on each new connection
+        self.retired: ServerConnection | None = None  # silent, kept to detect that the process lives on
+        self.replacing = False  # a connection was lost, and none opened since
         self.redial_pause_ms = REDIAL_MS
 
-    # Connecting
+    # Connections
 
     def connect(self) -> None:
-        """Dials, unless a connection is on its way."""
+        """Dials, unless a dial is in progress or the server has all its connections."""
         if self.dialing is not None or not self.listed or self.open_connections() >= MAX_CONNECTIONS:
             return
         if self.redial_timer is not None:
@@ -111,11 +120,11 @@
         dialing.addErrback(self.on_dial_failed)
 
     def open_connections(self) -> int:
-        """How many connections count against the most that a server takes."""
+        """How many connections count against MAX_CONNECTIONS."""
         return len(self.connections) + (self.retired is not None)
 
     def schedule_dial(self, wait_ms: float) -> None:
-        """Dials after a time, unless a dial is on its way or due before."""
+        """Dials after `wait_ms`, unless a dial is in progress or due earlier."""
         if wait_ms <= 0.0:
             self.connect()
         elif self.listed and self.dialing is None and self.open_connections() < MAX_CONNECTIONS:
@@ -127,25 +136,26 @@
             self.redial_timer = self.pool.deadlines.set(at, self.connect)
 
     def request_connection(self) -> float:
-        """A call, a release or a probe needs a connection; how long its dial has to wait."""
+        """Dials for a call, a release or a probe; returns how long the dial waits, in ms."""
         wait = self.pool.dialing.needed(self.host)
         self.schedule_dial(wait)
         return wait
 
     def on_dial_failed(self, failure: Failure) -> None:
-        """No connection: refused proves that the process is dead, silence proves nothing."""
+        """Handles a failed dial. A refusal proves that the process is dead; a timeout proves nothing."""
         refused = isinstance(failure.value, ConnectionRefusedError)
         log.info("%s: no connection: %s", self.host, failure.type.__name__ if failure.type else failure.value)
         self.broker.tally.avoided(self.host, "connection", True)
         self.pool.dialing.failed(self.host)
         waiting, self.waiting_attempts = self.waiting_attempts, []
         probes, self.waiting_probes = self.waiting_probes, []
-        if self.connections:  # guards against dialing for each set-up a server that takes no more connections
+        if self.connections:
+            # Guards against dialing for each set-up when the server takes no more connections.
             self.no_dial_before = self.pool.clock.now() + NO_DIAL_MS
             if refused and self.pool.probes:
                 self.lag.start_test(list(self.connections))
         elif refused:
-            # Guards against being ahead of the cuts themselves: a reset connection is heard before them.
+            # A connection is reset before the server cuts its calls: their ends must not be told earlier.
             refused_at = self.pool.clock.now()
             self.pool.deadlines.set(refused_at + CUT_DELAY_MS, lambda: self._process_died(refused_at))
         for attempt in waiting:
@@ -155,7 +165,7 @@
         if not self.connections:
             self._redial(REDIAL_MS)
         elif self.replacing:
-            # Guards against never hearing what the server tells again on the next connection.
+            # The server repeats unconfirmed messages on its next connection only.
             self._redial(self.redial_pause_ms)
             self.redial_pause_ms = min(2.0 * self.redial_pause_ms, MAX_REDIAL_MS)
 
@@ -168,6 +178,7 @@
         self.schedule_dial(self.pool.dialing.again(self.host, pause_ms))
 
     def connection_opened(self, connection: ServerConnection) -> None:
+        """Puts a new connection into use and sends on it what has waited."""
         if not self.listed:
             connection.drop()
             return
@@ -179,7 +190,7 @@
         self.connections.append(connection)
         self.replacing, self.redial_pause_ms = False, REDIAL_MS
         if not self.sends_greeting:
-            self.sign_of_life(connection)  # else its greeting is the sign
+            self.sign_of_life(connection)  # otherwise its first report is the sign of life
         self.send_pending_releases(connection)
         waiting, self.waiting_attempts = self.waiting_attempts, []
         for attempt in waiting:
@@ -190,7 +201,7 @@
             self.probe(number)
 
     def send_pending_releases(self, connection: ServerConnection) -> None:
-        """Releases that waited for a connection go out, unless their calls have begun anew there."""
+        """Sends the queued releases, except of calls that have been set up at this server again."""
         pending, self.pending_releases = self.pending_releases, {}
         for tag, cause in pending.items():
             self.broker.recorder.release_paid(self.host, tag)
@@ -199,25 +210,25 @@
                 connection.send_release(tag, cause)
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """The set-ups open on a connection that breaks are reset; calls that stand are not its own."""
+        """Resets the set-ups open on a lost connection; established calls are not tied to a connection."""
         if connection is self.retired:
             self.retired = None
             self._requeue_releases(connection)
             return
         if connection not in self.connections:
-            return  # its loss has been dealt with
-        out = self._take_out_of_use(connection)
+            return  # its loss has been handled
+        attempts = self._take_out_of_use(connection)
         self._requeue_releases(connection)
-        log.info("%s: connection lost, %d set-ups open", self.host, len(out))
-        self._reset(out)
+        log.info("%s: connection lost, %d set-ups open", self.host, len(attempts))
+        self._reset(attempts)
         self._replace_connection(connection)
 
     def retire(self, connection: ServerConnection) -> None:
-        """A connection that is open and silent is of no further use for set-ups.
+        """Takes an open but silent connection out of use for set-ups.
 
-        The one that was heard last of all is kept while calls stand: should the server be cut off and not
-        gone, it shows that its process has gone on. Closing a connection gives up its set-ups; here each is
-        said."""
+        While the server has established calls, the connection heard from last is kept open: if the server was
+        only cut off, data on it proves that its process has lived on. Closing a connection would give up its
+        set-ups at the server; on one that is kept, each is given up by a message."""
         kept = self.retired
         last_heard = max(at.heard_at for at in [connection, *self.connections, *([kept] if kept else [])])
         if (
@@ -229,38 +240,38 @@
             return
         if kept is not None:
             kept.abandon()
-        out = self._take_out_of_use(connection)
+        attempts = self._take_out_of_use(connection)
         self.retired, connection.retired = connection, True
         log.info(
             "%s: connection silent since %.0f ms, kept to be heard, %d set-ups reset",
             self.host,
             self.pool.clock.now() - connection.heard_at,
-            len(out),
+            len(attempts),
         )
-        for tag in out:
+        for tag in attempts:
             connection.send_message(Message("FINISH", tag, rc=jsonl.NORMAL))
-        self._reset(out)
+        self._reset(attempts)
         self._replace_connection(connection)
 
     def _take_out_of_use(self, connection: ServerConnection) -> dict[str, Attempt]:
-        """Nothing more goes out on a connection; returns the attempts that are out on it."""
+        """Removes a connection from use; returns its open attempts by call."""
         self.connections.remove(connection)
         self.pool.connections.free(connection.slot)
-        out, connection.open_attempts = connection.open_attempts, {}
-        return out
+        attempts, connection.open_attempts = connection.open_attempts, {}
+        return attempts
 
-    def _reset(self, out: dict[str, Attempt]) -> None:
-        for attempt in out.values():
+    def _reset(self, attempts: dict[str, Attempt]) -> None:
+        for attempt in attempts.values():
             self.broker.ended(attempt, Outcome.RESET)
 
     def _requeue_releases(self, connection: ServerConnection) -> None:
-        """Releases that a server had not confirmed when a connection broke are said again on the next."""
+        """Queues the unconfirmed releases of a lost connection for the next one, except those too old."""
         releases, connection.unconfirmed_releases = connection.unconfirmed_releases, OrderedDict()
         if not self.listed:
             return
         oldest = self.pool.clock.now() - RELEASE_CONFIRM_MS
-        for tag, (cause, said_at) in releases.items():
-            if said_at >= oldest:
+        for tag, (cause, sent_at) in releases.items():
+            if sent_at >= oldest:
                 self._queue_release(tag, cause)
 
     def _queue_release(self, tag: str, cause: int) -> None:
@@ -268,22 +279,23 @@
         self.broker.recorder.release_owed(self.host, tag)
 
     def _replace_connection(self, connection: ServerConnection) -> None:
-        """Dials again after a loss, also where others are open: on the next connection the server tells again
-        what was lost with this one."""
+        """Dials again after a loss, even if other connections are open.
+
+        The server repeats what was lost with the connection on its next new connection."""
         self.pool.dialing.lost(self.host)
         self.replacing = True
-        # Guards against a server that closes each new connection at once.
+        # Guards against a tight dial loop with a server that closes each new connection at once.
         lasted = self.pool.clock.now() >= connection.opened_at + REDIAL_MS
         self._redial(0.0 if lasted else REDIAL_MS)
 
     # Liveness
 
     def sign_of_life(self, connection: ServerConnection) -> None:
-        """Something was read on a connection, or one came up at a server that does not greet."""
+        """Called when data was read, or a connection opened to a server that sends no report first."""
         if self.liveness.heard(connection.heard_at, connection.opened_at):
             log.info("%s: liveness: suspected -> alive, heard on connection %d", self.host, connection.slot)
             if self.replacing:
-                self.connect()  # guards against waiting for the next dial's time with what it is told on it
+                self.connect()  # the server repeats there what was lost: no need to wait for the timer
         if connection.retired and connection is self.retired:
             self._return_to_use(connection)
 
@@ -293,7 +305,7 @@
         self.connections.append(connection)
 
     def check_liveness(self, now_ms: float) -> None:
-        """Looks after calls that stand at a server which may have vanished."""
+        """Runs the failure detector: ends the established calls of a server that has vanished."""
         if not self.liveness.quiet(now_ms):
             if self.retired is not None and self.liveness.heard_after(self.retired.heard_at):
                 self._drop_retired()
@@ -317,12 +329,14 @@
                     self.on_calls_lost(since_ms, stood_by_ms)
 
     def _drop_retired(self) -> None:
-        """The silent connection that was kept has nothing to prove any more: it gives its place up."""
+        """Closes the retired connection once it can no longer prove anything, which frees its place."""
         if self.retired is not None:
             self.retired.abandon()
 
     def request_sign_of_life(self, since_ms: float | None) -> None:
-        """Tests the connections, or where tests are not allowed dials a new one, which is greeted."""
+        """Tests the connections; where probes are not allowed, dials a new one, on which the server reports.
+
+        `since_ms` is the last sign of life of a suspected server: connections from before it are tested."""
         if not self.pool.probes:
             self._close_idle_connection()
             self.connect()
@@ -338,17 +352,17 @@
             self.connect()
 
     def _close_idle_connection(self) -> None:
-        """Closes the idle connection that was heard longest ago, where a server has as many as it takes."""
+        """Closes the idle connection heard from least recently, if the server has all its connections."""
         idle = [at for at in self.connections if not at.open_attempts]
         if self.dialing is None and self.open_connections() >= MAX_CONNECTIONS and len(idle) > 1:
             oldest = min(idle, key=lambda at: at.heard_at)
             oldest.abandon()
 
     def on_calls_lost(self, since_ms: float, stood_by_ms: float) -> None:
-        """A server has been silent for too long: its calls are over, for their callers and for itself.
+        """Ends the calls of a server that has been silent for too long.
 
-        It may only have been cut off, and still hold them: it is told on a connection that is newer than its
-        silence, now or later."""
+        The server may only have been cut off and still hold them, so it gets their releases on a connection
+        opened after its silence began, now or later."""
         silent_ms = self.pool.clock.now() - since_ms
         log.warning("%s: liveness: suspected -> lost, silent for %.0f ms", self.host, silent_ms)
         over = self.broker.cut(self.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
@@ -361,7 +375,7 @@
             self.send_pending_releases(self.connections[-1])
 
     def on_unlisted(self) -> None:
-        """The server is off the list: nothing is sent, no call stands there any more."""
+        """Ends everything at a server that has been taken off the list."""
         self.listed = False
         for tag in self.pending_releases:
             self.broker.recorder.release_paid(self.host, tag)
@@ -372,11 +386,11 @@
         if self.dialing is not None:
             self.dialing.cancel()
         waiting, self.waiting_attempts = self.waiting_attempts, []
-        for attempt in waiting:  # guards against one that waits for a dial which is never made
+        for attempt in waiting:  # nothing will be dialed for them
             self.broker.ended(attempt, Outcome.CONNECT_FAILED)
 
     def reset(self, before_ms: float, why: str) -> None:
-        """The process that ran before a time is gone: its connections, its set-ups and its calls with it."""
+        """Ends the connections, set-ups and calls of the process that ran until `before_ms`."""
         self.broker.cut(self.host, before_ms, why)
         for connection in [at for at in self.connections if at.opened_at <= before_ms]:
             connection.abandon()
@@ -386,14 +400,15 @@
     # Sending
 
     def send(self, attempt: Attempt) -> None:
+        """Sends an attempt on the least used connection, or queues it until one opens."""
         request, link = attempt.request, attempt.request.last_link
         if not self.connections:
             self.waiting_attempts.append(attempt)
             if self.request_connection() > self.pool.connect_timeout_ms and attempt in self.waiting_attempts:
-                self.waiting_attempts.remove(attempt)  # its turn comes too late: another server
+                self.waiting_attempts.remove(attempt)  # the dial would come too late: try another server
                 self.broker.ended(attempt, Outcome.CONNECT_FAILED)
             return
-        # Guards against second copies of the last attempt's answer: elsewhere they are not this one's.
+        # Avoids the last attempt's connection: a second copy of its answer may arrive there.
         chosen = min(
             self.connections, key=lambda at: (len(at.open_attempts) + (at.slot == link), at.opened_at)
         )
@@ -402,7 +417,7 @@
             and len(self.connections) < MAX_CONNECTIONS
             and attempt.sent_at >= self.no_dial_before
         ):
-            self.request_connection()  # the fewer set-ups share a connection, the fewer break with it
+            self.request_connection()  # fewer set-ups per connection are lost with it
         left = max(1, round(attempt.end_at - self.pool.clock.now()))
         opts = {"class": request.call_class, "left": str(left)}
         if request.key:
@@ -414,45 +429,45 @@
             self.broker.tally.sent(request.call_class)
 
     def give_up(self, attempt: Attempt) -> None:
+        """Withdraws an attempt; retires its connection if that was silent all the while."""
         if attempt in self.waiting_attempts:
             self.waiting_attempts.remove(attempt)
             return
         for connection in list(self.connections):
             if connection.open_attempts.get(attempt.request.id) is attempt:
-                del (
-                    connection.open_attempts[attempt.request.id],
-                    connection.read_count_at_send[attempt.request.id],
-                )
+                del connection.open_attempts[attempt.request.id], connection.sent_at_read[attempt.request.id]
                 connection.send_message(Message("FINISH", attempt.request.id, rc=jsonl.NORMAL))
                 if connection.heard_at <= attempt.sent_at < self.pool.clock.now() - SILENCE_LIMIT_MS:
-                    self.retire(connection)  # nothing came while it waited: no better for the next
+                    self.retire(connection)  # silent for the whole attempt
 
     def release(self, tag: str, cause: int) -> None:
-        """Ends a call that stands here: on any connection, on the next if none is open."""
+        """Releases an established call, on any connection; on the next one if none is open."""
         if not self.connections or not self.connections[0].send_release(tag, cause):
             self._queue_release(tag, cause)
             self.request_connection()
 
     def probe(self, number: int) -> None:
+        """Sends a probe; its answer or failure goes to `Broker.probed` under this number."""
         if not self.connections:
             self.waiting_probes.append(number)
             self.request_connection()
         else:
             self.connections[0].send_message(Message("ECHO", f"{number:016x}", rc=1))
 
-    # Hearing
+    # Input
 
     def report_values(self, message: Message) -> tuple[float, ...]:
-        """The report in the settings' order of columns; -1 for what it does not tell."""
-        told = jsonl.parse_numbers(message.opts.get("load", ""))
-        if not told:
+        """The load report in the order of the settings' columns, -1 for a missing value; empty if none."""
+        values = jsonl.parse_numbers(message.opts.get("load", ""))
+        if not values:
             return ()
         return tuple(
-            told.get(name, told.get(COLUMN_ALIASES.get(name, name), -1.0))
+            values.get(name, values.get(COLUMN_ALIASES.get(name, name), -1.0))
             for name in self.broker.rules.settings.report_columns
         )
 
     def handle_message(self, connection: ServerConnection, message: Message) -> None:
+        """Handles one message from the server. Raises BadLineError for an unknown verb."""
         match message.verb:
             case "STARTED":
                 self.handle_answer(connection, message, connection.match_response(message.tag))
@@ -460,7 +475,7 @@
                 self.handle_finish(connection, message, connection.match_response(message.tag))
             case "LOAD":
                 self.lag.on_report(connection)
-                # Each connection brings it: the module hears it once, as from the simulator.
+                # It arrives on each connection; the module must see it once.
                 if (report := self.report_values(message)) and connection is self.connections[0]:
                     self.broker.reported(self.host, report)
             case "ECHOED":
@@ -476,6 +491,7 @@
                 raise BadLineError(f"verb: unknown: {message.verb}")
 
     def handle_answer(self, connection: ServerConnection, message: Message, attempt: Attempt | None) -> None:
+        """Handles an answer; `attempt` is the open attempt on this connection that it is for, if any."""
         if attempt is None and self.broker.recorder.defers(
             message.tag, self.host, lambda: self.handle_answer(connection, message, None)
         ):
@@ -487,11 +503,12 @@
             or request.attempt is None
             or request.attempt.server != self.host
         ):
-            # Guards against an answer that crosses our give-up, also where the call stands at another server
-            # meanwhile: what it set up must not be left standing.
+            # The answer crossed our give-up, and the call may be established at another server by now: what
+            # was set up here must not be left behind.
             connection.send_message(Message("FINISH", message.tag, rc=jsonl.NORMAL))
 
     def handle_finish(self, connection: ServerConnection, message: Message, attempt: Attempt | None) -> None:
+        """Handles a refusal or the end of a call, and confirms it; `attempt` as in `handle_answer`."""
         if attempt is None and self.broker.recorder.defers(
             message.tag, self.host, lambda: self.handle_finish(connection, message, None)
         ):
@@ -519,8 +536,8 @@
                 and request.attempt.link not in (None, connection.slot)
                 and message.rc == jsonl.NORMAL
             ):
-                # A server tells the end on the next connection that opens too, where it may be read before
-                # the answer. On the answer's own it can't be: another word on an earlier attempt.
+                # A server also tells the end on its next new connection, where it may be read before the
+                # answer. On the answer's own connection it can't be: there it ends an earlier attempt.
                 self.broker.over_early(request.attempt, confirm)
                 return
         self.broker.recorder.barrier(confirm)
--- a/frostport/net/upstream_connection.py
+++ b/frostport/net/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream server, and the attempts that are out on it."""
+"""One connection to an upstream server, with its open attempts and unconfirmed releases."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 if TYPE_CHECKING:
     from frostport.net.upstream import UpstreamServer
 
-PARTIAL_LINE_TIMEOUT_MS = 300.0  # an answer that stops short for so long ends its connection
-RELEASE_CONFIRM_MS = 10_000.0  # a release that a server has not confirmed for so long counts as heard
+PARTIAL_LINE_TIMEOUT_MS = 300.0  # for a line that has begun; the connection is abandoned after
+RELEASE_CONFIRM_MS = 10_000.0  # an unconfirmed release is resent no longer than this
 
 
 class ServerConnection(LineConnection):
-    """One connection to a upstream server, and the attempts out on it."""
+    """One connection to an upstream server; belongs to an `UpstreamServer`, which handles its messages."""
 
     def __init__(self, server: UpstreamServer) -> None:
         super().__init__(server.pool.clock, server.pool.deadlines)
@@ -32,15 +32,14 @@
         self.opened_at = math.inf
         self.peer = server.host
         self.open_attempts: dict[str, Attempt] = {}
-        self.read_count_at_send: dict[str, int] = {}  # the turn in which each went out
-        self.heard_at = self.reported_at = math.inf  # when anything was read, and when a report came unasked
-        self.lagging_since = math.inf  # when another brought a report, with nothing heard here since
+        self.sent_at_read: dict[str, int] = {}  # `read_count` when each of them was sent
+        self.heard_at = self.reported_at = math.inf  # the last data, and the last unsolicited report
+        self.lagging_since = math.inf  # a report came on another connection then, and no data here since
         self.tested_at = -math.inf
-        self.greeted = False  # the first report has come
-        self.retired = False  # it was silent: no set-ups go out on it, it is kept to be heard
-        self.unconfirmed_releases: OrderedDict[str, tuple[int, float]] = (
-            OrderedDict()
-        )  # not confirmed: cause, said at
+        self.greeted = False  # the first report has arrived
+        self.retired = False  # silent: no set-ups are sent on it, it is kept to detect signs of life
+        # Call -> cause and when it was sent, oldest first.
+        self.unconfirmed_releases: OrderedDict[str, tuple[int, float]] = OrderedDict()
         self._partial_line_timer: Deadline | None = None
 
     def on_open(self) -> None:
@@ -49,7 +48,7 @@
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 (Twisted's name)
         if self.alive and isinstance(reason.value, ConnectionDone):
             self.heard_at = self.clock.now()
-            self.server.sign_of_life(self)  # the server closed it
+            self.server.sign_of_life(self)  # an orderly close is one
         elif self.alive:
             self.server.liveness.reset(self.clock.now())
         super().connectionLost(reason)
@@ -72,28 +71,29 @@
             self._partial_line_timer.cancel()
             self._partial_line_timer = None
         elif self.splitter.partial and self._partial_line_timer is None:
-            # Guards against an answer that stops short: what comes after it would never be read.
+            # Guards against a truncated line, behind which nothing more would be read.
             self._partial_line_timer = self.deadlines.set(
                 self.clock.now() + PARTIAL_LINE_TIMEOUT_MS, self.abandon
             )
 
     def on_malformed(self, problem: BadLineError) -> None:
-        # Guards against waiting on a connection that is of no further use: what is open on it ends too.
+        # Nothing more on it can be trusted: its open attempts must not wait for their timeouts.
         self.abandon()
 
     def abandon(self) -> None:
+        """Aborts the connection and resets its open attempts at once."""
         self.drop()
         self.server.connection_closed(self)
 
     def send_set_up(self, attempt: Attempt, line: bytes) -> bool:
-        """Writes a set-up; whether it was written in full to the transport."""
+        """Writes the set-up of an attempt; False if the connection is closed."""
         attempt.link = self.slot
         self.open_attempts[attempt.request.id] = attempt
-        self.read_count_at_send[attempt.request.id] = self.read_count
+        self.sent_at_read[attempt.request.id] = self.read_count
         return self.write(line)
 
     def send_release(self, tag: str, cause: int) -> bool:
-        """Writes the release of a call, and remembers it until the server confirms it."""
+        """Writes the release of a call and keeps it until the server confirms it; False if closed."""
         if not self.send_message(Message("FINISH", tag, rc=cause)):
             return False
         now = self.clock.now()
@@ -103,10 +103,11 @@
         return True
 
     def match_response(self, tag: str) -> Attempt | None:
-        """The attempt that an answer is for, no longer out here; None if it is for none.
+        """Removes and returns the open attempt that a response is for, None if it is for none.
 
-        Guards against second copies: what was read before an attempt went out can't be its answer."""
-        if tag not in self.open_attempts or self.read_count_at_send[tag] == self.read_count:
+        Guards against second copies of an earlier response: what arrived in the same read as the response
+        that led to an attempt can't be an answer to that attempt."""
+        if tag not in self.open_attempts or self.sent_at_read[tag] == self.read_count:
             return None
-        del self.read_count_at_send[tag]
+        del self.sent_at_read[tag]
         return self.open_attempts.pop(tag)
--- a/frostport/net/upstream_pool.py
+++ b/frostport/net/upstream_pool.py
@@ -1,4 +1,4 @@
-"""All upstream servers of the list, as the broker's route."""
+"""The broker's route to upstream servers that speak JSON lines."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class UpstreamPool:
-    """All upstream servers of the list, as the broker's route."""
+    """All upstream servers on the server list; implements the broker's `Route`."""
 
     def __init__(self, broker: Broker, front: Front, connect: Connect, connect_timeout_ms: float) -> None:
         self.broker, self.front, self.connect = broker, front, connect
@@ -25,20 +25,21 @@
         self.connections: Slots[ServerConnection] = Slots()
         self.members: dict[str, UpstreamServer] = {}
         self.dialing: Dialing = EAGER
-        self.on_connection_limit: Callable[[int], None] = (
-            lambda connections: None
-        )  # told how many these may open in all
-        self.probes = broker.rules.settings.probes  # whether servers may be tested
+        # Called with the number of connections that all servers together may open.
+        self.on_connection_limit: Callable[[int], None] = lambda connections: None
+        self.probes = broker.rules.settings.probes  # whether servers may be probed and tested
         self._sweep = LivenessSweep(
             self.clock, self.deadlines, self.members.values, UpstreamServer.check_liveness
         )
 
     def start(self) -> None:
-        """Looks after silent servers from now on."""
+        """Starts the failure detectors of the servers."""
         self._sweep.start()
 
     def add(self, host: str, dial: str, born_ms: float) -> None:
-        """A server that is on the list, before the module hears of it."""
+        """Adds a listed server or updates it; called before the decision module learns of it.
+
+        `born_ms` is when its process started, 0 if unknown: what ran there before that is gone."""
         server = self.members.get(host)
         if server is not None and server.dial != dial:
             self.remove(host)
@@ -52,13 +53,14 @@
             server.schedule_dial(self.dialing.first(host))
 
     def remove(self, host: str) -> None:
+        """Removes a server that is no longer listed, with its connections and calls."""
         server = self.members.pop(host, None)
         if server is not None:
             server.on_unlisted()
             self.on_connection_limit(len(self.members) * MAX_CONNECTIONS)
 
     def resume(self, releases: Iterable[tuple[str, str]]) -> None:
-        """Servers and calls: what is to be released there since before a restart."""
+        """Sends releases pending since before a restart, as pairs of server and call."""
         for host, tag in releases:
             if host in self.members:
                 self.members[host].release(tag, jsonl.NORMAL)
--- a/frostport/starting.py
+++ b/frostport/starting.py
@@ -168,7 +168,7 @@
                 case feeding.Connect(among):
                     bus.start_in(self.turns.first(LIST, self.monotonic.now(), among))
                 case feeding.Disconnect():
-                    bus.leave()
+                    bus.disconnect()
         if self.said != (said := f"{feed.role.value} {feed.source}".strip()):
             self.said = said
             log.info("list: %s", said)
--- a/tests/test_gossip_wire.py
+++ b/tests/test_gossip_wire.py
@@ -195,7 +195,7 @@
     for _ in range(6):
         clock.at += link.HEARTBEAT_MS
         deadlines.run(clock.now())
-    assert our_wire.aborted and not agents.by_name
+    assert our_wire.aborted and not agents.connections
 
 
 def test_a_peer_that_reads_nothing_costs_its_queue_and_then_its_connection() -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -274,7 +274,7 @@
     clock.at = LINE_TIMEOUT_MS
     deadlines.run(clock.now())
     assert silent.closed and silent.text == b""
-    assert made.open == 0
+    assert made.open_count == 0
 
 
 def test_the_door_bounds_lines_and_connections() -> None:
