--- a/tests/restart.py
+++ b/tests/restart.py
@@ -65,7 +65,7 @@
         self.running = True
         super().__init__({"store": STORE, **record})  # type: ignore[call-arg]
 
-    def made(self: Any) -> Agent:
+    def make_agent(self: Any) -> Agent:
         self.disk = Disk(self)
         loaded = config.read(self.record)
         assert loaded.store is not None
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,18 +1,21 @@
-"""A small language for scenarios, played on a set clock over in-memory transports.
-
-A line is one step:
-    send WHO MESSAGE      WHO says it (a client or event bus connects first; `bus`, `agent`: see below), on
-                          the connection that its set-up came on; `on=TAG`: on that set-up's
-    expect WHO MESSAGE    the next thing that WHO hears matches it, field by field; `nothing`, `closed`
-    close WHO [HOW]       WHO breaks its connection; `dead` also refuses new ones, `silent` lets all hang;
-                          `full` only refuses new ones, `but=TAG` is `dead` with that set-up's left open,
-                      `unheard` closes so that the agent's reactor hears nothing of it, the system does
-    wait MS               time passes
-
-WHO: c1, c2 (clients), s0, s1 (lobby servers), bus, bus2, p1 (a peer's datagrams), agent (`term`, `hup TEXT`
-or `hup FIELD=JSON`; `exit`, `phase`, `stopped N` for the sends that the rules stopped), and for servers
-`send s0 alive`, `mute`, `unmute`, `late` (its new connections come up with `up`); `send c1 stuck`
-and `unstuck` for one that does not read.
+"""A scenario language for tests: an agent on a manual clock, with scripted parties on in-memory transports.
+
+A script has one step per line; `#` begins a comment:
+    send WHO MESSAGE      WHO sends it (a client or the event bus connects first; for `bus` and `agent` see
+                          below), on the connection of the set-up named in it, or of the one in `on=TAG`
+    expect WHO MESSAGE    the next message that WHO received matches in each field given; `nothing`, `closed`
+    close WHO [HOW]       WHO closes its connections; `dead` also refuses new ones, `silent` keeps all open
+                          and lets new ones hang, `full` only refuses new ones, `but=TAG` is `dead` except
+                          for that set-up's connection, `unheard` is a close that the operating system
+                          reports and the agent's reactor does not notice
+    door COMMAND => TEXT  the answer of the operators' port to COMMAND begins with TEXT
+    wait MS               advances the clock
+
+WHO is c1, c2 (clients), s0, s1 (lobby servers), bus, bus2, p1 (a peer's datagrams) or agent. To the agent,
+`send` takes `term` (SIGTERM) and `hup TEXT` or `hup FIELD=JSON` (a reload), and `expect` takes `exit`,
+`phase X`, `open N`, `dials N`, and `stopped N` for the sends that the rules stopped. To a party, `send` also
+takes `alive`, `mute`, `unmute`, `late` (its new connections open only after `up`), and for a client that
+does not read `stuck` and `unstuck`.
 """
 
 from __future__ import annotations
@@ -40,19 +43,20 @@
 
 
 def failure(kind: Any) -> Any:
-    made: Any = Failure
-    return made(kind())
+    """A Twisted Failure with an exception of this class."""
+    untyped: Any = Failure
+    return untyped(kind())
 
 
 class Wire:
-    """One end of a connection; what is written reaches the other end once the writer is done."""
+    """One end of an in-memory connection; written data is delivered by `World.settle`."""
 
     def __init__(self, world: World, protocol: Any) -> None:
         self.world, self.protocol, self.open = world, protocol, True
         self.other: Wire | None = None
         self.producer: Any = None
         self.paused = False
-        self.unread: list[bytes] = []  # what came while its reader was paused
+        self.unread: list[bytes] = []  # received while reading was paused
 
     def write(self, data: bytes) -> None:
         other = self.other
@@ -94,7 +98,7 @@
 
 
 class ClosedEnd:
-    """Has closed its end, and hears no more."""
+    """The protocol of an end that has closed and ignores all input."""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         pass
@@ -104,7 +108,7 @@
 
 
 class Reactor:
-    """As much of a reactor as the agent asks for."""
+    """The part of a Twisted reactor that the agent uses."""
 
     def __init__(self, world: World) -> None:
         self.world, self.stopped = world, False
@@ -114,7 +118,7 @@
         self.udp: Any = None
 
     def callLater(self, delay: float, action: Callable[[], None]) -> Any:  # noqa: N802
-        return type("Call", (), {"active": lambda self: False})()  # the world runs the deadlines itself
+        return type("Call", (), {"active": lambda self: False})()  # World runs the deadlines itself
 
     def listenTCP(self, port: int, factory: Any, **more: Any) -> Reactor:  # noqa: N802
         if isinstance(factory, OperatorPort):
@@ -152,18 +156,18 @@
 
 
 class Actor:
-    """A scripted party that speaks JSON lines; other codecs override the two translations."""
+    """A scripted party that speaks JSON lines; for other codecs, override `read` and `encode`."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
         self.wires: list[Any] = []
-        self.heard_on: Any = None  # the connection that the last message came on
-        self.asked_on: dict[str, Any] = {}  # the connection that each set-up came on
+        self.heard_on: Any = None  # the connection of the last message
+        self.asked_on: dict[str, Any] = {}  # the connection of each set-up
         self.inbox: list[Heard] = []
         self.state = "alive"
         self.lines = jsonl.LineSplitter()
 
-    # As the protocol of its end of a connection
+    # Twisted's protocol methods
 
     def connect(self, wire: Any) -> None:
         self.wires.append(wire)
@@ -178,7 +182,7 @@
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
         self.wires = [wire for wire in self.wires if wire.open]
-        if self.inbox[-1:] != [{"": "closed"}]:  # a server's several connections break as one
+        if self.inbox[-1:] != [{"": "closed"}]:  # several connections of a server count as one close
             self.inbox.append({"": "closed"})
 
     def read(self, line: bytes) -> Heard:
@@ -222,7 +226,7 @@
         wire.write(data)
 
     def write(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """The agent's datagrams come here."""
+        """Receives the agent's datagrams, as their transport."""
         self.inbox.append({"": datagram.hex(), "to": f"{address[0]}:{address[1]}"})
 
     def matches(self, heard: Heard, text: str) -> bool:
@@ -238,23 +242,23 @@
         )
 
     def may_be_skipped(self, heard: Heard) -> bool:
-        """What may be passed over where it is not asked for."""
+        """Whether `expect` may skip this message to find the one it names."""
         return heard[""] == "FINISHED"
 
     def expect(self, text: str) -> None:
         while self.inbox and self.may_be_skipped(self.inbox[0]) and not self.matches(self.inbox[0], text):
             self.inbox.pop(0)
         if text == "nothing":
-            assert not self.inbox, f"{self.name} heard {self.inbox}"
+            assert not self.inbox, f"{self.name} received {self.inbox}"
             return
-        assert self.inbox, f"{self.name} heard nothing, not {text}"
-        assert self.matches(self.inbox[0], text), f"{self.name} heard {self.inbox[0]}, not {text}"
+        assert self.inbox, f"{self.name} received nothing, not {text}"
+        assert self.matches(self.inbox[0], text), f"{self.name} received {self.inbox[0]}, not {text}"
         self.inbox.pop(0)
 
     def close(self, how: str) -> None:
         self.state = how or self.state
         if how.startswith("but="):
-            # The process is dead, and one of its connections does not show it.
+            # The process is dead, but one of its connections stays open.
             self.state, stays = "dead", self.asked_on[how[4:]]
             for wire in [wire for wire in self.wires if wire is not stays]:
                 self.wires.remove(wire)
@@ -275,7 +279,7 @@
 
 
 class World:
-    """The agent, its clock and all that it talks to."""
+    """The agent, its clock and all parties that it talks to."""
 
     actor: type[Actor] = Actor
     reactor_kind: type[Reactor] = Reactor
@@ -291,14 +295,15 @@
         self.begin()
 
     def begin(self) -> None:
-        self.agent = self.made()
+        self.agent = self.make_agent()
         self.agent.start()
         self.settle()
 
-    def made(self) -> Agent:
+    def make_agent(self) -> Agent:
         return Agent(config.read(self.record), self.reactor, self.clock)
 
     def settle(self) -> None:
+        """Delivers what was written, until nothing is left."""
         while self.later:
             self.later.pop(0)()
             self.agent.deadlines.run(self.clock.now())
@@ -332,8 +337,8 @@
         self.clock.at = end
 
     def ask(self, line: str) -> str:
-        """One call at the operators' door; what it answers."""
-        assert self.reactor.door is not None, "no door"
+        """Sends one command to the operators' port; returns the answer."""
+        assert self.reactor.door is not None, "no operators' port"
         connection = self.reactor.door.buildProtocol(None)
         said = type("Said", (), {"text": b"", "closed": False})()
         connection.makeConnection(
@@ -348,13 +353,13 @@
             )()
         )
         connection.dataReceived(line.encode() + b"\n")
-        assert said.closed, "the door did not close"
+        assert said.closed, "the operators' port did not close the connection"
         connection.connectionLost(None)
         self.settle()
         return str(said.text.decode())
 
     def reload(self, text: str) -> None:
-        """SIGHUP, after the file was replaced: by a text, or with one field changed."""
+        """Replaces the configuration by a text, or changes one field, and reloads as on SIGHUP."""
         field, _, value = text.partition("=")
         changed = orjson.dumps({**self.record, field: orjson.loads(value)}) if value else text.encode()
         with tempfile.TemporaryDirectory() as folder:
@@ -375,7 +380,7 @@
             case "door", _:
                 asked, _, wanted = f"{who} {rest}".partition(" => ")
                 said = self.ask(asked)
-                assert said.startswith(wanted), f"the door said {said!r}, not {wanted!r}"
+                assert said.startswith(wanted), f"the operators' port answered {said!r}, not {wanted!r}"
                 return
             case "expect", "agent":
                 told = {
@@ -400,24 +405,25 @@
 
 
 def lines(script: str) -> Iterator[tuple[int, str]]:
+    """The steps of a script with their line numbers."""
     for number, line in enumerate(script.strip().split("\n"), start=1):
         if line.strip() and not line.strip().startswith("#"):
             yield number, line.strip()
 
 
 def play(script: str, record: dict[str, Any], world: type[World] = World) -> World:
-    """Plays a scenario; unless it says otherwise, the rules have stopped no send."""
-    made = world(record)
+    """Plays a scenario; the rules must have stopped no send, unless it expects so itself."""
+    played = world(record)
     for number, line in lines(script):
         try:
-            made.step(line)
+            played.step(line)
         except AssertionError as problem:
             raise AssertionError(f"step {number}: {line}: {problem}") from None
     if "expect agent stopped" not in script:
-        assert made.agent.rules.stopped.total() == 0
-    slots = {request.slot for request in made.agent.broker.requests}
-    assert slots == set(made.agent.broker.by_id.values())
-    return made
+        assert played.agent.rules.stopped.total() == 0
+    slots = {request.slot for request in played.agent.broker.requests}
+    assert slots == set(played.agent.broker.by_id.values())
+    return played
 
 
 def host(
@@ -473,7 +479,7 @@
 
 
 def platform(**caps: Any) -> dict[str, Any]:
-    """A configuration of the platform's form, with some `caps` changed."""
+    """A configuration for the platform, with some `caps` changed."""
     return {
         "name": "n0",
         "listen": "10.0.9.1:1",
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -1,5 +1,7 @@
-"""A flood against the real program under a lowered descriptor limit: addresses of 127.0.0.0/8 are the
-clients."""
+"""A flood of connections against the real program under a lowered descriptor limit.
+
+Known clients connect from other addresses of 127.0.0.0/8 than the flood, and must be served throughout.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +22,7 @@
 
 
 async def flood(port: int, chance: random.Random) -> int:
-    """Connections from one address, each with one whole line or none, held until they are closed; bounded."""
+    """Opens CONNECTIONS from one address, at most 200 at once, most with one line; counts failures."""
     held: list[asyncio.StreamWriter] = []
     refused = 0
     for number in range(CONNECTIONS):
@@ -49,7 +51,7 @@
     path = folder / "config.json"
     admission = {"by_address": 20, "reserve": 16, "known": ["127.9.0.0/16"], "unidentified": 24}
     path.write_text(json.dumps(configuration(port, ports, admission=admission)), encoding="utf-8")
-    usual = [
+    known = [
         Caller(
             number, books, random.Random(number), lambda: port, address=f"127.{8 + number % 2}.0.{number + 1}"
         )
@@ -68,13 +70,13 @@
         )
         try:
             await up(port)
-            tasks = [asyncio.create_task(caller.run()) for caller in usual]
+            tasks = [asyncio.create_task(caller.run()) for caller in known]
             while books.answers < 20:
                 await asyncio.sleep(0.02)
             await flood(port, random.Random(1))
             await settled(lambda: books.answers > CALLS)
-            await quiet(usual)
-            await asyncio.sleep(2.5)  # what has said nothing is closed
+            await quiet(known)
+            await asyncio.sleep(2.5)  # longer than a silent connection is kept
             open_now = len(os.listdir(f"/proc/{program.pid}/fd"))
             program.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(program.wait(), PATIENCE_S) == 0
@@ -82,18 +84,18 @@
             await ended(program)
     await cancelled(tasks)
     lines = (folder / "log").read_text(encoding="utf-8").splitlines()
-    told = next(line for line in lines if "admission: {" in line)
-    return books, [caller.connects for caller in usual], json.loads(told[told.index("{") :]), open_now
+    logged = next(line for line in lines if "admission: {" in line)
+    return books, [caller.connects for caller in known], json.loads(logged[logged.index("{") :]), open_now
 
 
 def test_known_clients_are_served_throughout_a_flood(tmp_path: pathlib.Path) -> None:
-    books, connects, told, open_now = asyncio.run(flooded(tmp_path))
+    books, connects, logged, open_now = asyncio.run(flooded(tmp_path))
     log = (tmp_path / "log").read_text(encoding="utf-8")
-    print(told, open_now)
+    print(logged, open_now)
     assert books.faults == [] and not books.unsure and books.refused == 0
-    assert connects == [1, 1, 1, 1], "a usual client lost its connection"
+    assert connects == [1, 1, 1, 1], "a known client lost its connection"
     assert "Traceback" not in log and "these count" in log
-    refused = told["refused"]
+    refused = logged["refused"]
     assert isinstance(refused, dict) and refused["address"] > 100
-    descriptors = told["descriptors"]
+    descriptors = logged["descriptors"]
     assert isinstance(descriptors, dict) and sum(descriptors.values()) == open_now
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -30,7 +30,7 @@
 from standins.ports import free_ports
 from tests.restart import Disk
 from tests.scenario import World, platform, play
-from tests.test_loopback import AT_5
+from tests.test_loopback import LAUNCH_WITH_FD_5
 from tests.test_sigkill import STORE, cancelled, ended, ended_by_servers, quiet
 
 OVER = records.Over("stands", "s0", 1.0, 0.0, "c", 0, -1, 0.0, b"")
@@ -96,7 +96,7 @@
         self.old = Engine.open(DiskFolder(self.path), Limits())
         super().__init__(record)
 
-    def made(self) -> Agent:
+    def make_agent(self) -> Agent:
         loaded = config.read(self.record)
         assert loaded.store is not None
         durability = Durability.open(loaded.store, worker=Disk(self), upgrade=True)
@@ -232,7 +232,7 @@
         program = await asyncio.create_subprocess_exec(
             sys.executable,
             "-c",
-            AT_5,
+            LAUNCH_WITH_FD_5,
             str(self.held.fileno()),
             env=environment,
             stderr=self.log,
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,6 +1,6 @@
-"""The same scenarios over real sockets on the loopback, and the program as it is started.
+"""Scenarios over real loopback sockets, and the program started as a process.
 
-The stand-ins drop watchdogs by their script; the clock is still set, so that nothing waits for real time.
+The scenarios run on the manual clock, so nothing waits for real time.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from tests import diameter, test_diameter, test_platform
 from tests.scenario import Actor, Reactor, World, event, host, platform, play
 
-ROUNDS, PATIENCE = 8, 400  # turns of the reactor in a step, and steps that an expected message is waited for
+ITERATIONS, MAX_STEPS = 8, 400  # reactor iterations per step; steps to wait for a message
 
 
 class SocketWire(protocol.Protocol):
@@ -53,7 +53,7 @@
 
 
 class LoopbackReactor(Reactor):
-    """A real reactor, turned by hand; a dead server's address is a port where nobody listens."""
+    """A real reactor, iterated by hand; the address of a dead server is a port without a listener."""
 
     def __init__(self, world: World) -> None:
         super().__init__(world)
@@ -61,12 +61,12 @@
         self.ports: dict[str, Any] = {}
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
-            self.nobody = closed.getsockname()[1]
+            self.closed_port = closed.getsockname()[1]
 
     def port_of(self, name: str) -> int:
         actor = self.world.actors[name]
         if actor.state == "dead":
-            return int(self.nobody)
+            return int(self.closed_port)
         if name not in self.ports:
             factory = protocol.Factory.forProtocol(lambda: SocketWire(actor))
             self.ports[name] = self.real.listenTCP(0, factory, interface="127.0.0.1")
@@ -85,12 +85,12 @@
 
 
 class Loopback:
-    """Mixed into a world: its connections are real."""
+    """Mixin that gives a World real connections."""
 
     reactor_kind: type[Reactor] = LoopbackReactor
 
     def settle(self: Any) -> None:
-        for _ in range(ROUNDS):
+        for _ in range(ITERATIONS):
             self.reactor.real.iterate(0.001)
             self.agent.deadlines.run(self.clock.now())
 
@@ -98,15 +98,17 @@
         factory = protocol.ClientFactory.forProtocol(lambda: SocketWire(actor))
         port = self.reactor.factory.getHost().port
         self.reactor.real.connectTCP("127.0.0.1", port, factory)
-        for _ in range(PATIENCE):
+        for _ in range(MAX_STEPS):
             if actor.wires:
                 break
             self.settle()
 
     def step(self: Any, line: str) -> None:
-        for _ in range(PATIENCE if line.startswith("expect") and "nothing" not in line else 0):
+        for _ in range(MAX_STEPS if line.startswith("expect") and "nothing" not in line else 0):
             who = line.split()[1]
-            if who == "agent" or any(not self.actors[who].unasked(heard) for heard in self.actors[who].inbox):
+            if who == "agent" or any(
+                not self.actors[who].may_be_skipped(heard) for heard in self.actors[who].inbox
+            ):
                 break
             self.settle()
         super().step(line)  # type: ignore[misc]
@@ -191,13 +193,13 @@
 
 
 def test_an_upgrade_on_an_inherited_blocking_socket(tmp_path: pathlib.Path) -> None:
-    """Two real processes on the socket that the platform holds: both serve, the old one ends on SIGTERM."""
+    """Two processes share the listening socket that the platform holds; the old one ends on SIGTERM."""
     with socket.socket() as lobby, socket.socket() as held:
         lobby.bind(("127.0.0.1", 0))
         lobby.listen()
         held.bind(("127.0.0.1", 0))
         held.listen(64)
-        held.setblocking(True)  # as the platform hands it over
+        held.setblocking(True)  # as the platform passes it
         listen = held.getsockname()
         first = json.loads(event(1, {**host(0), "dial": f"127.0.0.1:{lobby.getsockname()[1]}"}, whole=True))
         record = platform()
@@ -219,7 +221,7 @@
                 }
                 programs.append(
                     subprocess.Popen(
-                        [sys.executable, "-c", AT_5, str(held.fileno())],
+                        [sys.executable, "-c", LAUNCH_WITH_FD_5, str(held.fileno())],
                         env=environment,
                         pass_fds=(held.fileno(),),
                     )
@@ -227,7 +229,7 @@
                 assert ask(door, b"ready") == b"OK yes\n"
             lobby.settimeout(60)
             servers: list[socket.socket] = []
-            for number in range(6):  # the kernel hands each connection to one of the two
+            for number in range(6):  # the kernel gives each connection to either process
                 client = socket.create_connection(listen, timeout=60)
                 client.sendall(
                     b'{"verb":"START","tag":"%016x","opts":{"class":"race","left":8000},"blob":"x"}\n'
@@ -246,14 +248,14 @@
                 program.wait()
 
 
-AT_5 = (
+LAUNCH_WITH_FD_5 = (
     "import os, sys; os.dup2(int(sys.argv[1]), 5); "
     "os.execv(sys.executable, [sys.executable, '-m', 'frostport'])"
-)  # the socket as descriptor 5
+)  # runs the program with the socket as descriptor 5
 
 
 def ask(door: int, line: bytes) -> bytes:
-    """One call at a program's door, once it listens."""
+    """Sends one command to the operators' port once it listens; returns the answer."""
     for _ in range(600):
         try:
             with socket.create_connection(("127.0.0.1", door), timeout=60) as caller:
@@ -263,4 +265,4 @@
             import time
 
             time.sleep(0.1)
-    raise TimeoutError("the door does not listen")
+    raise TimeoutError("the operators' port does not listen")
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operators' door, drains and handovers, on a set clock; no bench."""
+"""The operators' port, drains and handovers, on the manual clock."""
 
 from __future__ import annotations
 
@@ -175,14 +175,14 @@
 
 
 class Upgraded(World):
-    """An agent on a listening socket that the platform holds."""
+    """A world whose agent inherits a listening socket from the platform."""
 
-    def made(self) -> Any:
-        agent = super().made()
+    def make_agent(self) -> Any:
+        agent = super().make_agent()
         self.held = socket.socket()
         self.held.bind(("127.0.0.1", 0))
         self.held.listen()
-        self.held.setblocking(True)  # as the platform hands it over
+        self.held.setblocking(True)  # as the platform passes it
         agent.inherited = os.dup(self.held.fileno())
         return agent
 
@@ -229,12 +229,14 @@
 def test_handover(name: str) -> None:
     world: Any = play(HANDOVER[name], with_door(), Upgraded)
     assert world.reactor.adopted is not None
-    assert not os.get_blocking(world.held.fileno())  # the same open socket: Twisted's accept must not wait
-    assert world.reactor.factory is None  # the old one stopped listening
+    assert not os.get_blocking(
+        world.held.fileno()
+    )  # the flag belongs to the shared socket; Twisted's accept must not block
+    assert world.reactor.factory is None  # the old process stopped listening
     world.held.close()
 
 
-def door() -> tuple[OperatorPort, SetClock, Deadlines]:
+def operator_port() -> tuple[OperatorPort, SetClock, Deadlines]:
     clock, deadlines = SetClock(0.0), Deadlines()
     calls: dict[str, Operation] = {
         "ready": lambda rest: ["OK yes"],
@@ -244,11 +246,11 @@
 
 
 class Caller:
-    """A transport that keeps what the door writes."""
+    """A connection to the operators' port that keeps what is written."""
 
-    def __init__(self, made: OperatorPort) -> None:
+    def __init__(self, port: OperatorPort) -> None:
         self.text, self.closed = b"", False
-        self.protocol: Any = made.buildProtocol(None)
+        self.protocol: Any = port.buildProtocol(None)
         self.protocol.makeConnection(self)  # type: ignore[no-untyped-call]
 
     def write(self, data: bytes) -> None:
@@ -262,28 +264,28 @@
 
 
 def test_a_caller_that_says_nothing_whole_costs_nobody_else() -> None:
-    made, clock, deadlines = door()
-    silent = Caller(made)
+    port, clock, deadlines = operator_port()
+    silent = Caller(port)
     silent.protocol.dataReceived(b"rea")
     clock.at = LINE_TIMEOUT_MS - 1.0
     deadlines.run(clock.now())
-    other = Caller(made)
+    other = Caller(port)
     other.protocol.dataReceived(b"ready\r\n")
     assert other.text == b"OK yes\n" and other.closed
     assert not silent.closed
     clock.at = LINE_TIMEOUT_MS
     deadlines.run(clock.now())
     assert silent.closed and silent.text == b""
-    assert made.open_count == 0
+    assert port.open_count == 0
 
 
 def test_the_door_bounds_lines_and_connections() -> None:
-    made, _, _ = door()
-    long = Caller(made)
+    port, _, _ = operator_port()
+    long = Caller(port)
     long.protocol.dataReceived(b"x" * MAX_LINE_BYTES)
     assert long.text == b"ERR line too long\n" and long.closed
-    held = [Caller(made) for _ in range(MAX_CONNECTIONS)]
-    extra = Caller(made)
+    held = [Caller(port) for _ in range(MAX_CONNECTIONS)]
+    extra = Caller(port)
     assert extra.text == b"ERR busy\n" and extra.closed
     assert not any(caller.closed for caller in held)
 
@@ -302,8 +304,8 @@
     ],
 )
 def test_calls_and_their_errors(line: bytes, said: bytes) -> None:
-    made, _, _ = door()
-    caller = Caller(made)
+    port, _, _ = operator_port()
+    caller = Caller(port)
     caller.protocol.dataReceived(line + b"\n")
     assert caller.text == said
 
@@ -361,7 +363,7 @@
         address = f"127.0.0.1:{free.getsockname()[1]}"
     broker: Any = None
     ports = []
-    for _ in range(2):  # the old process and the new one, in the overlap of an upgrade
+    for _ in range(2):  # the old and the new process during an upgrade
         listen(SelectReactor(), address, Peers(broker, []))
         ports.append(address)
     assert len(ports) == 2
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Scenarios on the platform's port: clients, lobby servers, the event bus, peers, the end of the program."""
+"""Scenarios with JSON-lines clients and servers, the event bus, peers, reloads and SIGTERM."""
 
 from __future__ import annotations
 
@@ -718,7 +718,7 @@
 }
 
 
-# A test of a server is a probe (the protocol page): these need a site that allows them.
+# Testing a connection counts as a probe: these scenarios need a site that allows probes.
 PROBED = {
     "with probes, one that lags is tested: one that answers stays, one that does not goes",
     "a process that died, one connection left open: it does not answer, so it is over",
@@ -733,7 +733,7 @@
 
 @pytest.mark.parametrize("name", sorted(PROBED))
 def test_a_server_is_not_tested_where_probes_are_not_allowed(name: str) -> None:
-    with pytest.raises(AssertionError, match=r"expect s0 ECHO rc=[01]: s0 heard nothing"):
+    with pytest.raises(AssertionError, match=r"expect s0 ECHO rc=[01]: s0 received nothing"):
         play(SCENARIOS[name], platform(probes=False))
 
 
@@ -766,7 +766,9 @@
     flood.makeConnection(wire)
     line = b'{"verb":"ECHO","tag":"0000000000000002"}'.ljust(flood.read_ahead_bytes // LINES_PER_TURN) + b"\n"
     flood.dataReceived(line * LINES_PER_TURN)
-    assert not wire.paused and not flood._pending_lines  # one turn's lines: a close behind them is heard
+    assert (
+        not wire.paused and not flood._pending_lines
+    )  # after one turn's lines reading goes on, so a close is noticed
     world.settle()
     world.actors["c2"].inbox.clear()
     flood.dataReceived(line * (2 * LINES_PER_TURN + 1))
@@ -822,7 +824,7 @@
             world.actors[name].inbox.clear()
     world.step("send c1 ECHO 1 rc=0")
     world.wait(130_000.0)
-    world.step("send c1 START f class=race left=3000")  # what has aged is looked through with what is new
+    world.step("send c1 START f class=race left=3000")  # old entries are removed when new ones arrive
     world.step("send c1 FINISH f rc=16")
     names = {"h58", "h59"}
     side = agent.side
@@ -854,7 +856,7 @@
 
     def handle(given: object, now: float) -> list[object]:
         if getattr(given, "call", "").endswith("a"):
-            raise RuntimeError("a fault of the module")
+            raise RuntimeError("fault of the module")
         return real(given, now)  # type: ignore[arg-type, return-value]
 
     world.agent.broker.module.handle = handle  # type: ignore[method-assign, assignment]
--- a/tests/test_quiet_list.py
+++ b/tests/test_quiet_list.py
@@ -1,4 +1,4 @@
-"""The list service dead, hanging or silent: an agent is ready with what it was given, comes back apart."""
+"""The event bus dead, hanging or silent: agents serve with the configured list and redial with jitter."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.scenario import World, event, host, lines, platform
 
 
-class NoBus(World):
-    """Its list service does not answer from the beginning."""
+class DeadBus(World):
+    """A world whose event bus is down from the start."""
 
     state = "dead"
 
@@ -20,7 +20,7 @@
         super().begin()
 
 
-class HangingBus(NoBus):
+class HangingBus(DeadBus):
     state = "silent"
 
 
@@ -30,7 +30,7 @@
     return world
 
 
-@pytest.mark.parametrize("kind", [NoBus, HangingBus])
+@pytest.mark.parametrize("kind", [DeadBus, HangingBus])
 def test_an_agent_is_ready_at_once_without_the_list_service_and_hears_it_when_it_is_back(
     kind: type[World],
 ) -> None:
@@ -79,7 +79,7 @@
         expect bus nothing
     """,
     )
-    assert sum(world.agent.gate.descriptors.open.values()) == 4  # two servers, the bus, the peers' port
+    assert sum(world.agent.gate.descriptors.open.values()) == 4  # two servers, the bus, the port for peers
 
 
 def test_a_list_service_that_answers_after_4_s_is_heard_on_the_connection_that_asked_first() -> None:
--- a/tests/test_real_ends.py
+++ b/tests/test_real_ends.py
@@ -1,4 +1,7 @@
-"""Ends on real sockets, in the order that hurts: each side waits for the other's recorded event, not time."""
+"""Closes, give-ups, releases and SIGTERM on real sockets, in the orders most likely to go wrong.
+
+Each side waits for events on the other side, not for time to pass.
+"""
 
 from __future__ import annotations
 
@@ -18,16 +21,16 @@
 from tests.test_sigkill import PATIENCE_S, ended, up
 
 GUARD_MS = 300.0
-SOCKETS = 64  # descriptors that the agent may have
+SOCKETS = 64  # the agent's limit of descriptors
 
 
 class Server:
-    """A lobby server that tells of each set-up and answers when it is told to."""
+    """A lobby server that queues each set-up; the test answers it."""
 
     def __init__(self) -> None:
         self.came: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
         self.heard: list[tuple[str, str]] = []
-        self.bus = free_ports(1)[0]  # where nobody listens until a play does
+        self.bus = free_ports(1)[0]  # without a listener until a case opens one
 
     async def start(self) -> int:
         self.listener = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -45,15 +48,15 @@
     async def line(self, reader: asyncio.StreamReader) -> bytes:
         try:
             return await reader.readline()
-        except ConnectionResetError:  # closed with what was open on it: the agent takes it for silent
+        except ConnectionResetError:  # the agent closes a connection it takes for silent
             return b""
 
     async def next(self) -> tuple[str, asyncio.StreamWriter]:
         return await asyncio.wait_for(self.came.get(), PATIENCE_S)
 
 
-class Late(Server):
-    """Its queue of connections is full: dials come up once it is let go, with the system's next try (1 s)."""
+class BacklogFull(Server):
+    """A server with a full backlog: dials succeed after `accept_connections`, at the next SYN retry (1 s)."""
 
     async def start(self) -> int:
         held = socket.socket()
@@ -64,7 +67,7 @@
         self.listener = await asyncio.start_server(self.serve, sock=held, start_serving=False)
         return at[1]
 
-    async def let_go(self) -> None:
+    async def accept_connections(self) -> None:
         await self.listener.start_serving()
         self.filler.close()
 
@@ -90,15 +93,15 @@
     return message["verb"], message["tag"]
 
 
-Play = Callable[[Server, int, asyncio.subprocess.Process], Awaitable[None]]
+Case = Callable[[Server, int, asyncio.subprocess.Process], Awaitable[None]]
 
 
-async def played(folder: pathlib.Path, play: Play, deadline_ms: float) -> None:
-    server = Late() if play is closed_behind_a_dial else Server()
+async def run_case(folder: pathlib.Path, case: Case, deadline_ms: float) -> None:
+    server = BacklogFull() if case is closed_behind_a_dial else Server()
     port, at = free_ports(1)[0], folder / "config.json"
     record = configuration(port, [await server.start()])
     record["settings"]["services"] = [{"name": "race", "aim-ms": 400.0, "deadline-ms": deadline_ms}]
-    record["settings"]["caps"]["connect-timeout-ms"] = 1000.0 * PATIENCE_S  # none is given up in these plays
+    record["settings"]["caps"]["connect-timeout-ms"] = 1000.0 * PATIENCE_S  # no dial times out in these cases
     record["settings"]["family-info"].update({"release-guard-ms": GUARD_MS, "pools-by-class": [[0, 1]]})
     record.update(bus=f"127.0.0.1:{server.bus}", limits={"sockets": SOCKETS})
     at.write_text(json.dumps(record), encoding="utf-8")
@@ -108,7 +111,7 @@
         )
         try:
             await up(port)
-            await play(server, port, program)
+            await case(server, port, program)
             if program.returncode is None:
                 program.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(program.wait(), PATIENCE_S) == 0
@@ -123,11 +126,11 @@
     _, one = await asyncio.open_connection("127.0.0.1", port)
     start(one, gone)
     _, at = await server.next()
-    one.close()  # before the reset is told: its retry waits for the guard, with nobody there
+    one.close()  # before the reset arrives: its retry would wait for the release guard without a client
     say(at, "FINISH", gone, rc=41)
     reader, other = await asyncio.open_connection("127.0.0.1", port)
     start(other, staying)
-    for _ in range(2):  # the second comes a whole guard later than the other's would have
+    for _ in range(2):  # the second arrives a whole guard after the other's would have
         tag, at = await server.next()
         assert tag == staying
         say(at, "FINISH", staying, rc=41)
@@ -140,10 +143,10 @@
 
 
 async def many_in_one_write(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
-    """A turn's lines, set-ups among them, and their give-ups behind them, all written before any is read."""
+    """Set-ups for more than one turn and their give-ups, all written before any is read."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     tags = [f"{number:016x}" for number in range(1, 121)]
-    # One write: line by line, over 100 could be read before the first give-up is written, and one be refused.
+    # One write: otherwise over 100 could be read before the first give-up is written, and one be refused.
     writer.write(b"".join([set_up(tag) for tag in tags] + [line("FINISH", tag, rc=16) for tag in tags]))
     heard = [await hear(reader) for _ in tags]
     assert sorted(heard) == [("FINISHED", tag) for tag in tags]  # no answer to any of them
@@ -155,7 +158,7 @@
     begun = [tag for verb, tag in server.heard if verb == "START"]
     assert len(begun) == len(set(begun)) and set(begun) - {come[0]} <= set(tags)
     ended_there = [tag for verb, tag in server.heard if verb == "FINISH"]
-    assert set(begun) - {come[0]} <= set(ended_there)  # what did begin is given up there
+    assert set(begun) - {come[0]} <= set(ended_there)  # what was started is given up there
     say(writer, "FINISH", come[0], rc=16)
     assert await hear(reader) == ("FINISHED", come[0])
 
@@ -165,12 +168,12 @@
     reader, one = await asyncio.open_connection("127.0.0.1", port)
     start(one, gone)
     say(one, "ECHO", "0" * 16, rc=0)
-    assert (await hear(reader))[0] == "ECHOED"  # its set-up waits for the dial now
+    assert (await hear(reader))[0] == "ECHOED"  # by now its set-up waits for the dial
     one.close()
     reader, other = await asyncio.open_connection("127.0.0.1", port)
     start(other, staying)
-    assert isinstance(server, Late)
-    await server.let_go()
+    assert isinstance(server, BacklogFull)
+    await server.accept_connections()
     tag, at = await server.next()
     say(at, "STARTED", tag, blob="y")
     assert (tag, await hear(reader)) == (staying, ("STARTED", staying))
@@ -192,17 +195,17 @@
 
 
 async def quiet_in_a_full_table(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
-    """Idle clients take all there is while discovery is down; it is back, falls silent, and is asked anew."""
+    """Idle clients use all descriptors while the bus is down; it returns, is silent, and is asked again."""
     idle = []
     for _ in range(4 * SOCKETS):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         idle.append((reader, writer))
         say(writer, "ECHO", "0" * 16, rc=0)
-        assert await reader.readline()  # the newest gets in
+        assert await reader.readline()  # the newest is admitted
         if any(at.at_eof() or at.exception() for at, _ in idle):
-            break  # another has made room for it
+            break  # another was closed to make room
     else:
-        raise AssertionError("the table never was full")
+        raise AssertionError("the table was never full")
     asked: asyncio.Queue[tuple[bytes, asyncio.StreamWriter]] = asyncio.Queue()
 
     async def told(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -219,12 +222,12 @@
     bus = await asyncio.start_server(told, "127.0.0.1", server.bus)
     line, silent = await asyncio.wait_for(asked.get(), PATIENCE_S)
     assert line == b"from 1\n"
-    line, at = await asyncio.wait_for(asked.get(), PATIENCE_S)  # nothing was written on the first
+    line, at = await asyncio.wait_for(asked.get(), PATIENCE_S)  # again: the first stays unanswered
     assert line == b"from 1\n"
     at.write(json.dumps({"offset": 2, "topology": {"hosts": hosts}}).encode() + b"\n")
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     tag = "00000000000000ee"
-    while True:  # until the event has been heard: before, the set-up goes to the one that is to drain
+    while True:  # until the event is applied, set-ups go to the server that will drain
         start(writer, tag)
         coming = {asyncio.create_task(each.next()): each for each in (server, other)}
         done, waiting = await asyncio.wait(coming, return_when=asyncio.FIRST_COMPLETED)
@@ -245,7 +248,7 @@
     other.listener.close()
 
 
-PLAYS: dict[str, tuple[Play, float]] = {
+CASES: dict[str, tuple[Case, float]] = {
     "closed in the guard": (closed_in_the_guard, 4000.0),
     "many in one write": (many_in_one_write, 4000.0),
     "told to end twice": (told_to_end, 1000.0),
@@ -254,6 +257,6 @@
 }
 
 
-@pytest.mark.parametrize("name", PLAYS)
+@pytest.mark.parametrize("name", CASES)
 def test_ends_on_real_sockets(tmp_path: pathlib.Path, name: str) -> None:
-    asyncio.run(played(tmp_path, *PLAYS[name]))
+    asyncio.run(run_case(tmp_path, *CASES[name]))
--- a/tests/test_silent_server.py
+++ b/tests/test_silent_server.py
@@ -1,4 +1,4 @@
-"""Servers that fall silent with calls standing on them, on a set clock: vanished, cut off, replaced."""
+"""Servers with established calls that fall silent: vanished, or only cut off; on the manual clock."""
 
 from __future__ import annotations
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: every event and action, every kind of bad input, and equal replies in any process layout."""
+"""The adapter: each event and action, malformed input, and the same replies in any process layout."""
 
 from __future__ import annotations
 
@@ -26,17 +26,18 @@
 CALL = "ingress 3 c1 a t 5 1000.0 - 0 1 -1 0"
 
 
-def talk(*batches: str) -> tuple[int, str, str]:
-    sink, errors = io.StringIO(), io.StringIO()
+def exchange(*batches: str) -> tuple[int, str, str]:
+    """Feeds batches 25 ms apart to the adapter; returns its status, output and errors."""
+    output, errors = io.StringIO(), io.StringIO()
     text = "".join(
         f"mark {1000.0 + 25.0 * n}\n{batch}\nend\n".replace("\n\n", "\n") for n, batch in enumerate(batches)
     )
-    status = adapter.serve(io.StringIO(text), sink, errors)
-    return status, sink.getvalue(), errors.getvalue()
+    status = adapter.serve(io.StringIO(text), output, errors)
+    return status, output.getvalue(), errors.getvalue()
 
 
 def test_every_event_is_taken_and_calls_are_sent() -> None:
-    status, out, errors = talk(
+    status, out, errors = exchange(
         f"{LAUNCH}\n{LIST}",
         CALL,
         "headers 3 c1 0 h:1 18.5",
@@ -114,7 +115,7 @@
     ],
 )
 def test_malformed_text_ends_it_with_one_plain_line(batch: str, named: str) -> None:
-    status, _, errors = talk(f"{LAUNCH}\n{LIST}", batch)
+    status, _, errors = exchange(f"{LAUNCH}\n{LIST}", batch)
     assert status != 0
     assert errors.count("\n") == 1 and "line " in errors and "field " in errors and named in errors
 
@@ -131,14 +132,14 @@
         raise KeyError("lost")
 
     monkeypatch.setattr(Controller, "handle", broken)
-    status, out, _ = talk(f"{LAUNCH}\n{LIST}")
+    status, out, _ = exchange(f"{LAUNCH}\n{LIST}")
     assert status == 0 and "internal_error 3 KeyError: 'lost'\n" in out
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.lists(st.text(alphabet="abc 0123-.,=\n", max_size=40), max_size=6))
 def test_any_text_ends_in_a_status_and_never_a_traceback(parts: list[str]) -> None:
-    status, _, errors = talk(LAUNCH, *parts)
+    status, _, errors = exchange(LAUNCH, *parts)
     assert status in (0, 2) and errors.count("\n") == (1 if status else 0)
 
 
@@ -151,7 +152,7 @@
 
 
 def conversation() -> str:
-    """Forty seconds of three proxies, calls arriving faster than two servers would like."""
+    """Forty seconds of three proxies that get more calls than two servers can take."""
     lines, clock, number = [], 5000.0, 0
     launches = "\n".join(
         LAUNCH.replace("launch 3 99", f"launch {n} {n + 7}") + f"\nmembership {n} Persisted 1 0"
