--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -22,7 +22,7 @@
 from frostport.admission.resources import Buffers, Descriptors, Owner
 from frostport.admission.settings import Limits, Shared
 from frostport.net.jsonl import Message
-from tests.scenario import Nobody, Wire, platform, play
+from tests.scenario import ClosedEnd, Wire, platform, play
 
 KNOWN = ipaddress.ip_network("10.9.0.0/16")
 BASE = Limits(connections=12, known=(KNOWN,))
@@ -288,7 +288,7 @@
     idle = [world.reactor.factory.buildProtocol(None) for _ in range(3)]
     for protocol in idle:
         wire = Wire(world, protocol)
-        wire.other = Wire(world, Nobody())
+        wire.other = Wire(world, ClosedEnd())
         protocol.makeConnection(wire)
     world.wait(IDENTIFICATION_GRACE_MS + 1.0)
     world.reload('admission={"by_address": 1}')
@@ -492,7 +492,7 @@
     descriptors = agent.gate.descriptors
     for _ in range(2 * agent.config.sockets):
         wire = Wire(world, factory.buildProtocol(None))
-        wire.other = Wire(world, Nobody())
+        wire.other = Wire(world, ClosedEnd())
         wire.protocol.makeConnection(wire)
         wire.deliver(Message("ECHO", "b".zfill(16), rc=0).encode())
     # As if others had more open than guaranteed: no descriptor is left to dial with.
