--- a/frostport/__init__.py
+++ b/frostport/__init__.py
@@ -1,4 +1,4 @@
-"""frostport: overload decisions for an edge proxy in front of a few core servers."""
+"""frostport: a call agent with overload control, for an edge proxy in front of a few core servers."""
 
 from frostport.decide import Controller
 
--- a/frostport/__main__.py
+++ b/frostport/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m frostport`: see cli.py."""
+"""Entry point of `python -m frostport`."""
 
 import sys
 
--- a/frostport/adapter.py
+++ b/frostport/adapter.py
@@ -1,7 +1,7 @@
-"""The adapter: the wire's text lines on standard input and output, one Controller an instance.
+"""The simulator's adapter: text lines on standard input and output, one Controller per simulated proxy.
 
-It translates and decides nothing. Malformed input ends it with status 2 and one line on
-standard error that names the input line and the field.
+It translates between wire lines and the records of interface.py, and decides nothing. Malformed input
+ends it with status 2 and one line on standard error that names the input line and the field.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 T = TypeVar("T")
 
-MARK_REDIAL, MARK_TRANSIT, MARK_CUT = 2, 8, 16
-NOTE_BITS = 16
+MARK_REDIAL, MARK_TRANSIT, MARK_CUT = 2, 8, 16  # bits of the field `marks`
+NOTE_RANGE = 16  # the field `note` is the stated wait in milliseconds times this, plus the note
 
 LIST_KINDS = {
     "Partial": api.ListKind.CHANGES,
@@ -48,7 +48,7 @@
 
 
 class Fields:
-    """The values of one line, read in order by name."""
+    """The values of one line, separated by spaces and read in order; field names serve the error messages."""
 
     def __init__(self, text: str, line: int) -> None:
         parts = text.split(" ")
@@ -66,14 +66,17 @@
         return self._rest[self._next - 1]
 
     def rest(self) -> list[str]:
+        """All values that are left."""
         values, self._next = self._rest[self._next :], len(self._rest)
         return values
 
     def finish(self) -> None:
+        """Raises WireError if values are left."""
         if self._next < len(self._rest):
             raise self.error(str(self._next + 1), "unexpected value")
 
     def number(self, field: str, default: float | None = None) -> float:
+        """A finite number; an absent value (`-`) gives the default, if there is one."""
         text = self.text(field)
         if text == ABSENT and default is not None:
             return default
@@ -101,12 +104,14 @@
         return text == "1"
 
     def row(self, field: str) -> tuple[float, ...]:
+        """Numbers separated by commas."""
         text = self.text(field)
         if text == ABSENT:
             return ()
         return tuple(self.as_number(field, part) for part in text.split(","))
 
     def word(self, field: str, words: dict[str, T]) -> T:
+        """What a table gives for the value."""
         text = self.text(field)
         if text not in words:
             raise self.error(field, f"unknown word: {text!r}")
@@ -114,18 +119,18 @@
 
 
 def read_settings(fields: Fields) -> api.Settings:
-    """The settings of a `launch` line."""
+    """The settings of a `launch` line, as path=value pairs."""
     pairs: dict[str, str] = {}
     for pair in fields.rest():
         path, equals, value = pair.partition("=")
         if not equals:
             raise fields.error("conf", f"not path=value: {pair!r}")
         pairs[path] = value
-    return settings.read(settings.Conf(pairs, fields.error))
+    return settings.read(settings.SettingsReader(pairs, fields.error))
 
 
 def read_server(fields: Fields) -> api.Server:
-    """One `item` line of a list."""
+    """One `item` line of a `page` of servers."""
     zone, number = fields.text("rack-zone"), fields.integer("number")
     state, address = fields.word("lifecycle", LIFECYCLES), fields.text("server")
     started, nominal = fields.number("start-time-ms", 0.0), fields.number("nominal", 1.0)
@@ -157,7 +162,7 @@
     )
 
 
-def read_stands(fields: Fields) -> api.CallStands:
+def read_answered(fields: Fields) -> api.CallStands:
     return api.CallStands(
         fields.text("id"), fields.integer("shot"), fields.text("server"), fields.number("time-taken-ms")
     )
@@ -174,8 +179,8 @@
         outcome,
         elapsed,
         closed,
-        note % NOTE_BITS,
-        float(note // NOTE_BITS),
+        note % NOTE_RANGE,
+        float(note // NOTE_RANGE),
         fields.row("pressure"),
     )
 
@@ -194,9 +199,9 @@
     return api.PeerMessage(author, data)
 
 
-READERS: dict[str, Callable[[Fields], api.Event]] = {
+EVENT_READERS: dict[str, Callable[[Fields], api.Event]] = {
     "ingress": read_arrival,
-    "headers": read_stands,
+    "headers": read_answered,
     "finished": read_ended,
     "gone": lambda fields: api.CallGone(fields.text("id")),
     "bell": lambda fields: api.TimerFired(fields.text("mark")),
@@ -229,19 +234,21 @@
 
 
 def one_line(text: str) -> str:
+    """The text without line breaks, or the sign for an absent value if it is empty."""
     return " ".join(text.split()) or ABSENT
 
 
 class Host:
-    """The instances of one process, fed batch by batch."""
+    """The simulated proxies (instances) of one process; events come in batches, each with its time."""
 
     def __init__(self, source: Iterator[str]) -> None:
         self._source = enumerate(source, start=1)
         self._controllers: dict[int, Controller] = {}
-        self._sheets: dict[int, tuple[api.Server, ...]] = {}
+        self._server_lists: dict[int, tuple[api.Server, ...]] = {}
         self._now = 0.0
 
     def _line(self, inside: str) -> Fields | None:
+        """The next line, or None at the end of input; raises WireError if that is inside a batch or page."""
         for number, raw in self._source:
             return Fields(raw.rstrip("\r\n"), number)
         if inside:
@@ -249,7 +256,7 @@
         return None
 
     def batch(self) -> list[str] | None:
-        """Reads one batch and returns the reply's lines, or None at the end of input."""
+        """Reads one batch (`mark` to `end`) and returns the reply's lines, or None at the end of input."""
         opening = self._line("")
         while opening is not None and not opening.name:
             opening = self._line("")
@@ -272,7 +279,7 @@
         if fields.name == "page":
             self._read_page(fields)
             return
-        if fields.name not in READERS and fields.name not in ("launch", "teardown", "membership"):
+        if fields.name not in EVENT_READERS and fields.name not in ("launch", "teardown", "membership"):
             raise fields.error("name", "unknown message")
         instance = fields.integer("proxy")
         if fields.name == "teardown":
@@ -284,7 +291,7 @@
             given = read_settings(fields)
             self._run(instance, reply, lambda: self._start(instance, given, seed))
             return
-        event = self._read_list(fields) if fields.name == "membership" else READERS[fields.name](fields)
+        event = self._read_list(fields) if fields.name == "membership" else EVENT_READERS[fields.name](fields)
         fields.finish()
         controller = self._controllers.get(instance)
         if controller is None:
@@ -299,12 +306,13 @@
     def _run(instance: int, reply: list[str], step: Callable[[], list[api.Action]]) -> None:
         try:
             actions = step()
-        except Exception as problem:  # the wire has an action for a fault of the module
+        except Exception as problem:  # the wire reports a fault of the module as an action
             reply.append(f"internal_error {instance} {one_line(f'{type(problem).__name__}: {problem}')}")
             return
         reply.extend(write_action(instance, action) for action in actions)
 
     def _read_page(self, fields: Fields) -> None:
+        """Keeps a numbered list of servers, to which `membership` lines refer."""
         sheet, count = fields.integer("sheet"), fields.integer("entries")
         fields.finish()
         if count < 0:
@@ -316,20 +324,20 @@
             if item.name != "item":
                 raise item.error("entries", f"{count} items announced, {index} found")
             servers.append(read_server(item))
-        self._sheets[sheet] = tuple(servers)
+        self._server_lists[sheet] = tuple(servers)
 
     def _read_list(self, fields: Fields) -> api.ListUpdate:
         kind, version = fields.word("mode", LIST_KINDS), fields.integer("stamp", 0)
         sheet = fields.integer("sheet", -1)
         if kind is api.ListKind.ERROR:
             return api.ListUpdate(kind, version)
-        if sheet not in self._sheets:
+        if sheet not in self._server_lists:
             raise fields.error("sheet", f"no page numbered {sheet}")
-        return api.ListUpdate(kind, version, self._sheets[sheet])
+        return api.ListUpdate(kind, version, self._server_lists[sheet])
 
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Answers batches until the input ends; returns the exit status."""
+    """Answers batches until the input ends. Returns the exit status: 0, or 2 for malformed input."""
     host = Host(iter(source))
     try:
         while (reply := host.batch()) is not None:
--- a/frostport/config.py
+++ b/frostport/config.py
@@ -166,7 +166,7 @@
 def read(record: object, folder: pathlib.Path = pathlib.Path()) -> Config:
     if not isinstance(record, dict):
         raise ConfigError("file: not an object")
-    conf = settings.Conf(settings.flatten(field(record, "settings", dict, {})))
+    conf = settings.SettingsReader(settings.flatten(field(record, "settings", dict, {})))
     try:
         given = settings.read(conf)
         grace = conf.number("rules.drain-grace-ms", 0.0)
--- a/frostport/interface.py
+++ b/frostport/interface.py
@@ -1,7 +1,7 @@
-"""Settings, events and actions of the decision module: plain records, no behaviour.
+"""Settings, events and actions of the decision module: plain records without behaviour.
 
-Times are milliseconds on the caller's clock; rates are per second. Optional
-settings that a deployment does not state keep the neutral values given here.
+`Controller.handle` takes an event and returns actions. Times are milliseconds on the caller's clock;
+rates are per second. Settings that a deployment does not state keep the neutral defaults given here.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class ListKind(Enum):
-    """What a server list event carries."""
+    """What a ListUpdate carries: changes, a complete list, a stored list, or an error."""
 
     CHANGES = "changes"
     COMPLETE = "complete"
@@ -20,7 +20,7 @@
 
 
 class Lifecycle(Enum):
-    """What the list says of a server."""
+    """A server's state in the list: only READY ones get calls, GONE ones are forgotten."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -28,7 +28,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a probe ended; FULL: the server refused for lack of lines or processor time."""
 
     OK = "ok"
     ERROR = "error"
@@ -40,44 +40,44 @@
     NOT_SENT = "not_sent"
 
 
-# Outcomes that prove that a set-up never ran: it may be sent again, and refused, whatever its class.
+# Outcomes after which a set-up certainly never ran: whatever its class, it may be sent again or refused.
 NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
 class Effect(Enum):
-    """Whether a set-up that may have run may be repeated."""
+    """What a set-up does at a server, and so whether one that may have run may be repeated."""
 
-    PURE = "pure"
-    TOKEN = "token"  # by the servers that discard repeats, for a while
-    SIDE_EFFECT = "side_effect"  # never
+    PURE = "pure"  # repeated freely
+    TOKEN = "token"  # repeated for a while, to servers that discard repeats
+    SIDE_EFFECT = "side_effect"  # never repeated
 
 
-# What an attempt's note says of a FULL outcome, and of an ERROR where all lines of the number are busy.
+# Values of `AttemptEnded.note`: the first three tell why the outcome was FULL, the last goes with ERROR.
 NOTE_NO_LINE = 1
-NOTE_RETURNED = 2
+NOTE_RETURNED = 2  # turned away beyond the server
 NOTE_PROCESSOR_FULL = 3
-NOTE_NUMBER_BUSY = 4
+NOTE_NUMBER_BUSY = 4  # all lines of the number called are busy
 
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    """One class of call; `pools` is None where any server may take it."""
+    """One class of call, with its aim (set-up time wanted) and deadline."""
 
     name: str
     aim_ms: float
     deadline_ms: float
-    gain: float = 1.0
-    late_worth: float = 0.0
-    pools: tuple[int, ...] | None = None
-    holding_ms: float = 0.0
+    gain: float = 1.0  # worth of a call set up within its aim
+    late_worth: float = 0.0  # share of the gain that a call set up later is worth
+    pools: tuple[int, ...] | None = None  # numbers of the servers that may take it; None: any
+    holding_ms: float = 0.0  # mean duration of a call; 0: not known
     effect: Effect = Effect.PURE
-    key_scope: str = "all"  # for `TOKEN`, who discards repeats: `all` servers, those of one `zone` or `cell`
-    window_ms: float = 0.0  # and for how long after the first attempt that may have run
+    key_scope: str = "all"  # for TOKEN, who discards repeats: `all` servers, those of one `zone` or `cell`
+    window_ms: float = 0.0  # for TOKEN, for how long after the first attempt that may have run
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer and the set-ups a second, over all proxies, within its share."""
+    """A customer, and the set-ups per second, over all proxies, that are within its share."""
 
     name: str
     quota_per_s: float = 0.0
@@ -86,44 +86,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a deployment hands over at start."""
+    """What a deployment states at start. The field names follow the keys that settings.py reads."""
 
     classes: tuple[CallClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    me: int = 0
-    siblings: int = 1
-    home_number: int = -1
-    step_ms: float = 0.0
-    retransmit_ms: float = 0.0
-    release_guard_ms: float = 0.0
-    gives_wait: bool = False
-    cold_from: float = 1.0
-    cold_ms: float = 0.0
-    fall_multiple: float = 1.0
+    me: int = 0  # this proxy's index, from 0 to siblings - 1
+    siblings: int = 1  # proxies of the fleet, with this one
+    home_number: int = -1  # number of the server that gets no calls from this proxy; -1: none
+    step_ms: float = 0.0  # granularity of the caller's clock, added to the release guard
+    retransmit_ms: float = 0.0  # when an unanswered set-up message is repeated; 0: not stated
+    release_guard_ms: float = 0.0  # wait before a set-up that may still hold a line is sent again
+    gives_wait: bool = False  # servers state a wait with FULL
+    cold_from: float = 1.0  # share of its capacity that a server has when it starts
+    cold_ms: float = 0.0  # how long a started server takes to reach its whole capacity
+    fall_multiple: float = 1.0  # a server bears at most this multiple of its capacity within fall_ms
     fall_ms: float = 0.0
-    over_share_worth: float = 1.0
-    try_limit: int = 1
-    may_cancel: bool = False
-    peers: bool = False
-    probes: bool = False
-    retry_after: bool = False
+    over_share_worth: float = 1.0  # factor on the worth of a tenant's calls past its share
+    try_limit: int = 1  # attempts per call
+    may_cancel: bool = False  # CancelAttempt is available
+    peers: bool = False  # TellPeer is available
+    probes: bool = False  # Probe is available
+    retry_after: bool = False  # callers are told when to come back after a refusal
     max_retry_after_ms: float = 0.0
     connect_timeout_ms: float = 0.0
     late_fail_price: float = 0.0
-    subscribe: bool = False
-    report_columns: tuple[str, ...] = ()
+    subscribe: bool = False  # list changes come only after Subscribe
+    report_columns: tuple[str, ...] = ()  # names of the values of a report, in order
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One entry of the server list; `started_ms` is 0 where it started long ago."""
+    """One entry of the server list."""
 
     address: str
     number: int
     state: Lifecycle
     zone: str = ""
-    started_ms: float = 0.0
-    nominal: float = 1.0
+    started_ms: float = 0.0  # time of its start; 0: long ago
+    nominal: float = 1.0  # relative capacity, until a report gives its number of lines
     kind: str = ""
 
 
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """The server list, or changes to it, as discovery reports it to this proxy."""
+    """The server list, or changes to it, as discovery reports it to this proxy. An ERROR has no servers."""
 
     kind: ListKind
     version: int
@@ -141,22 +141,22 @@
 
 @dataclass(frozen=True, slots=True)
 class CallArrived:
-    """A call that this proxy now owes one final answer or a set-up that stands."""
+    """A new call, which this proxy must get set up or give one final answer."""
 
     call: str
     call_class: str
     tenant: str
-    budget_ms: float
-    first_choice: int
-    number_called: int = 0
-    redial: bool = False
-    in_transit: bool = False
-    cut_before: bool = False
+    budget_ms: float  # until the caller's deadline
+    first_choice: int  # number of the server to be tried first
+    number_called: int = 0  # 0: not known
+    redial: bool = False  # the caller has tried before and was not set up
+    in_transit: bool = False  # may go to its first choice only
+    cut_before: bool = False  # the client set it up before and was cut off
 
 
 @dataclass(frozen=True, slots=True)
 class CallStands:
-    """An attempt was answered: the call stands."""
+    """An attempt was answered: the call is set up."""
 
     call: str
     attempt: int
@@ -166,36 +166,36 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended; `closed` when the call needs no further answer."""
+    """An attempt ended without a set-up."""
 
     call: str
     attempt: int
     server: str
     outcome: Outcome
     elapsed_ms: float
-    closed: bool
-    note: int = 0
-    wait_ms: float = 0.0
-    report: tuple[float, ...] = ()
+    closed: bool  # the call needs no further answer
+    note: int = 0  # one of NOTE_*; 0: none
+    wait_ms: float = 0.0  # the wait that the server states; 0: none
+    report: tuple[float, ...] = ()  # values of Settings.report_columns
 
 
 @dataclass(frozen=True, slots=True)
 class CallGone:
-    """The caller left, or the answer is overdue: nothing is owed any more."""
+    """The caller gave up, or its deadline has passed: the call needs no answer any more."""
 
     call: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer asked for earlier has come due."""
+    """A timer set by SetTimer has expired."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class ServerReport:
-    """A probe's answer, or (`elapsed_ms` 0) the free lines told unasked."""
+    """The answer to a probe, or, with `elapsed_ms` 0, a report that the server sent unasked."""
 
     server: str
     outcome: Outcome
@@ -205,14 +205,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SiblingsUp:
-    """How many proxies serve now, with this one, where that is known; else the settings' number counts."""
+    """How many proxies serve now, with this one; until it is known, `Settings.siblings` counts."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Bytes from another proxy."""
+    """Bytes that another proxy sent with TellPeer."""
 
     sender: int
     data: bytes
@@ -236,7 +236,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Start a set-up at a server; `within_ms` 0 lets it run until the caller gives up."""
+    """Send a set-up to a server, with a time limit; `within_ms` 0 lets it run until the caller gives up."""
 
     call: str
     server: str
@@ -245,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     call: str
     attempt: int
@@ -253,10 +253,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseCall:
-    """Final answer: refused, with the time the caller should stay away (0: no advice)."""
+    """Final answer: refused, with the time after which the caller may try again (0: no advice)."""
 
     call: str
-    stay_away_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -276,7 +276,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server for its report."""
+    """Ask a server for a ServerReport."""
 
     server: str
 
@@ -291,7 +291,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on."""
+    """Ask discovery for ListUpdates with the changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/frostport/settings.py
+++ b/frostport/settings.py
@@ -1,4 +1,4 @@
-"""One reader of the settings: path=value pairs of the simulator's wire, or the same object as JSON."""
+"""Reads the decision module's settings from path=value pairs of the simulator's wire or from nested JSON."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from frostport import interface as api
 
 ABSENT = "-"
-Word = TypeVar("Word", bound=Enum)
+EnumType = TypeVar("EnumType", bound=Enum)
 
 
 class SettingsError(ValueError):
-    """A setting that can't be read; `field` is its path."""
+    """A setting that can't be read; `field` is its path, `problem` the reason."""
 
     def __init__(self, field: str, problem: str) -> None:
         super().__init__(f"{field}: {problem}")
@@ -34,16 +34,20 @@
             for index, item in enumerate(value):
                 pairs.update(flatten(item, f"{path}.{index}"))
             return pairs
-        return {path: ",".join(plain(item) for item in value)}
-    return {} if value is None else {path: plain(value)}
+        return {path: ",".join(scalar_text(item) for item in value)}
+    return {} if value is None else {path: scalar_text(value)}
 
 
-def plain(value: Any) -> str:
+def scalar_text(value: Any) -> str:
+    """A JSON scalar as the wire writes it: `true` and `false` in lower case."""
     return ("true" if value else "false") if isinstance(value, bool) else str(value)
 
 
-class Conf:
-    """The settings' path=value pairs; unknown ones are skipped, absent ones keep their default."""
+class SettingsReader:
+    """Typed access to path=value pairs: unknown paths are ignored, absent ones give the default.
+
+    A value that can't be read raises what `error` makes of its path and the problem.
+    """
 
     def __init__(
         self, pairs: Mapping[str, str], error: Callable[[str, str], Exception] = SettingsError
@@ -74,7 +78,7 @@
             raise self._error(path, f"not true or false: {value!r}")
         return value in ("true", "1")
 
-    def one_of(self, path: str, kind: type[Word], default: Word) -> Word:
+    def one_of(self, path: str, kind: type[EnumType], default: EnumType) -> EnumType:
         try:
             return kind(self._pairs[path]) if path in self._pairs else default
         except ValueError:
@@ -82,6 +86,7 @@
             raise self._error(path, f"none of {words}: {self._pairs[path]!r}") from None
 
     def words(self, path: str) -> list[str]:
+        """Values separated by commas; none if absent."""
         value = self._pairs.get(path, "")
         return value.split(",") if value not in ("", ABSENT) else []
 
@@ -92,8 +97,8 @@
         return tuple(int(value) for value in self.numbers(path))
 
 
-def read(conf: Conf) -> api.Settings:
-    """The decision module's settings."""
+def read(conf: SettingsReader) -> api.Settings:
+    """The decision module's settings; what is absent keeps the defaults of interface.py."""
     defaults = api.Settings(classes=())
     classes = []
     holding = conf.numbers("family-info.holding-ms")
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -85,7 +85,7 @@
             api.AttemptEnded(call, self.attempts[call], server(number).address, outcome, 50.0, closed, note)
         )
 
-    def control(self, number: int = 0) -> decide.Control:
+    def control(self, number: int = 0) -> decide.ServerControl:
         return self.logic.controls[server(number).address]
 
     def load(self, seconds: float, per_s: float, elapsed: float, first: int = 0, kind: str = "plain") -> None:
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -9,7 +9,7 @@
 
 from frostport import interface as api
 from frostport.interface import Effect, Outcome
-from frostport.settings import Conf, SettingsError, read
+from frostport.settings import SettingsError, SettingsReader, read
 from tests.bench import SETTINGS, Proxy, number_of, sends
 from tests.scenario import platform, play
 
@@ -77,7 +77,7 @@
         record,
     )
     module: Any = world.agent.broker.module
-    module.calls["a".zfill(16)].cls = dataclasses.replace(module.classes["race"], effect=Effect.PURE)
+    module.calls["a".zfill(16)].call_class = dataclasses.replace(module.classes["race"], effect=Effect.PURE)
     for line in ("send s0 FINISH a rc=41", "wait 2000", "expect s0 nothing", "expect s1 nothing"):
         world.step(line)
     assert world.agent.rules.stopped["may have run"] > 0
@@ -85,8 +85,10 @@
 
 def test_settings_name_the_effect_that_they_can_t_read() -> None:
     pairs = {"services.count": "1", "services.0.name": "a", "services.0.deadline-ms": "900"}
-    assert read(Conf(pairs)).classes[0].effect is Effect.PURE
-    made = read(Conf({**pairs, "services.0.effect": "token", "services.0.key-scope": "cell"})).classes[0]
+    assert read(SettingsReader(pairs)).classes[0].effect is Effect.PURE
+    made = read(
+        SettingsReader({**pairs, "services.0.effect": "token", "services.0.key-scope": "cell"})
+    ).classes[0]
     assert (made.effect, made.key_scope) == (Effect.TOKEN, "cell")
     with pytest.raises(SettingsError, match=r"services\.0\.effect: none of pure, token, side_effect: 'x'"):
-        read(Conf({**pairs, "services.0.effect": "x"}))
+        read(SettingsReader({**pairs, "services.0.effect": "x"}))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -103,7 +103,7 @@
 
 
 def news(number: int, answers: int, share: int, age: int) -> bytes:
-    return decide.NEWS.pack(number, answers, share, age)
+    return decide.PEER_SUMMARY.pack(number, answers, share, age)
 
 
 def test_news_of_peers_starts_control_and_old_news_does_not() -> None:
@@ -116,7 +116,7 @@
 
 def test_news_from_before_the_last_cut_counts_for_nothing() -> None:
     proxy = Proxy()
-    proxy.control().cut(2.0, proxy.now)
+    proxy.control().lower(2.0, proxy.now)
     proxy.run(300.0)
     proxy.give(api.PeerMessage(1, news(0, 48, 255, 5)))
     assert proxy.control().answers == 0.0
@@ -127,7 +127,7 @@
     proxy = Proxy()
     assert proxy.give(api.PeerMessage(3, data)) == []
     assert proxy.control().ceiling is None
-    assert proxy.logic.bad_messages == (1 if len(data) % decide.NEWS.size or not data else 0)
+    assert proxy.logic.undecodable_messages == (1 if len(data) % decide.PEER_SUMMARY.size or not data else 0)
 
 
 def test_without_messages_control_still_starts_holds_and_ends() -> None:
@@ -137,7 +137,7 @@
     assert ceiling is not None
     proxy.run(3000.0)  # nobody says anything: no good news
     assert 0.0 < (proxy.control().ceiling or 0.0) <= ceiling
-    proxy.run(decide.PENDING_MS + 20_000.0)
+    proxy.run(decide.PENDING_TERMINATION_MS + 20_000.0)
     assert proxy.control().ceiling is None
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -828,7 +828,7 @@
     side = agent.side
     assert set(agent.rules.servers) == set(side.servers.members) == set(side.list.entries) == names
     assert set(module.controls) == names and not module.calls and not module.held
-    assert all(control.out == 0 for control in module.controls.values())
+    assert all(control.pending == 0 for control in module.controls.values())
     assert not agent.broker.by_id and not len(agent.broker.requests) and len(agent.broker.ended_ids) == 1
     assert not side.front.owed and len(side.front.connections) == 1
     assert len(side.servers.connections) == sum(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -86,7 +86,7 @@
 def test_a_server_missing_from_a_complete_list_is_gone_even_for_held_calls() -> None:
     proxy = Proxy()
     for number in (0, 1):
-        proxy.control(number).skip_until = proxy.now + 200.0
+        proxy.control(number).paused_until = proxy.now + 200.0
     proxy.call()
     proxy.give(api.ListUpdate(api.ListKind.COMPLETE, 3, (server(1),)))
     assert [send.server for send in sends(proxy.run(400.0))] == [server(1).address]
@@ -123,7 +123,7 @@
     )
     # A third of the six a second that the warm one takes, for three seconds of the ramp.
     assert 3 <= early <= 14
-    proxy.run(proxy.settings.cold_ms + decide.PENDING_MS + 2 * decide.TICK_MS)
+    proxy.run(proxy.settings.cold_ms + decide.PENDING_TERMINATION_MS + 2 * decide.UPDATE_MS)
     assert {sends(proxy.call(first=0)[1])[0].server for _ in range(30)} == {cold.address}
 
 
@@ -172,4 +172,4 @@
         proxy = Proxy(0, retry_after=passed_on, max_retry_after_ms=2000.0)
         proxy.call()
         refused = [action for action in proxy.run(3000.0) if isinstance(action, api.RefuseCall)]
-        assert [action.stay_away_ms for action in refused] == [advice]
+        assert [action.retry_after_ms for action in refused] == [advice]
--- a/trials/planted.py
+++ b/trials/planted.py
@@ -28,7 +28,7 @@
     """The release guard is taken for none."""
     real = settings.read
 
-    def read(conf: settings.Conf) -> api.Settings:
+    def read(conf: settings.SettingsReader) -> api.Settings:
         return dataclasses.replace(real(conf), release_guard_ms=0.0)
 
     setattr(settings, "read", read)  # noqa: B010
