--- a/frostport/decide.py
+++ b/frostport/decide.py
@@ -158,7 +158,7 @@
         self.decay(now)
         if self.ceiling is None:
             return
-        # Silence is neither good nor bad news.
+        # Too little recent evidence changes nothing: it speaks neither for the server nor against it.
         miss = self.reject_share / TARGET_SHARE - 1.0 if self.weight(now) >= MIN_ANSWERS else 0.0
         if miss > 0.0:
             self.lower(self.ceiling * max(DECREASE_FACTOR_MIN, 1.0 - DECREASE * miss), now)
@@ -474,7 +474,7 @@
         report = dict(zip(self.settings.report_columns, event.report, strict=False))
         control.capacity = max(report.get("size", 0.0), 0.0) or control.capacity
         if self.mean_holding_ms and report.get("free", -1.0) >= 0.0:
-            # Guards against crowding the last lines: each proxy takes a part of those free or soon free.
+            # Guards against all proxies taking the last lines: each gets a part of those free or soon free.
             released = control.capacity * UPDATE_MS / self.mean_holding_ms
             before, control.lines_rate = control.lines_rate, (report["free"] + released) / self.proxies_up
             if control.lines_rate < LEAST_RESTRICTION * control.fair_rate <= before:
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -1,4 +1,4 @@
-"""A little driver for a Controller under test: a clock, servers, and what the module asked for."""
+"""Drives a Controller under test: a simulated clock, servers, timers, and a log of the actions."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 
 def number_of(address: str) -> int:
-    """The number of a server made here, from its address."""
+    """The number of a server from `server()`, taken from its address."""
     return int(address.split(".")[3].split(":")[0])
 
 
 class Proxy:
-    """One Controller with a clock that rings its timers."""
+    """One Controller with a simulated clock that fires its timers."""
 
     def __init__(self, servers: int = 2, seed: int = 7, **changes: Any) -> None:
         self.settings = dataclasses.replace(SETTINGS, **changes)
@@ -58,22 +58,22 @@
         return actions
 
     def run(self, ms: float) -> list[api.Action]:
-        """Lets time pass, ringing timers, and returns what was asked for meanwhile."""
-        end, done = self.now + ms, []
+        """Advances the clock, fires the timers that expire, and returns the actions."""
+        end, collected = self.now + ms, []
         while self.timers and min(self.timers)[0] <= end:
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            done += self.give(api.TimerFired(due[1]))
+            collected += self.give(api.TimerFired(due[1]))
         self.now = end
-        return done
+        return collected
 
-    def call(self, kind: str = "plain", first: int = 0, **more: Any) -> tuple[str, list[api.Action]]:
+    def call(self, call_class: str = "plain", first: int = 0, **more: Any) -> tuple[str, list[api.Action]]:
         self.calls += 1
         given: dict[str, Any] = {"tenant": "", "budget_ms": 3000.0, "number_called": self.calls}
         given.update(more)
         name = f"call-{self.calls}"
-        return name, self.give(api.CallArrived(call=name, call_class=kind, first_choice=first, **given))
+        return name, self.give(api.CallArrived(call=name, call_class=call_class, first_choice=first, **given))
 
     def answer(self, call: str, number: int = 0, elapsed: float = 60.0) -> list[api.Action]:
         return self.give(api.CallStands(call, self.attempts[call], server(number).address, elapsed))
@@ -88,10 +88,12 @@
     def control(self, number: int = 0) -> decide.ServerControl:
         return self.logic.controls[server(number).address]
 
-    def load(self, seconds: float, per_s: float, elapsed: float, first: int = 0, kind: str = "plain") -> None:
-        """Calls at a steady rate, each answered as soon as it was sent, with the given set-up time."""
+    def load(
+        self, seconds: float, per_s: float, elapsed: float, first: int = 0, call_class: str = "plain"
+    ) -> None:
+        """Calls at a steady rate, answered at once: after `elapsed` ms by the first choice, else 60 ms."""
         for _ in range(int(seconds * per_s)):
-            _, actions = self.call(kind, first)
+            _, actions = self.call(call_class, first)
             sent = [*actions, *self.run(1000.0 / per_s)]
             for action in sent:
                 if isinstance(action, api.SendAttempt):
--- a/tests/exploring.py
+++ b/tests/exploring.py
@@ -1,4 +1,4 @@
-"""Every order of events from a beginning, each state once: for worlds of the real decision objects."""
+"""Exhaustive search over all orders of events of the states that a model of real objects can reach."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class World(Protocol):
-    """Checks its invariants in each `step`; `key` tells states apart. It can be pickled."""
+    """A model under search: `step` checks its invariants, `key` identifies its state. Picklable."""
 
     def events(self) -> Iterable[Any]: ...
 
@@ -18,18 +18,18 @@
     def key(self) -> bytes: ...
 
 
-def explored(first: World, depth: int, most: int) -> int:
-    """Breadth first to a depth, or until there are so many states; how many there were."""
-    seen, todo = {first.key()}, deque([(pickle.dumps(first), 0)])
-    while todo:
-        held, at = todo.popleft()
-        if at == depth or len(seen) > most:
+def explored(first: World, depth: int, max_states: int) -> int:
+    """Breadth first, to a depth or until more than `max_states` states are known. Returns their number."""
+    seen, queue = {first.key()}, deque([(pickle.dumps(first), 0)])
+    while queue:
+        pickled, reached = queue.popleft()
+        if reached == depth or len(seen) > max_states:
             continue
-        for event in list(pickle.loads(held).events()):
-            world = pickle.loads(held)
+        for event in list(pickle.loads(pickled).events()):
+            world = pickle.loads(pickled)
             world.step(*event)
             key = world.key()
             if key not in seen:
                 seen.add(key)
-                todo.append((pickle.dumps(world), at + 1))
+                queue.append((pickle.dumps(world), reached + 1))
     return len(seen)
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("document", "told"),
+    ("document", "error"),
     [
         ([], "document: not an object"),
         ({"openapi": "2.0"}, "document: neither"),
@@ -63,8 +63,8 @@
         ),
     ],
 )
-def test_a_bad_contract_is_told_by_its_field(document: object, told: str) -> None:
-    with pytest.raises(ContractError, match=re.escape(told)):
+def test_a_bad_contract_is_reported_with_its_field(document: object, error: str) -> None:
+    with pytest.raises(ContractError, match=re.escape(error)):
         contracts.read(document)
 
 
@@ -81,13 +81,13 @@
     return {**record, "contracts": [str(tmp_path / "race.yaml")]}
 
 
-def test_what_agents_that_are_out_leave_comes_and_goes_in_bounded_steps() -> None:
+def test_the_budget_of_absent_agents_is_added_and_removed_in_bounded_steps() -> None:
     budgets = Budgets((contracts.Contract("race", 1000.0, 2000.0, 4, 10.0),))
 
-    def a_second(now: float) -> int:
+    def admitted_in_a_second(now: float) -> int:
         return sum(budgets.wait_ms(f"team-{now}", "race", now) == 0.0 for _ in range(100))
 
-    assert a_second(0.0) == 10
+    assert admitted_in_a_second(0.0) == 10
     scales = []
     for number in range(40):
         budgets.share(1.5 if number < 20 else 1.0, number * 250.0)
@@ -95,7 +95,7 @@
     assert max(abs(one - other) for one, other in itertools.pairwise(scales)) <= 0.0250001
     assert scales[19] == pytest.approx(1.475) and scales[39] < 1.01
     budgets.share(9.0, 1e9)
-    assert budgets.scale == 2.0 and a_second(1e9) == 20  # twice at most
+    assert budgets.scale == 2.0 and admitted_in_a_second(1e9) == 20  # at most doubled
     budgets.share(0.1, 2e9)
     assert budgets.scale == 1.0
 
@@ -126,7 +126,7 @@
     )
 
 
-def test_over_budget_a_diameter_client_hears_when_to_come_back(tmp_path: pathlib.Path) -> None:
+def test_over_budget_a_diameter_client_is_told_when_to_retry(tmp_path: pathlib.Path) -> None:
     play(
         """
         send c1 CCR-I a dest=s0 oc=1
@@ -143,8 +143,8 @@
 
 # The configuration and the command line
 
-SOUND = platform()
-PARSED = [
+VALID = platform()
+INVALID = [
     ({"listen": "nowhere"}, "listen"),
     ({"listen": None}, "listen"),
     ({"seed": "xyz"}, "seed"),
@@ -173,15 +173,15 @@
 ]
 
 
-@pytest.mark.parametrize(("changes", "named"), PARSED)
+@pytest.mark.parametrize(("changes", "field"), INVALID)
 def test_a_bad_configuration_ends_with_2_and_names_its_field(
-    changes: dict[str, Any], named: str, tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
+    changes: dict[str, Any], field: str, tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_bytes(orjson.dumps({**copy.deepcopy(SOUND), **changes}))
+    path.write_bytes(orjson.dumps({**copy.deepcopy(VALID), **changes}))
     assert cli.main(["check-config", "--config", str(path)]) == 2
-    told = capsys.readouterr().err
-    assert told.startswith("frostport: configuration: " + named) and told.count("\n") == 1
+    error = capsys.readouterr().err
+    assert error.startswith("frostport: configuration: " + field) and error.count("\n") == 1
 
 
 def test_the_commands(capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch) -> None:
@@ -189,8 +189,8 @@
     assert cli.main(["check-config", "--config", str(DEPLOY / "diameter.json")]) == 0
     assert cli.main(["contracts", str(DEPLOY / "frostport.asyncapi.json")]) == 0
     assert cli.main(["version"]) == 0
-    told = capsys.readouterr().out
-    assert "agent-1 is sound" in told and "find-race: aim 1500 ms" in told and version.VERSION in told
+    output = capsys.readouterr().out
+    assert "agent-1 is sound" in output and "find-race: aim 1500 ms" in output and version.VERSION in output
     assert cli.main(["contracts", str(DEPLOY / "balancer.toml")]) == 2
     assert cli.main([]) == 2
     assert config.CONFIG_VARIABLE in capsys.readouterr().err
@@ -199,8 +199,8 @@
 # The description of the platform's port
 
 
-def test_the_description_covers_what_is_said_on_the_port() -> None:
-    """Every message of the scenarios, either way on the clients' side, is one that the description allows."""
+def test_the_description_covers_the_messages_on_the_port() -> None:
+    """Each message of the scenarios between clients and agent conforms to the description."""
     messages = DESCRIPTION["components"]["messages"].values()
     payloads = {message["name"]: message["payload"] for message in messages}
     seen = set()
@@ -235,7 +235,7 @@
     assert seen == {"STARTED", "FINISH", "FINISHED", "ECHOED"}
 
 
-def test_its_references_lead_somewhere() -> None:
+def test_references_in_the_description_resolve() -> None:
     for reference in re.findall(r'"\$ref":"#/([^"]+)"', orjson.dumps(DESCRIPTION).decode()):
         found: Any = DESCRIPTION
         for part in reference.split("/"):
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -1,4 +1,4 @@
-"""Classes whose set-ups may not simply be repeated: what may follow an attempt that may have run."""
+"""Call classes with effects: what may follow an attempt that may have run."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 from tests.bench import SETTINGS, Proxy, number_of, sends
 from tests.scenario import platform, play
 
-MAYBE = [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR]
-NEVER = [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
+MAY_HAVE_RUN = [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR]
+NEVER_RAN = [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
 
 
 def proxy(effect: Effect, scope: str = "all", window_ms: float = 5000.0, servers: int = 3) -> Proxy:
-    first = dataclasses.replace(SETTINGS.classes[0], effect=effect, key_scope=scope, window_ms=window_ms)
-    return Proxy(servers, classes=(first,))
+    call_class = dataclasses.replace(SETTINGS.classes[0], effect=effect, key_scope=scope, window_ms=window_ms)
+    return Proxy(servers, classes=(call_class,))
 
 
-def after(made: Proxy, outcome: Outcome) -> tuple[int, list[api.Action]]:
-    """The first attempt's server, and what is done in the call's whole time once it has ended so."""
-    call, actions = made.call("plain", budget_ms=9000.0)
+def fail_first_attempt(tested: Proxy, outcome: Outcome) -> tuple[int, list[api.Action]]:
+    """The server of the first attempt, and all actions from its outcome to the end of the call's budget."""
+    call, actions = tested.call("plain", budget_ms=9000.0)
     first = number_of(sends(actions)[0].server)
-    made.log.clear()
-    made.fail(call, outcome, first)
-    made.run(9000.0)
-    return first, [action for _, action in made.log]
+    tested.log.clear()
+    tested.fail(call, outcome, first)
+    tested.run(9000.0)
+    return first, [action for _, action in tested.log]
 
 
-@pytest.mark.parametrize("outcome", MAYBE)
+@pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_what_may_have_run_is_neither_repeated_nor_refused(outcome: Outcome) -> None:
-    _, done = after(proxy(Effect.SIDE_EFFECT), outcome)
-    assert not [action for action in done if isinstance(action, api.SendAttempt | api.RefuseCall)]
-    assert len([action for action in done if isinstance(action, api.FailCall)]) == 1
+    _, actions_after = fail_first_attempt(proxy(Effect.SIDE_EFFECT), outcome)
+    assert not [action for action in actions_after if isinstance(action, api.SendAttempt | api.RefuseCall)]
+    assert len([action for action in actions_after if isinstance(action, api.FailCall)]) == 1
 
 
-@pytest.mark.parametrize("outcome", NEVER)
+@pytest.mark.parametrize("outcome", NEVER_RAN)
 def test_what_never_ran_is_sent_again(outcome: Outcome) -> None:
-    _, done = after(proxy(Effect.SIDE_EFFECT), outcome)
-    assert [action for action in done if isinstance(action, api.SendAttempt)]
+    _, actions_after = fail_first_attempt(proxy(Effect.SIDE_EFFECT), outcome)
+    assert [action for action in actions_after if isinstance(action, api.SendAttempt)]
 
 
 @pytest.mark.parametrize("effect", [Effect.PURE, Effect.TOKEN])
-def test_others_are_sent_again_after_the_guard(effect: Effect) -> None:
-    _, done = after(proxy(effect), Outcome.RESET)
-    assert [action for action in done if isinstance(action, api.SendAttempt)]
+def test_pure_and_token_set_ups_are_sent_again_after_the_release_guard(effect: Effect) -> None:
+    _, actions_after = fail_first_attempt(proxy(effect), Outcome.RESET)
+    assert [action for action in actions_after if isinstance(action, api.SendAttempt)]
 
 
 @pytest.mark.parametrize(
@@ -58,14 +58,14 @@
 def test_a_token_is_repeated_only_where_and_while_repeats_are_discarded(
     scope: str, window_ms: float, repeats: bool
 ) -> None:
-    first, done = after(proxy(Effect.TOKEN, scope, window_ms), Outcome.RESET)
-    again = [number_of(action.server) for action in done if isinstance(action, api.SendAttempt)]
+    first, actions_after = fail_first_attempt(proxy(Effect.TOKEN, scope, window_ms), Outcome.RESET)
+    again = [number_of(action.server) for action in actions_after if isinstance(action, api.SendAttempt)]
     assert bool(again) is repeats and (scope != "cell" or set(again) <= {first})
-    assert not [action for action in done if isinstance(action, api.RefuseCall)]
+    assert not [action for action in actions_after if isinstance(action, api.RefuseCall)]
 
 
-def test_the_guard_stops_a_repeat_that_the_module_would_send() -> None:
-    """The module is deaf to the class's effect here: the rules are not."""
+def test_the_rules_stop_a_repeat_that_the_module_would_send() -> None:
+    """The module is given a class without effects; the rules keep the real one."""
     record = platform()
     services = [{**record["settings"]["services"][0], "effect": "side_effect"}]
     record["settings"] = {**record["settings"], "services": services}
@@ -86,9 +86,9 @@
 def test_settings_name_the_effect_that_they_can_t_read() -> None:
     pairs = {"services.count": "1", "services.0.name": "a", "services.0.deadline-ms": "900"}
     assert read(SettingsReader(pairs)).classes[0].effect is Effect.PURE
-    made = read(
+    token_class = read(
         SettingsReader({**pairs, "services.0.effect": "token", "services.0.key-scope": "cell"})
     ).classes[0]
-    assert (made.effect, made.key_scope) == (Effect.TOKEN, "cell")
+    assert (token_class.effect, token_class.key_scope) == (Effect.TOKEN, "cell")
     with pytest.raises(SettingsError, match=r"services\.0\.effect: none of pure, token, side_effect: 'x'"):
         read(SettingsReader({**pairs, "services.0.effect": "x"}))
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,6 +1,6 @@
-"""The program under other deployments' settings: their names stand nowhere in it, their figures drive it.
+"""The agent under the settings of several deployments: no name of theirs is in the code, their figures apply.
 
-The site files of `deploy/sites` are the data: a third deployment is one more folder there."""
+The data are the site files in `deploy/sites`, one folder per deployment."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 SITES = sorted(ROOT.glob("deploy/sites/*/*.toml"))
-# Those of the first deployment that the pages and the description of its port already name.
-FIRST = {"find-race", "lobby-servers", "single-core", "lower-mainland", "bc-race-match"}
+# Names of the first deployment that its pages and the description of its port use.
+FIRST_DEPLOYMENT = {"find-race", "lobby-servers", "single-core", "lower-mainland", "bc-race-match"}
 
 
 def names(site: dict[str, Any]) -> set[str]:
-    """Every name that a site gives: its own, zones, tiers, kinds, classes, tenants."""
+    """All names in a site file: the site, zones, tiers, kinds, classes, tenants."""
     found = {site["name"], *site["net"]["zones"]}
     for tier in site["tier"]:
         found |= {tier["name"], *(kind["name"] for kind in tier["kind"])}
     return found | {part["name"] for part in [*site["class"], *site.get("tenant", ())]}
 
 
-def test_there_are_sites_to_read() -> None:
+def test_each_site_has_its_files() -> None:
     assert len(SITES) >= 2
     for path in SITES:
         assert {at.name for at in path.parent.iterdir()} >= {"real.json", "wire.json", "unlock.txt"}
 
 
-def test_no_name_of_a_deployment_stands_in_the_program() -> None:
-    given = FIRST.union(*(names(tomllib.loads(path.read_text())) for path in SITES))
+def test_the_code_contains_no_name_of_a_deployment() -> None:
+    given = FIRST_DEPLOYMENT.union(*(names(tomllib.loads(path.read_text())) for path in SITES))
     assert len(given) > 20
     texts = [
         (at, node.value)
@@ -48,9 +48,9 @@
 
 
 def settings(site: dict[str, Any]) -> dict[str, Any]:
-    """A site's figures in the form that a call agent reads; of a range, the lower end."""
+    """A site's figures as settings of a call agent; of a range, the lower end."""
 
-    def least(value: Any) -> float:
+    def lower_end(value: Any) -> float:
         return float(value[0] if isinstance(value, list) else value)
 
     rules, family, allow = site["rules"], site["fam"], site["allow"]
@@ -73,7 +73,7 @@
         "family-info": {
             "topology": "pools",
             "pools-by-class": [[0, 1]] * len(services),
-            "holding-ms": [1000.0 * least(family["hold_s"])] * len(services),
+            "holding-ms": [1000.0 * lower_end(family["hold_s"])] * len(services),
             "release-guard-ms": family["release_ms"],
             "retransmit-ms": family["resend_ms"],
         },
@@ -81,8 +81,8 @@
             "drain-grace-ms": rules["drain_grace_ms"],
             "fall-multiple": rules["fall_multiple"],
             "fall-ms": rules["fall_ms"],
-            "cold-from": least(kind["cold_from"]),
-            "cold-ms": 1000.0 * least(kind["cold_s"]),
+            "cold-from": lower_end(kind["cold_from"]),
+            "cold-ms": 1000.0 * lower_end(kind["cold_s"]),
         },
     }
 
@@ -110,7 +110,7 @@
     )
     request = world.agent.broker.find("a".zfill(16))
     assert request is not None and request.attempts == 1
-    world.wait(60.0)  # the guard, a tick of its own, and the module's beat
+    world.wait(60.0)  # the release guard, the module's step and its retry interval
     assert request.attempts == 2 and world.agent.rules.settings.try_limit == most
     world.wait(longest)
     assert request.state.value == "over" and world.agent.rules.stopped.total() == 0
