--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -87,7 +87,7 @@
         self.slot = self.front.connections.add(self)
         self.peer = f"client connection {self.slot}"
         self.host = str(getattr(self.transport.getPeer(), "host", ""))
-        self.front.connections_by_seat[self.admission.number] = self
+        self.front.connections_by_admission[self.admission.number] = self
         self.heard_at = self.clock.now()
         self.transport.registerProducer(self, True)
         # Guards against hundreds of connections that send nothing, or part of a line.
@@ -301,7 +301,7 @@
     def __init__(self, broker: Broker, lifecycle: Lifecycle, gate: Gate) -> None:
         self.broker, self.lifecycle, self.gate = broker, lifecycle, gate
         self.connections: Slots[ClientConnection] = Slots()
-        self.connections_by_seat: dict[int, ClientConnection] = {}
+        self.connections_by_admission: dict[int, ClientConnection] = {}
         self.pending_releases: dict[str, PendingRelease] = {}
         self.failed_ids: dict[str, float] = {}  # ended without their answer sent; id -> when, ms
         self._retry_timer: Deadline | None = None
@@ -338,7 +338,7 @@
     def shed(self, seats: Iterable[Admission]) -> None:
         """Closes connections that the gate evicts."""
         for seat in seats:
-            connection = self.connections_by_seat.get(seat.number)
+            connection = self.connections_by_admission.get(seat.number)
             if connection is not None:
                 connection.drop()
                 self.connection_lost(connection)
@@ -537,7 +537,7 @@
         if self.connections.get(connection.slot) is not connection:
             return  # evicted by the gate, and already handled
         self.connections.free(connection.slot)
-        del self.connections_by_seat[connection.admission.number]
+        del self.connections_by_admission[connection.admission.number]
         self.gate.remove(connection.admission)
         opened, connection.open_set_ups = list(connection.open_set_ups.values()), {}
         for request in opened:
