--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -31,21 +31,21 @@
 from frostport.core.deadlines import Deadline, Deadlines
 from frostport.core.lifecycle import Lifecycle, Phase
 from frostport.core.rules import Rules
-from frostport.core.shutdown import RESTART_MOST_MS, UPGRADE_MOST_MS, Schedule, schedule
+from frostport.core.shutdown import MAX_RESTART_DEADLINE_MS, MAX_UPGRADE_DEADLINE_MS, Schedule, schedule
+from frostport.deadline_runner import DeadlineRunner
 from frostport.decide import Controller
 from frostport.net.bus import BusConnection
 from frostport.net.operator import MOST_OPEN, Door
 from frostport.net.peers import split
-from frostport.observe.figures import Figures
+from frostport.observe.statsd import StatsdMetrics
 from frostport.operations import Operations
-from frostport.pump import Pump
-from frostport.sides import PlatformSide
+from frostport.platform_side import PlatformSide
 from frostport.version import VERSION
 
 if TYPE_CHECKING:  # loaded only where they are set
+    from frostport.diameter_side import DiameterSide
     from frostport.durability import Durability
     from frostport.fleet import Fleet
-    from frostport.side_diameter import DiameterSide
     from frostport.starting import Starting
 
 log = logging.getLogger("frostport.agent")
@@ -88,7 +88,7 @@
         self.path: pathlib.Path | None = None  # the file that the configuration came from
         self.clock, self.deadlines = clock or Clock(), Deadlines()
         self.lifecycle = Lifecycle()
-        given = contracts.applied(config.settings, config.contracts)
+        given = contracts.with_contracts(config.settings, config.contracts)
         self.rules = Rules(given, config.drain_grace_ms)
         self.broker = Broker(
             Controller(given, config.seed),
@@ -98,13 +98,13 @@
             PROBE_TIMEOUT_MS,
             contracts.Budgets(config.contracts),
         )
-        self.figures = Figures(kind.name for kind in given.classes)
-        self.figures.loaded(True)
-        self.broker.tally = self.figures
+        self.figures = StatsdMetrics(kind.name for kind in given.classes)
+        self.figures.configuration_loaded(True)
+        self.broker.metrics = self.figures
         self.gate = Gate(
             config.admission, Descriptors(config.sockets, config.sockets - config.admission.connections)
         )
-        self.pump = Pump(reactor, self.clock, self.deadlines)
+        self.pump = DeadlineRunner(reactor, self.clock, self.deadlines)
         self.durability = durability
         if durability is not None:
             durability.join(self)
@@ -119,10 +119,10 @@
         self._sweeping: Deadline | None = None
         self.fleet: Fleet | None = None
         self.starting: Starting | None = None
-        self.lifecycle.listen(self.entered)
+        self.lifecycle.add_listener(self.entered)
 
     def _diameter(self) -> DiameterSide:
-        from frostport.side_diameter import DiameterSide  # nothing of it is loaded without it
+        from frostport.diameter_side import DiameterSide  # nothing of it is loaded without it
 
         return DiameterSide(self)
 
@@ -176,7 +176,7 @@
             if self.starting is not None:
                 also.update(self.starting.operations())
             if self.fleet is not None:
-                asked.kept = self.fleet.work.kept
+                asked.why_kept_out = self.fleet.work.kept
             self.door = Door({**asked.operations(), **also}, self.clock, self.deadlines)
             host, port = split(self.config.operator)
             self.reactor.listenTCP(port, self.door, interface=host)
@@ -212,20 +212,20 @@
 
     def reload(self) -> None:
         """SIGHUP: reads the whole file again. All of it is valid and in force at once, or nothing changes."""
-        if not self.lifecycle.reloads() or self.path is None:
+        if not self.lifecycle.accepts_reload() or self.path is None:
             log.info("reload: not while %s", self.lifecycle.phase.value)
             return
         try:
             new = within_the_process(configuration.load(self.path))
         except ConfigError as problem:
             log.error("reload: configuration kept: %s", problem)
-            self.figures.loaded(False)
+            self.figures.configuration_loaded(False)
             return
         except Exception:  # guards the calls that are open against a file that breaks its reader
             log.exception("reload: configuration kept")
-            self.figures.loaded(False)
+            self.figures.configuration_loaded(False)
             return
-        self.figures.loaded(True)
+        self.figures.configuration_loaded(True)
         old, names = self.config, [item.name for item in dataclasses.fields(Config)]
         changed = [name for name in names if name not in PAST and getattr(old, name) != getattr(new, name)]
         fixed = [name for name in changed if name not in LIVE]
@@ -237,7 +237,7 @@
             old, **{name: getattr(new, name) for name in LIVE if name not in fixed}
         )
         if "contracts" not in fixed:
-            self.broker.budgets.replace(new.contracts)
+            self.broker.budgets.replace_contracts(new.contracts)
         self.gate.descriptors.limit = self.config.sockets
         self.gate.descriptors.kept = self.config.sockets - self.config.admission.connections
         self.gate.reload(self.config.admission, self.clock.now())
@@ -250,19 +250,19 @@
         """SIGTERM: serves on for what still comes, answers all that was taken, then ends.
 
         On an upgrade, where the newer process accepts on the same socket, this one takes no more at once."""
-        if self.inherited is not None and self.lifecycle.may(Phase.HANDING_OVER):
+        if self.inherited is not None and self.lifecycle.can_enter(Phase.HANDING_OVER):
             self.lifecycle.enter(Phase.HANDING_OVER)
-        elif self.lifecycle.may(Phase.CLOSING):
+        elif self.lifecycle.can_enter(Phase.CLOSING):
             self.lifecycle.enter(Phase.CLOSING)
 
     def empty(self) -> bool:
         """Nothing is open, stands or is owed on a client's connection."""
-        return not self.side.front.busy() and not self.broker.open
+        return not self.side.front.busy() and not self.broker.open_count
 
     def _emptied(self) -> None:
         """A drain is over once no client connection and no request is left; a handover ends then."""
         self.side.front.empty()  # guards against a connection whose last call ended without a word on it
-        phase, empty = self.lifecycle.phase, not self.side.front.held() and not self.broker.open
+        phase, empty = self.lifecycle.phase, not self.side.front.held() and not self.broker.open_count
         if phase is Phase.DRAINING and empty:
             self.lifecycle.enter(Phase.DRAINED)
         elif phase is Phase.HANDING_OVER and empty:
@@ -282,8 +282,8 @@
         log.info("admission: %s", orjson.dumps(self.gate.snapshot()).decode())
         now = self.clock.now()
         plan = schedule((kind.deadline_ms for kind in self.rules.settings.classes), most_ms)
-        self._end = self.deadlines.set(now + plan.answer_ms, self._last_answers)
-        self._exit_at = now + plan.exit_ms
+        self._end = self.deadlines.set(now + plan.answer_by_ms, self._last_answers)
+        self._exit_at = now + plan.exit_by_ms
         self.deadlines.set(self._exit_at, self._exit)
         return plan
 
@@ -294,11 +294,11 @@
     def _last_answers(self) -> None:
         """Before SIGKILL: what is still open is answered, and nothing more is taken."""
         self.broker.fail_all()
-        if self.lifecycle.may(Phase.STOPPING):
+        if self.lifecycle.can_enter(Phase.STOPPING):
             self.lifecycle.enter(Phase.STOPPING)
 
     def _exit(self) -> None:
-        if self.lifecycle.may(Phase.STOPPED):
+        if self.lifecycle.can_enter(Phase.STOPPED):
             self.lifecycle.enter(Phase.STOPPED)
 
     def entered(self, phase: Phase) -> None:
@@ -306,18 +306,18 @@
             self.fleet.phase(phase.value)
         match phase:
             case Phase.CLOSING:
-                plan = self._told_to_end(RESTART_MOST_MS)
-                self.deadlines.set(self.clock.now() + plan.take_ms, self._stop_taking)
+                plan = self._told_to_end(MAX_RESTART_DEADLINE_MS)
+                self.deadlines.set(self.clock.now() + plan.accept_until_ms, self._stop_taking)
             case Phase.DRAINING | Phase.TURNING_AWAY:
                 self._emptied()
             case Phase.HANDING_OVER:
                 self._stop_listening()
-                self._told_to_end(UPGRADE_MOST_MS)
+                self._told_to_end(MAX_UPGRADE_DEADLINE_MS)
                 self._emptied()
             case Phase.STOPPING:
                 self._stop_listening()
-                self.broker.idle = self.finish
-                if not self.broker.open:
+                self.broker.on_idle = self.finish
+                if not self.broker.open_count:
                     self.finish()
             case Phase.STOPPED:
                 if self.fleet is not None:
@@ -334,7 +334,7 @@
             self.broker.recorder.barrier(self._leave)  # an answer may still wait for its record
 
     def _leave(self) -> None:
-        self.side.leave()
+        self.side.disconnect()
         self.deadlines.set(self.clock.now() + FLUSH_MS, self._flush)
 
     def _flush(self) -> None:
--- a/frostport/core/contracts.py
+++ b/frostport/core/contracts.py
@@ -16,11 +16,14 @@
 from frostport.core.recorder import Recorder
 
 EXTENSION = "x-frostport-contract"
-METHODS = ("get", "put", "post", "delete", "options", "head", "patch", "trace")
+HTTP_METHODS = ("get", "put", "post", "delete", "options", "head", "patch", "trace")
 FIELDS = ("class", "aim_ms", "deadline_ms", "attempts", "set_ups_per_second")
-BUCKETS_MOST = 1000  # more than so many are looked through for those that may go
-BURST_S = 1.0  # a team may spend so many seconds' budget at once
-SCALE_STEP, SCALE_MOST = 0.1, 2.0  # of what agents that are out leave to the others: a second, and in all
+MAX_BUCKETS = 1000  # more than so many are looked through for those that may go
+BURST_SECONDS = 1.0  # a team may spend so many seconds' budget at once
+SCALE_STEP_PER_SECOND, MAX_SCALE = (
+    0.1,
+    2.0,
+)  # of what agents that are out leave to the others: a second, and in all
 
 
 class ContractError(ValueError):
@@ -43,8 +46,8 @@
     if not isinstance(document, dict):
         raise ContractError("document: not an object")
     contracts: dict[str, Contract] = {}
-    for place, written in extensions(document):
-        contract = read_one(place, written)
+    for place, written in find_extensions(document):
+        contract = parse_contract(place, written)
         if contract.service in contracts:
             raise ContractError(f"{place}.class: a second contract for {contract.service}")
         contracts[contract.service] = contract
@@ -53,34 +56,34 @@
     return list(contracts.values())
 
 
-def extensions(document: Mapping[str, Any]) -> Iterator[tuple[str, object]]:
+def find_extensions(document: Mapping[str, Any]) -> Iterator[tuple[str, object]]:
     """The places of all contracts, by the description's kind."""
     if str(document.get("openapi", "")).startswith("3."):
-        for path, item in section(document, "paths").items():
-            for method in METHODS:
+        for path, item in object_member(document, "paths").items():
+            for method in HTTP_METHODS:
                 if isinstance(item, dict) and isinstance(item.get(method), dict):
-                    yield from extension(f"paths.{path}.{method}", item[method])
+                    yield from operation_extension(f"paths.{path}.{method}", item[method])
     elif str(document.get("asyncapi", "")).startswith("3."):
-        for name, operation in section(document, "operations").items():
+        for name, operation in object_member(document, "operations").items():
             if isinstance(operation, dict):
-                yield from extension(f"operations.{name}", operation)
+                yield from operation_extension(f"operations.{name}", operation)
     else:
         raise ContractError("document: neither openapi 3 nor asyncapi 3")
 
 
-def section(document: Mapping[str, Any], name: str) -> Mapping[str, Any]:
+def object_member(document: Mapping[str, Any], name: str) -> Mapping[str, Any]:
     found = document.get(name, {})
     if not isinstance(found, dict):
         raise ContractError(f"{name}: not an object")
     return found
 
 
-def extension(place: str, operation: Mapping[str, Any]) -> Iterator[tuple[str, object]]:
+def operation_extension(place: str, operation: Mapping[str, Any]) -> Iterator[tuple[str, object]]:
     if EXTENSION in operation:
         yield f"{place}.{EXTENSION}", operation[EXTENSION]
 
 
-def read_one(place: str, written: object) -> Contract:
+def parse_contract(place: str, written: object) -> Contract:
     if not isinstance(written, dict):
         raise ContractError(f"{place}: not an object")
     for name in written:
@@ -89,7 +92,7 @@
     service = written.get("class")
     if not isinstance(service, str) or not service:
         raise ContractError(f"{place}.class: no name")
-    figures = {name: figure(f"{place}.{name}", written.get(name)) for name in FIELDS[1:]}
+    figures = {name: positive_number(f"{place}.{name}", written.get(name)) for name in FIELDS[1:]}
     if figures["attempts"] != int(figures["attempts"]):
         raise ContractError(f"{place}.attempts: not a whole number")
     if figures["aim_ms"] > figures["deadline_ms"]:
@@ -103,13 +106,13 @@
     )
 
 
-def figure(place: str, value: object) -> float:
+def positive_number(place: str, value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 < value < math.inf:
         raise ContractError(f"{place}: not a number above 0")
     return float(value)
 
 
-def applied(settings: api.Settings, contracts: Iterable[Contract]) -> api.Settings:
+def with_contracts(settings: api.Settings, contracts: Iterable[Contract]) -> api.Settings:
     """The settings with each contract's aim and deadline; a class that only a contract names joins them."""
     classes = {cls.name: cls for cls in settings.classes}
     for contract in contracts:
@@ -135,57 +138,63 @@
         if contract is None:
             return 0.0
         rate = contract.set_ups_per_second * self.scale
-        most = max(1.0, rate * BURST_S)
+        most = max(1.0, rate * BURST_SECONDS)
         tokens, at = self._buckets.get((team, service), (most, now))
         tokens = min(most, tokens + (now - at) / 1000.0 * rate)
-        if len(self._buckets) >= BUCKETS_MOST:
+        if len(self._buckets) >= MAX_BUCKETS:
             self._prune(now)
         if tokens >= 1.0:
             self._buckets[team, service] = (tokens - 1.0, now)
-            self.recorder.spent(team, service, tokens - 1.0, now)
+            self.recorder.record_budget(team, service, tokens - 1.0, now)
             return 0.0
         self._buckets[team, service] = (tokens, now)
         return (1.0 - tokens) / rate * 1000.0
 
-    def share(self, wanted: float, now: float) -> None:
+    def set_scale(self, wanted: float, now: float) -> None:
         """This agent's part of the teams' budgets is to be so many times the configured one: `SCALE_MOST` at
         most, reached in steps of `SCALE_STEP` a second."""
-        room = SCALE_STEP * max(0.0, now - self._scaled_at) / 1000.0 if self._scaled_at > -math.inf else 0.0
+        room = (
+            SCALE_STEP_PER_SECOND * max(0.0, now - self._scaled_at) / 1000.0
+            if self._scaled_at > -math.inf
+            else 0.0
+        )
         self._scaled_at = now
-        wanted = min(SCALE_MOST, max(1.0, wanted))
+        wanted = min(MAX_SCALE, max(1.0, wanted))
         self.scale += max(-room, min(room, wanted - self.scale))
 
     def _prune(self, now: float) -> None:
         """Guards against team names without end: a bucket that is full again is as good as none."""
         rates = {service: contract.set_ups_per_second for service, contract in self.contracts.items()}
-        self._keep(
+        self._replace_buckets(
             {
                 key: (tokens, at)
                 for key, (tokens, at) in self._buckets.items()
-                if tokens + (now - at) / 1000.0 * rates[key[1]] < max(1.0, rates[key[1]] * BURST_S)
+                if tokens + (now - at) / 1000.0 * rates[key[1]] < max(1.0, rates[key[1]] * BURST_SECONDS)
             }
         )
 
-    def _keep(self, buckets: dict[tuple[str, str], tuple[float, float]]) -> None:
+    def _replace_buckets(self, buckets: dict[tuple[str, str], tuple[float, float]]) -> None:
         for team, service in self._buckets.keys() - buckets.keys():
-            self.recorder.unspent(team, service)
+            self.recorder.clear_budget(team, service)
         self._buckets = buckets
 
-    def resume(self, buckets: Mapping[tuple[str, str], tuple[float, float]]) -> None:
+    def restore(self, buckets: Mapping[tuple[str, str], tuple[float, float]]) -> None:
         """What was spent before a restart stays spent: tokens, and when they were counted."""
         self._buckets = dict(buckets)
-        self._keep({key: bucket for key, bucket in buckets.items() if key[1] in self.contracts})
+        self._replace_buckets({key: bucket for key, bucket in buckets.items() if key[1] in self.contracts})
 
-    def replace(self, contracts: Iterable[Contract]) -> None:
+    def replace_contracts(self, contracts: Iterable[Contract]) -> None:
         """Other contracts from now on; what was spent stays spent."""
         self.contracts = {contract.service: contract for contract in contracts}
-        self._keep({key: bucket for key, bucket in self._buckets.items() if key[1] in self.contracts})
+        self._replace_buckets(
+            {key: bucket for key, bucket in self._buckets.items() if key[1] in self.contracts}
+        )
 
     def deadline_ms(self, service: str, left_ms: float) -> float:
         contract = self.contracts.get(service)
         return left_ms if contract is None else min(left_ms, contract.deadline_ms)
 
-    def spent(self, service: str, attempts: int) -> bool:
+    def attempts_exhausted(self, service: str, attempts: int) -> bool:
         """Whether a call has used up the attempts of its contract."""
         contract = self.contracts.get(service)
         return contract is not None and attempts >= contract.attempts
--- a/frostport/core/deadlines.py
+++ b/frostport/core/deadlines.py
@@ -25,14 +25,14 @@
     def __init__(self, changed: Callable[[], None] = lambda: None) -> None:
         self._heap: list[tuple[float, int, Deadline]] = []
         self._order = 0
-        self.changed = changed
+        self.on_first_changed = changed
 
     def set(self, at_ms: float, action: Callable[[], None]) -> Deadline:
         deadline = Deadline(at_ms, action)
         self._order += 1
         heapq.heappush(self._heap, (at_ms, self._order, deadline))
         if self._heap[0][2] is deadline:
-            self.changed()
+            self.on_first_changed()
         return deadline
 
     def __len__(self) -> int:
--- a/frostport/core/dialing.py
+++ b/frostport/core/dial_policy.py
@@ -6,40 +6,40 @@
 from __future__ import annotations
 
 
-class Dialing:
+class DialPolicy:
     """All times in ms. Targets are `LIST` and the names of lobby servers."""
 
-    def wanted(self, target: str) -> bool:
+    def connects_eagerly(self, target: str) -> bool:
         """Whether it is to be connected before a call needs it."""
         return True
 
-    def first(self, target: str) -> float:
+    def first_delay_ms(self, target: str) -> float:
         """How long the first dial waits; infinite: it is asked for later, if at all."""
         return 0.0
 
-    def again(self, target: str, pause_ms: float) -> float:
+    def redial_delay_ms(self, target: str, pause_ms: float) -> float:
         """How long a redial waits, where `pause_ms` is usual."""
         return pause_ms
 
-    def needed(self, target: str) -> float:
+    def on_demand_delay_ms(self, target: str) -> float:
         """How long a dial waits that a call needs."""
         return 0.0
 
-    def up(self, target: str) -> None:
+    def connected(self, target: str) -> None:
         """A connection is there."""
 
-    def failed(self, target: str) -> None:
+    def dial_failed(self, target: str) -> None:
         """None was to be had."""
 
-    def lost(self, target: str) -> None:
+    def connection_lost(self, target: str) -> None:
         """It broke."""
 
-    def heard(self) -> None:
+    def list_unchanged(self) -> None:
         """The list service said that nothing is new."""
 
-    def told(self, offset: int, line: bytes) -> None:
+    def list_event_received(self, offset: int, line: bytes) -> None:
         """It said an event, which is in the list now."""
 
 
-LIST = "list service"
-EAGER = Dialing()
+LIST_SERVICE = "list service"
+DIAL_AT_ONCE = DialPolicy()
--- a/frostport/core/lifecycle.py
+++ b/frostport/core/lifecycle.py
@@ -30,7 +30,7 @@
     STOPPED = "stopped"  # all answered: the program exits
 
 
-NEXT = {
+TRANSITIONS = {
     Phase.STARTING: (Phase.SERVING, Phase.CLOSING, Phase.STOPPED),
     Phase.SERVING: (Phase.DRAINING, Phase.CLOSING, Phase.HANDING_OVER),
     Phase.DRAINING: (Phase.SERVING, Phase.DRAINED, Phase.TURNING_AWAY, Phase.CLOSING, Phase.HANDING_OVER),
@@ -41,11 +41,20 @@
     Phase.STOPPING: (Phase.STOPPED,),
     Phase.STOPPED: (),
 }
-READY = (Phase.SERVING,)  # where ready says yes
-TAKING = (Phase.SERVING, Phase.DRAINING, Phase.DRAINED, Phase.HANDING_OVER, Phase.CLOSING)  # requests taken
-DRAINS = (Phase.DRAINING, Phase.DRAINED, Phase.TURNING_AWAY)  # from which resume brings serving back
-RELOADING = (Phase.SERVING, *DRAINS)  # a drained program may serve again: it must not stay with an old bus
-EMPTYING = (*DRAINS, Phase.HANDING_OVER, Phase.STOPPING)  # connections close once idle
+READY_PHASES = (Phase.SERVING,)  # where ready says yes
+ACCEPTING_PHASES = (
+    Phase.SERVING,
+    Phase.DRAINING,
+    Phase.DRAINED,
+    Phase.HANDING_OVER,
+    Phase.CLOSING,
+)  # requests taken
+DRAINING_PHASES = (Phase.DRAINING, Phase.DRAINED, Phase.TURNING_AWAY)  # from which resume brings serving back
+RELOADABLE_PHASES = (
+    Phase.SERVING,
+    *DRAINING_PHASES,
+)  # a drained program may serve again: it must not stay with an old bus
+IDLE_CLOSING_PHASES = (*DRAINING_PHASES, Phase.HANDING_OVER, Phase.STOPPING)  # connections close once idle
 
 
 class Lifecycle:
@@ -55,37 +64,37 @@
         self.phase = Phase.STARTING
         self._listeners: list[Callable[[Phase], None]] = []
 
-    def listen(self, listener: Callable[[Phase], None]) -> None:
+    def add_listener(self, listener: Callable[[Phase], None]) -> None:
         self._listeners.append(listener)
 
     def enter(self, phase: Phase) -> None:
-        if phase not in NEXT[self.phase]:
+        if phase not in TRANSITIONS[self.phase]:
             raise ValueError(f"no way from {self.phase.value} to {phase.value}")
         log.info("phase %s -> %s", self.phase.value, phase.value)
         self.phase = phase
         for listener in self._listeners:
             listener(phase)
 
-    def may(self, phase: Phase) -> bool:
+    def can_enter(self, phase: Phase) -> bool:
         """Whether the program can move to this phase now."""
-        return phase in NEXT[self.phase]
+        return phase in TRANSITIONS[self.phase]
 
-    def takes(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether requests that come now are taken."""
-        return self.phase in TAKING
+        return self.phase in ACCEPTING_PHASES
 
-    def drains(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether connections that carry calls get nothing new, so that they can close."""
-        return self.phase in DRAINS
+        return self.phase in DRAINING_PHASES
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this process says that it serves: new connections are welcome."""
-        return self.phase in READY
+        return self.phase in READY_PHASES
 
-    def reloads(self) -> bool:
+    def accepts_reload(self) -> bool:
         """Whether a new configuration is taken in."""
-        return self.phase in RELOADING
+        return self.phase in RELOADABLE_PHASES
 
-    def emptying(self) -> bool:
+    def closes_idle_connections(self) -> bool:
         """Whether a client connection closes once it holds no request and owes nothing."""
-        return self.phase in EMPTYING
+        return self.phase in IDLE_CLOSING_PHASES
--- a/frostport/core/liveness_sweep.py
+++ b/frostport/core/liveness_sweep.py
@@ -8,18 +8,18 @@
 
 from frostport.core.clock import Clock
 from frostport.core.deadlines import Deadlines
-from frostport.core.server_liveness import PAUSE_MS, PERIOD_MS, ServerLiveness
+from frostport.core.server_liveness import CHECK_PERIOD_MS, PROCESS_PAUSE_MS, ServerLiveness
 
 log = logging.getLogger("frostport.liveness")
 
 
-class Watched(Protocol):
+class MonitoredServer(Protocol):
     """A server with a failure detector."""
 
     liveness: ServerLiveness
 
 
-Server = TypeVar("Server", bound=Watched)
+Server = TypeVar("Server", bound=MonitoredServer)
 
 
 class LivenessSweep(Generic[Server]):
@@ -34,25 +34,25 @@
     ) -> None:
         """`look` is called with a server and the time, in ms."""
         self._clock, self._deadlines = clock, deadlines
-        self._servers, self._look_at = servers, look
-        self._looked_at_ms = 0.0
+        self._servers, self._check_server = servers, look
+        self._last_sweep_ms = 0.0
 
     def start(self) -> None:
         """Looks for the first time one period from now."""
-        self._set(self._clock.now())
+        self._schedule_next(self._clock.now())
 
-    def _set(self, now_ms: float) -> None:
-        self._looked_at_ms = now_ms
-        self._deadlines.set(now_ms + PERIOD_MS, self.look)
+    def _schedule_next(self, now_ms: float) -> None:
+        self._last_sweep_ms = now_ms
+        self._deadlines.set(now_ms + CHECK_PERIOD_MS, self.sweep)
 
-    def look(self) -> None:
+    def sweep(self) -> None:
         """Looks at every server now."""
         now = self._clock.now()
-        paused = now - self._looked_at_ms > PAUSE_MS
+        paused = now - self._last_sweep_ms > PROCESS_PAUSE_MS
         if paused:
             log.warning("this process was paused: servers get time to be heard")
         for server in list(self._servers()):
             if paused:
-                server.liveness.paused(now)
-            self._look_at(server, now)
-        self._set(now)
+                server.liveness.process_paused(now)
+            self._check_server(server, now)
+        self._schedule_next(now)
--- a/frostport/core/tally.py
+++ b/frostport/core/metrics.py
@@ -6,13 +6,13 @@
 from __future__ import annotations
 
 
-class Tally:
+class Metrics:
     """Counts nothing."""
 
-    def taken(self) -> None:
+    def request_started(self) -> None:
         """A request is taken."""
 
-    def ended(self) -> None:
+    def request_ended(self) -> None:
         """A taken request has ended: refused, failed, gone, or released after it stood."""
 
     def answered(self, call_class: str) -> None:
@@ -27,20 +27,20 @@
     def sent(self, call_class: str) -> None:
         """An attempt is written in full to a server."""
 
-    def cut(self, server: str, calls: int) -> None:
+    def count_calls_cut(self, server: str, calls: int) -> None:
         """Calls that stood at a server are over, and the server did not say so."""
 
-    def suspected(self, server: str) -> None:
+    def server_suspected(self, server: str) -> None:
         """A server with standing calls gives no sign of life though it was asked for one."""
 
-    def listed(self, size: int) -> None:
+    def set_cluster_size(self, size: int) -> None:
         """The server list has this many servers now."""
 
-    def avoided(self, server: str, reason: str, avoided: bool) -> None:
+    def set_avoided(self, server: str, reason: str, avoided: bool) -> None:
         """A listed server is avoided for this reason from now on, or no longer."""
 
-    def unlisted(self, server: str) -> None:
+    def server_removed(self, server: str) -> None:
         """A server has left the list."""
 
-    def loaded(self, valid: bool) -> None:
+    def configuration_loaded(self, valid: bool) -> None:
         """The configuration was read: valid and in force, or not."""
--- a/frostport/core/rotation.py
+++ b/frostport/core/rotation.py
@@ -17,43 +17,47 @@
     """The records that the list last gave, and the servers held out."""
 
     def __init__(self) -> None:
-        self.last: dict[str, api.Server] = {}
-        self.dials: dict[str, str] = {}
-        self.held: set[str] = set()
+        self.last_records: dict[str, api.Server] = {}
+        self.dial_addresses: dict[str, str] = {}
+        self.disabled: set[str] = set()
 
-    def find(self, name: str) -> str | None:
+    def find_address(self, name: str) -> str | None:
         """The listed server of this name or dial address."""
-        if name in self.last:
+        if name in self.last_records:
             return name
-        found = (address for address, dial in self.dials.items() if dial == name and address in self.last)
+        found = (
+            address
+            for address, dial in self.dial_addresses.items()
+            if dial == name and address in self.last_records
+        )
         return next(found, None)
 
-    def listed(self, servers: Iterable[api.Server], dials: Mapping[str, str]) -> None:
+    def update(self, servers: Iterable[api.Server], dials: Mapping[str, str]) -> None:
         for server in servers:
-            self.last[server.address] = server
-        self.dials.update(dials)
+            self.last_records[server.address] = server
+        self.dial_addresses.update(dials)
 
-    def unlisted(self, address: str) -> None:
-        self.last.pop(address, None)
-        self.dials.pop(address, None)
-        self.held.discard(address)
+    def remove(self, address: str) -> None:
+        self.last_records.pop(address, None)
+        self.dial_addresses.pop(address, None)
+        self.disabled.discard(address)
 
-    def shown(self, server: api.Server) -> api.Server:
+    def effective_record(self, server: api.Server) -> api.Server:
         """A record as the module is to see it."""
-        if server.address in self.held and server.state is Lifecycle.READY:
+        if server.address in self.disabled and server.state is Lifecycle.READY:
             return dataclasses.replace(server, state=Lifecycle.DRAINING)
         return server
 
-    def hold(self, address: str) -> api.Server | None:
+    def disable(self, address: str) -> api.Server | None:
         """Takes a server out; the record to tell, or None where it was out already."""
-        if address in self.held:
+        if address in self.disabled:
             return None
-        self.held.add(address)
-        return self.shown(self.last[address])
+        self.disabled.add(address)
+        return self.effective_record(self.last_records[address])
 
-    def release(self, address: str) -> api.Server | None:
+    def enable(self, address: str) -> api.Server | None:
         """Puts a server back; the list's own last record, or None where it was not out."""
-        if address not in self.held:
+        if address not in self.disabled:
             return None
-        self.held.discard(address)
-        return self.last[address]
+        self.disabled.discard(address)
+        return self.last_records[address]
--- a/frostport/pump.py
+++ b/frostport/deadline_runner.py
@@ -10,17 +10,17 @@
 
 log = logging.getLogger("frostport.agent")
 
-LATE_MS = 250.0  # a deadline that is later than this was held up by a pause of the process
+PROCESS_PAUSE_MS = 250.0  # a deadline that is later than this was held up by a pause of the process
 READ_TURNS = 3  # turns of the reactor in which what came meanwhile is read before late deadlines run
 
 
-class Pump:
+class DeadlineRunner:
     """Runs the deadlines on the reactor's timer."""
 
     def __init__(self, reactor: Any, clock: Clock, deadlines: Deadlines) -> None:
         self.reactor, self.clock, self.deadlines = reactor, clock, deadlines
         self._call: Any = None
-        deadlines.changed = self.schedule
+        deadlines.on_first_changed = self.schedule
 
     def schedule(self) -> None:
         if self._call is not None and self._call.active():
@@ -34,7 +34,7 @@
 
         Guards against taking an answer that lies unread in a socket for a silence."""
         at = self.deadlines.next_ms()
-        if at is not None and read_turns and self.clock.now() > at + LATE_MS:
+        if at is not None and read_turns and self.clock.now() > at + PROCESS_PAUSE_MS:
             self._call = self.reactor.callLater(0.0, self.run, read_turns - 1)
             return
         try:
--- a/frostport/diameter/front.py
+++ b/frostport/diameter/front.py
@@ -11,7 +11,7 @@
 from frostport import interface as api
 from frostport.admission.gate import Gate, Seat
 from frostport.core.broker import Broker
-from frostport.core.calls import Body, Given, Request, State, held_until
+from frostport.core.calls import Body, RecordedAnswer, Request, State, held_until
 from frostport.core.lifecycle import Lifecycle
 from frostport.core.slots import Slots
 from frostport.diameter import avp
@@ -164,7 +164,7 @@
                 link.reply(message, avp.INVALID_AVP_VALUE, error="CC-Request-Type", failed=wrong.encode())
 
     def initial(self, link: PeerConnection, message: Message) -> None:
-        self.broker.recorder.look()
+        self.broker.recorder.refresh()
         name = str(message.get(avp.SESSION_ID))
         known = self.sessions.get(name)
         if known is not None and known.client != link.host:
@@ -189,16 +189,16 @@
         if cls is None:
             link.reply(message, avp.INVALID_AVP_VALUE, error="no such service", failed=context.encode())
             return
-        if not self.lifecycle.takes():
-            self.broker.tally.deferred(cls.name)
+        if not self.lifecycle.accepts_requests():
+            self.broker.metrics.deferred(cls.name)
             self._answer(link, message, avp.TOO_BUSY, [], "going down")
             return
-        if self.lifecycle.drains() and self._carries_calls(link.host):
-            self.broker.tally.deferred(cls.name)
+        if self.lifecycle.is_draining() and self._carries_calls(link.host):
+            self.broker.metrics.deferred(cls.name)
             self._answer(link, message, avp.TOO_BUSY, [], "draining")
             return
-        if self.broker.open >= OPEN_MOST:
-            self.broker.tally.deferred(cls.name)
+        if self.broker.open_count >= OPEN_MOST:
+            self.broker.metrics.deferred(cls.name)
             self._answer(link, message, avp.TOO_BUSY, [], "too many set-ups open")
             return
         wait = message.get(avp.MAXIMUM_WAIT_TIME)
@@ -231,9 +231,9 @@
             link.slot,
             link.realm,
             client=link.host,
-            identity=message.end_to_end,
+            end_to_end_id=message.end_to_end,
         )
-        self.broker.arrive(
+        self.broker.request_arrived(
             request,
             api.CallArrived(
                 name,
@@ -246,9 +246,9 @@
         )
 
     def terminate(self, link: PeerConnection, message: Message) -> None:
-        self.broker.recorder.look()
+        self.broker.recorder.refresh()
         name = str(message.get(avp.SESSION_ID))
-        request = self.broker.find(name)
+        request = self.broker.find_request(name)
         known = self.sessions.get(name)
         if known is not None and known.client != link.host:
             self._answer(link, message, avp.UNKNOWN_SESSION_ID, [], "the session is another client's")
@@ -283,7 +283,7 @@
     def _settle(self, call: str) -> None:
         """A release is no longer owed, if it was."""
         if self.owed.pop(call, None) is not None:
-            self.broker.recorder.settled(call)
+            self.broker.recorder.clear_owed_end(call)
 
     def opened(self, link: PeerConnection) -> None:
         super().opened(link)
@@ -310,7 +310,7 @@
         for name, session in list(self.sessions.items()):
             if session.answer is None:
                 session.waiting = [(at, message) for at, message in session.waiting if at is not link]
-                request = self.broker.find(name)
+                request = self.broker.find_request(name)
                 if not session.waiting and request is not None:
                     del self.sessions[name]
                     self.broker.gone(request)
@@ -318,16 +318,16 @@
 
     # From the broker
 
-    def waits(self, request: Request) -> bool:
+    def is_waiting(self, request: Request) -> bool:
         session = self.sessions.get(request.id)
         # Guards against a close that nobody hears while a peer that does not read is not read from.
         return session is not None and not all(self.left(link.transport) for link, _ in session.waiting)
 
-    def stands(self, request: Request, description: Body) -> None:
+    def call_established(self, request: Request, description: Body) -> None:
         assert isinstance(description, bytes)
         self._final(request, avp.SUCCESS, avp.read_avps(description))
 
-    def refused(self, request: Request, stay_away_ms: float) -> None:
+    def call_refused(self, request: Request, stay_away_ms: float) -> None:
         session = self.sessions.get(request.id)
         advice = []
         if session is not None and session.heeds_overload and stay_away_ms > 0.0:
@@ -347,10 +347,12 @@
             ]
         self._final(request, avp.TOO_BUSY, advice)
 
-    def failed(self, request: Request) -> None:
+    def call_failed(self, request: Request) -> None:
         self._final(request, avp.UNABLE_TO_COMPLY, [])
 
-    def over(self, call: str, place: int, outcome: Outcome, given: Given | None = None) -> None:
+    def call_ended(
+        self, call: str, place: int, outcome: Outcome, given: RecordedAnswer | None = None
+    ) -> None:
         session, now = self.sessions.get(call), self.clock.now()
         client = session.client if session is not None else ""
         self._forget(call)
@@ -358,7 +360,7 @@
         if session is None or not self._hold(call, session, given, now):
             self._abort(call, client, outcome)
 
-    def _hold(self, call: str, session: Session, given: Given | None, now: float) -> bool:
+    def _hold(self, call: str, session: Session, given: RecordedAnswer | None, now: float) -> bool:
         """Guards a client that waits for the answer of a repeated set-up against hearing the end first.
 
         Once the end is told without the answer, duplicates hear that the call has failed."""
@@ -367,7 +369,7 @@
             session.heard_on is not None and peer is not None and peer.open() is session.heard_on
         ):
             return False
-        until = held_until(given.at, now, self.longest_ms)
+        until = held_until(given.recorded_at_ms, now, self.longest_ms)
         if session.heard_on is not None or until <= now:  # no restart since the answer, or nobody waits
             session.answer = (avp.UNABLE_TO_COMPLY, [])
             return False
@@ -391,7 +393,7 @@
         self.deadlines.set(since + OWED_MS, lambda: self._no_more(call))
 
     def resume(
-        self, owed: Mapping[str, tuple[str, Outcome, float]], given: Callable[[str], Given | None]
+        self, owed: Mapping[str, tuple[str, Outcome, float]], given: Callable[[str], RecordedAnswer | None]
     ) -> None:
         """Releases owed since before a restart: client, outcome, since when. The sessions are known."""
         now = self.clock.now()
--- a/frostport/diameter/peer.py
+++ b/frostport/diameter/peer.py
@@ -17,8 +17,8 @@
 
 from frostport.admission.gate import Seat
 from frostport.core.clock import Clock
-from frostport.core.complaints import Complaints
 from frostport.core.deadlines import Deadline, Deadlines
+from frostport.core.rate_limited_log import RateLimitedLog
 from frostport.core.slots import Slots
 from frostport.diameter import avp
 from frostport.diameter.avp import Avp, AvpError, Frames, Message, StreamError, make
@@ -37,7 +37,7 @@
 GOODBYE_MS = 1_000.0  # how long a disconnect waits for its answer
 
 
-complaints = Complaints(log)
+complaints = RateLimitedLog(log)
 
 
 def cancelled(deadline: Deadline | None) -> Deadline | None:
@@ -158,7 +158,7 @@
         try:
             self._waiting.extend(self._frames.feed(data))
         except StreamError as problem:
-            complaints.say(self.clock.now(), self.host, f"closed: {problem}")
+            complaints.warn(self.clock.now(), self.host, f"closed: {problem}")
             self.drop()
             return
         self._work()
@@ -275,7 +275,7 @@
             else:
                 avp.check_values(message)
         except AvpError as problem:
-            complaints.say(self.clock.now(), self.host, f"command {message.command}: {problem}")
+            complaints.warn(self.clock.now(), self.host, f"command {message.command}: {problem}")
             if not message.is_request:
                 # Guards against waiting for an answer that can't be read: all that is open here ends at once.
                 self.drop()
@@ -311,7 +311,7 @@
 
     def _answer(self, message: Message) -> None:
         if message.hop_by_hop not in self._asked:
-            complaints.say(self.clock.now(), self.host, "answer to nothing asked dropped")
+            complaints.warn(self.clock.now(), self.host, "answer to nothing asked dropped")
             return
         del self._asked[message.hop_by_hop]
         if message.command == avp.CE:
@@ -346,7 +346,7 @@
         if result == avp.SUCCESS:
             self._open(message)
         elif self.state is Link.WAIT_CER:
-            complaints.say(self.clock.now(), host, error)
+            complaints.warn(self.clock.now(), host, error)
             self.hang_up()
 
     def _capabilities_answer(self, message: Message) -> None:
--- a/frostport/diameter/route.py
+++ b/frostport/diameter/route.py
@@ -15,8 +15,8 @@
 from frostport.core.deadlines import Deadline
 from frostport.core.liveness_sweep import LivenessSweep
 from frostport.core.server_liveness import (
-    AskForLife,
     CallsLost,
+    CheckLiveness,
     ServerLiveness,
     Suspected,
 )
@@ -77,7 +77,9 @@
             self.add(self.servers[entry.host])
 
     def start(self) -> None:
-        self.broker.listed(ListKind.PERSISTED, self.version, [])  # each joins once it has been reached
+        self.broker.update_server_list(
+            ListKind.PERSISTED, self.version, []
+        )  # each joins once it has been reached
         for server in self.servers.values():
             self.dial(server)
         self._sweep.start()
@@ -113,7 +115,7 @@
         server.told = None if state is Lifecycle.GONE else state
         self.version += 1
         log.info("%s is told as %s", server.host, state.value)
-        self.broker.listed(
+        self.broker.update_server_list(
             ListKind.CHANGES,
             self.version,
             [api.Server(server.host, server.entry.number, state, server.entry.zone, server.started_ms)],
@@ -130,17 +132,19 @@
         same_process = before is not None and before == link.state_id
         link.process_seen_ms = 0.0 if same_process else self.clock.now()
         if before is not None and link.state_id is not None and link.state_id > before:
-            self.broker.cut(server.host, self.clock.now(), "a new process: its sessions are gone")
+            self.broker.end_established_calls(
+                server.host, self.clock.now(), "a new process: its sessions are gone"
+            )
             for call in server.owed:
-                self.broker.recorder.release_paid(server.host, call)
+                self.broker.recorder.clear_owed_release(server.host, call)
             server.owed.clear()
-        self.broker.recorder.peer(server.host, link.state_id, server.started_ms)
+        self.broker.recorder.record_peer(server.host, link.state_id, server.started_ms)
         server.dialing = None
         super().opened(link)
         owed, server.owed = server.owed, []
         for call in owed:
             self._end_session(server, call)
-            self.broker.recorder.release_paid(server.host, call)
+            self.broker.recorder.clear_owed_release(server.host, call)
 
     def watched(self, peer: Peer, before: Watch, after: Watch) -> None:
         super().watched(peer, before, after)
@@ -148,7 +152,7 @@
         if after is Watch.OKAY:
             if before is Watch.REOPEN:
                 server.started_ms = self.clock.now()  # back on a new connection: treated as cold
-                self.broker.recorder.peer(server.host, server.state_id, server.started_ms)
+                self.broker.recorder.record_peer(server.host, server.state_id, server.started_ms)
             self.tell(server, Lifecycle.READY)
         elif after in (Watch.SUSPECT, Watch.DOWN):
             self.tell(server, Lifecycle.DRAINING)
@@ -169,7 +173,7 @@
         self.tell(server, Lifecycle.DRAINING)
         for attempt in out.values():
             self._owe(server, attempt.request.id)  # it may have set the call up unheard
-            self.broker.ended(attempt, Outcome.RESET)
+            self.broker.attempt_ended(attempt, Outcome.RESET)
         self._await(server)
         self._redial(server)
 
@@ -178,7 +182,7 @@
 
     def _owe(self, server: ServerPeer, call: str) -> None:
         server.owed.append(call)
-        self.broker.recorder.release_owed(server.host, call)
+        self.broker.recorder.record_owed_release(server.host, call)
 
     def resume(
         self, peers: Mapping[str, tuple[int | None, float]], releases: Iterable[tuple[str, str]]
@@ -192,7 +196,7 @@
             if host in self.servers:
                 self._owe(self.servers[host], call)
             else:
-                self.broker.recorder.release_paid(host, call)
+                self.broker.recorder.clear_owed_release(host, call)
         for server in self.servers.values():
             self._await(server)  # one that does not come back in time has lost what stood there
 
@@ -205,7 +209,7 @@
                 and request.attempt.server == server.host
             ):
                 self._owe(server, request.id)
-        self.broker.cut(server.host, self.clock.now(), "away too long")
+        self.broker.end_established_calls(server.host, self.clock.now(), "away too long")
         self.tell(server, Lifecycle.GONE)
 
     # Liveness
@@ -221,9 +225,9 @@
             log.info("%s: liveness: suspected -> alive", server.host)
 
     def _look_at(self, server: ServerPeer, now_ms: float) -> None:
-        if not server.liveness.quiet(now_ms):
+        if not server.liveness.is_quiet(now_ms):
             return
-        for action in server.liveness.look(now_ms, self.broker.calls_stand(server.host)):
+        for action in server.liveness.evaluate(now_ms, self.broker.has_established_calls(server.host)):
             match action:
                 case Suspected(since_ms):
                     log.warning(
@@ -231,8 +235,8 @@
                         server.host,
                         now_ms - since_ms,
                     )
-                    self.broker.tally.suspected(server.host)
-                case AskForLife():
+                    self.broker.metrics.server_suspected(server.host)
+                case CheckLiveness():
                     self._ask_for_life(server)
                 case CallsLost(since_ms, stood_by_ms):
                     self._calls_lost(server, since_ms, stood_by_ms)
@@ -246,7 +250,7 @@
     def _calls_lost(self, server: ServerPeer, since_ms: float, stood_by_ms: float) -> None:
         silent_ms = self.clock.now() - since_ms
         log.warning("%s: liveness: suspected -> lost, silent for %.0f ms", server.host, silent_ms)
-        over = self.broker.cut(server.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
+        over = self.broker.end_established_calls(server.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
         link = server.open()
         if link is not None and link.process_seen_ms <= since_ms:
             link.drop()
@@ -259,12 +263,12 @@
         server, request = self.servers[attempt.server], attempt.request
         link = server.open()
         if link is None:
-            self.broker.ended(attempt, Outcome.CONNECT_FAILED)
+            self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
             return
         body = request.description
         assert isinstance(body, bytes)
-        left = max(1, round(attempt.end_at - self.clock.now()))
-        attempt.link = link.ask(
+        left = max(1, round(attempt.deadline_at_ms - self.clock.now()))
+        attempt.route_ref = link.ask(
             avp.CC,
             [
                 *self._head(server, request.id, avp.INITIAL, attempt.number),
@@ -274,8 +278,8 @@
             ],
             avp.CREDIT_CONTROL,
         )
-        server.out[attempt.link] = attempt
-        self.broker.tally.sent(request.call_class)
+        server.out[attempt.route_ref] = attempt
+        self.broker.metrics.sent(request.call_class)
 
     def _head(self, server: ServerPeer, call: str, kind: int, number: int) -> list[avp.Avp]:
         link = server.open()
@@ -306,7 +310,7 @@
 
     def give_up(self, attempt: Attempt) -> None:
         server = self.servers[attempt.server]
-        if attempt.link is not None and server.out.pop(attempt.link, None) is attempt:
+        if attempt.route_ref is not None and server.out.pop(attempt.route_ref, None) is attempt:
             self._end_session(server, attempt.request.id)
 
     def release(self, attempt: Attempt) -> None:
@@ -318,7 +322,7 @@
                 self._end_session(server, call)
 
     def probe(self, server: str, number: int) -> None:
-        self.broker.probed(number, Outcome.NOT_SENT)  # the watchdog is all that tests a peer
+        self.broker.probe_ended(number, Outcome.NOT_SENT)  # the watchdog is all that tests a peer
 
     # From servers
 
@@ -329,11 +333,11 @@
             return  # the answer to a release, or late: its session was ended when it was given up
         match result:
             case avp.SUCCESS:
-                self.broker.stood(attempt, carried(message))
+                self.broker.call_established(attempt, carried(message))
             case avp.TOO_BUSY:
-                self.broker.ended(attempt, Outcome.FULL, api.NOTE_PROCESSOR_FULL)
+                self.broker.attempt_ended(attempt, Outcome.FULL, api.NOTE_PROCESSOR_FULL)
             case _:
-                self.broker.ended(attempt, Outcome.ERROR)
+                self.broker.attempt_ended(attempt, Outcome.ERROR)
 
     def request(self, link: PeerConnection, message: Message) -> None:
         """A server ends a call."""
@@ -345,11 +349,11 @@
         outcome = Outcome.OK if cause in (None, avp.LOGOUT) else Outcome.RESET
         if self.broker.recorder.defers(name, link.host, lambda: self.request(link, message)):
             return
-        request = self.broker.find(name)
+        request = self.broker.find_request(name)
         attempt = request.attempt if request is not None else None
         if request is None:
             fresh = name not in self.broker.ended_ids
-            self.broker.over_unknown(name, self.front, outcome)
+            self.broker.unknown_call_ended(name, self.front, outcome)
             result = avp.SUCCESS if fresh else avp.UNKNOWN_SESSION_ID
             self.broker.recorder.barrier(lambda: link.reply(message, result))
         elif attempt is None or attempt.server != link.host:
@@ -359,10 +363,10 @@
             self.broker.recorder.barrier(lambda: link.reply(message, avp.SUCCESS))
 
     def _over(self, link: PeerConnection, request: Request, attempt: Attempt, outcome: Outcome) -> None:
-        if request.state is State.OPEN and attempt.link is not None:
-            self.servers[link.host].out.pop(attempt.link, None)
+        if request.state is State.OPEN and attempt.route_ref is not None:
+            self.servers[link.host].out.pop(attempt.route_ref, None)
             if outcome is Outcome.OK:
-                self.broker.over_unheard(attempt)
+                self.broker.ended_unanswered(attempt)
                 return
             outcome = Outcome.RESET
-        self.broker.ended(attempt, outcome)
+        self.broker.attempt_ended(attempt, outcome)
--- a/frostport/side_diameter.py
+++ b/frostport/diameter_side.py
@@ -13,7 +13,7 @@
 from frostport.diameter.route import DiameterRoute
 from frostport.net import liveness
 from frostport.net.peers import split
-from frostport.sides import Accept, Parts
+from frostport.platform_side import AgentParts, FrontFactory
 
 if TYPE_CHECKING:  # loaded only where a store is set
     from frostport.state.records import Standing
@@ -23,7 +23,7 @@
 class DiameterSide:
     """Diameter on both sides, set up by an operator's file."""
 
-    def __init__(self, agent: Parts) -> None:
+    def __init__(self, agent: AgentParts) -> None:
         config, wanted = agent.config, agent.config.diameter
         assert wanted is not None
         identity = self.identity = Identity(
@@ -55,7 +55,7 @@
         agent.broker.route = self.route
 
     def factory(self) -> Factory:
-        return Accept(self.front.build)
+        return FrontFactory(self.front.build)
 
     def start(self) -> None:
         self.route.start()
@@ -63,37 +63,37 @@
     def reload(self, config: Config) -> None:
         """Nothing of its own changes live."""
 
-    def resume(self, restored: Restored) -> None:
+    def restore(self, restored: Restored) -> None:
         """Goes on with what was on record: this node's state id, peers, sessions, releases owed."""
         if restored.state_id is not None:
             self.identity.state_id = restored.state_id
         for call, standing in restored.standing.items():
-            self.adopt(call, standing)
-        self._sessions_over(restored)
+            self.adopt_call(call, standing)
+        self._restore_ended_sessions(restored)
         self.front.resume(restored.owed, restored.given)
 
-    def adopt(self, call: str, standing: Standing) -> None:
+    def adopt_call(self, call: str, standing: Standing) -> None:
         self.front.resume_session(call, standing.client, standing.team, "stands", standing.answer)
 
-    def _sessions_over(self, restored: Restored) -> None:
+    def _restore_ended_sessions(self, restored: Restored) -> None:
         for call, over in restored.over.items():
             if over.answer != "gone" and call not in self.front.sessions:
                 self.front.resume_session(
                     call, over.client, "", over.answer, over.body, over.ended_by, over.at
                 )
 
-    def take_up(self, restored: Restored) -> None:
-        self._sessions_over(restored)
+    def restore_from_predecessor(self, restored: Restored) -> None:
+        self._restore_ended_sessions(restored)
         self.front.resume(restored.owed, restored.given)
         self.route.resume({}, restored.releases)
 
-    def release(self, restored: Restored) -> None:
+    def restore_owed_releases(self, restored: Restored) -> None:
         self.route.resume(restored.peers, restored.releases)
 
-    def calls(self, server: str) -> bool:
+    def knows_server(self, server: str) -> bool:
         return server in self.route.servers
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         self.route.ending = True
         self.front.disconnect()
         self.route.disconnect()
--- a/frostport/durability.py
+++ b/frostport/durability.py
@@ -27,8 +27,8 @@
 from frostport.store.files import DiskFolder, Folder
 
 if TYPE_CHECKING:
-    from frostport.side_diameter import DiameterSide
-    from frostport.sides import PlatformSide
+    from frostport.diameter_side import DiameterSide
+    from frostport.platform_side import PlatformSide
 
 log = logging.getLogger("frostport.store")
 
@@ -146,9 +146,9 @@
         for call, over in sorted(restored.over.items(), key=lambda item: item[1].at):
             broker.ended_ids[call] = (over.at, over.not_before)
         for address, (server, _, stop_at) in restored.servers.items():
-            broker.rules.resume(address, server.number, stop_at)
-        broker.budgets.resume(restored.budgets)
-        agent.side.resume(restored)
+            broker.rules.restore(address, server.number, stop_at)
+        broker.budgets.restore(restored.budgets)
+        agent.side.restore(restored)
         if restored.state_id is None and (identity := getattr(agent.side, "identity", None)) is not None:
             self.recorder.node(identity.state_id)
         if self.handover is not None:
@@ -157,10 +157,10 @@
 
     def started(self, agent: Joined) -> None:
         """Once the servers are known: releases owed to them; what stood where no server is left is over."""
-        agent.side.release(self.restored)
+        agent.side.restore_owed_releases(self.restored)
         for request in agent.broker.requests:
-            if request.attempt is not None and not agent.side.calls(request.attempt.server):
-                agent.broker.ended(request.attempt, Outcome.RESET)
+            if request.attempt is not None and not agent.side.knows_server(request.attempt.server):
+                agent.broker.attempt_ended(request.attempt, Outcome.RESET)
         log.info(
             "store: %d calls stand, %d ids are known, %d releases owed",
             len(agent.broker.requests),
@@ -197,7 +197,7 @@
 def adopt(agent: Joined, call: str, standing: records.Standing) -> None:
     """While serving: a call that stands in another process."""
     stands(agent, call, standing)
-    agent.side.adopt(call, standing)
+    agent.side.adopt_call(call, standing)
 
 
 def stands(agent: Joined, call: str, standing: records.Standing) -> None:
@@ -212,10 +212,10 @@
         -1,
         standing.team,
         client=standing.client,
-        identity=standing.identity,
+        end_to_end_id=standing.identity,
     )
-    request.state, request.stood_at, request.answer = State.STANDING, standing.at, "stands"
-    request.given, request.attempts = recovery.given(standing), 1
-    request.attempt = Attempt(request, 0, standing.server, standing.at, standing.at, out=False)
+    request.state, request.established_at_ms, request.answer = State.STANDING, standing.at, "stands"
+    request.recorded_answer, request.attempts = recovery.given(standing), 1
+    request.attempt = Attempt(request, 0, standing.server, standing.at, standing.at, pending=False)
     request.slot = agent.broker.requests.add(request)
-    agent.broker.by_id[call] = request.slot
+    agent.broker.slots_by_id[call] = request.slot
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -28,6 +28,7 @@
 from frostport.config_fleet import FleetConfig
 from frostport.core.clock import MonotonicClock
 from frostport.core.deadlines import Deadline, Deadlines
+from frostport.deadline_runner import DeadlineRunner
 from frostport.membership import events as seen
 from frostport.membership.messages import Info, Message, State, Update
 from frostport.membership.settings import Settings as SwimSettings
@@ -37,7 +38,6 @@
 from frostport.net.operator import Operation, OperatorError
 from frostport.net.peers import split
 from frostport.observe.record import FileRecord, NoRecord, Record
-from frostport.pump import Pump
 from frostport.store import committer
 from frostport.store.committer import Committer, ThreadWorker
 from frostport.store.engine import Engine, Limits
@@ -65,7 +65,7 @@
         """`follows`: an upgrade; `refused`: another process of this name is alive. Raises StoreError."""
         self.config, self.reactor, self.refused = config, reactor, refused
         self.clock, self.deadlines = MonotonicClock(), Deadlines()
-        self.pump = Pump(reactor, self.clock, self.deadlines)
+        self.pump = DeadlineRunner(reactor, self.clock, self.deadlines)
         chance = random.Random(secrets.randbits(64))
         incarnation = int(time.time() * 1000.0)
         self.origin = f"{config.agent}/{incarnation:x}"
@@ -238,7 +238,7 @@
             elif (part := self.parts.get(kind)) is not None:
                 part(sender, body)
         except msgspec.MsgspecError as problem:
-            self.link.complaints.say(self.clock.now(), sender, f"{kind}: {problem}")
+            self.link.complaints.warn(self.clock.now(), sender, f"{kind}: {problem}")
 
     # The agreed log
 
--- a/frostport/handover.py
+++ b/frostport/handover.py
@@ -23,7 +23,7 @@
 from typing import TYPE_CHECKING
 
 from frostport.core.calls import State as CallState
-from frostport.core.recorder import Then
+from frostport.core.recorder import Continuation
 from frostport.state import merge, records, recovery
 from frostport.state.records import CALL, Open, Over, Standing
 from frostport.store.engine import Engine, Limits
@@ -106,7 +106,7 @@
         self.there: set[str] = set()  # calls that the old process has open, or has standing and we don't
         self.adopted: set[str] = set()  # calls that stand there, and here as well, or were ended here since
         # By call of `there` and server: what that server said of it here, its end or an answer told again.
-        self.deferred: dict[tuple[str, str], Then] = {}
+        self.deferred: dict[tuple[str, str], Continuation] = {}
 
     def known(self) -> dict[str, bytes]:
         """What the new process starts with beside its own: the list, peers, this node; not the calls."""
@@ -154,7 +154,7 @@
                 log.error("store: can't follow the old process: %s", problem)
             self._go_on()
 
-    def defers(self, call: str, server: str, then: Then) -> bool:
+    def defers(self, call: str, server: str, then: Continuation) -> bool:
         """Takes a server's word on a call that the old process still has open, until it is known there.
 
         Guards against an end that overtakes the answer: that is on record there, or about to be. And against
@@ -181,7 +181,7 @@
         broker, call = self.agent.broker, key.removeprefix(CALL)
         record = None if value is None else records.decode(key, value)[2]
         self.there.discard(call)
-        request = broker.find(call)
+        request = broker.find_request(call)
         match record:
             case Open():
                 if call not in self.adopted:
@@ -198,8 +198,8 @@
                 if call in self.adopted:
                     self.adopted.discard(call)
                     if request is not None and request.state is CallState.STANDING:
-                        broker.disown(request)
-                if isinstance(record, Over) and call not in broker.by_id:
+                        broker.ended_elsewhere(request)
+                if isinstance(record, Over) and call not in broker.slots_by_id:
                     broker.ended_ids[call] = (self.agent.clock.now(), record.not_before)
 
     # Once it has ended
@@ -244,21 +244,21 @@
         for key, value in left.items():
             call = records.split(key)[1].rpartition(records.BETWEEN)[2]
             if key.startswith((records.OWED, records.RELEASE)) or (
-                key.startswith(CALL) and (call in self.there or call not in broker.by_id)
+                key.startswith(CALL) and (call in self.there or call not in broker.slots_by_id)
             ):
                 theirs[key] = value
         restored = recovery.restore(theirs, now, agent.rules.settings.release_guard_ms)
         for call, over in restored.over.items():
-            if call not in broker.by_id:
+            if call not in broker.slots_by_id:
                 guard = broker.ended_ids.get(call, (0.0, 0.0))[1]
                 broker.ended_ids[call] = (over.at, max(over.not_before, guard))
         for call in self.there:
-            if (request := broker.find(call)) is not None:
+            if (request := broker.find_request(call)) is not None:
                 # Its attempt has ended with the old process, now at the latest; if it stands, it is released.
                 request.not_before = now + agent.rules.settings.release_guard_ms
                 if call in restored.standing:
                     restored.releases[restored.standing[call].server, call] = None
-        agent.side.take_up(restored)
+        agent.side.restore_from_predecessor(restored)
         self.there.clear()
         self.adopted.clear()
         assert self.durability.recorder is not None
--- a/frostport/net/bus.py
+++ b/frostport/net/bus.py
@@ -16,7 +16,7 @@
 from frostport import interface as api
 from frostport.core.broker import Broker
 from frostport.core.deadlines import Deadline
-from frostport.core.dialing import EAGER, LIST, Dialing
+from frostport.core.dial_policy import DIAL_AT_ONCE, LIST_SERVICE, DialPolicy
 from frostport.net.jsonl import BadLineError, LineConnection
 from frostport.net.upstream_pool import UpstreamPool
 
@@ -50,7 +50,7 @@
             self.offset = offset
         listed = [entry for entry in self.entries.values() if entry[0].state is not api.Lifecycle.GONE]
         self._hand_on(api.ListKind.PERSISTED, self.version, listed)
-        self.broker.recorder.bus(self.offset, self.version)
+        self.broker.recorder.record_bus_position(self.offset, self.version)
 
     def resume(self, offset: int, version: int, entries: Iterable[tuple[api.Server, str]]) -> None:
         """The list as it was on record: servers and their addresses."""
@@ -81,7 +81,7 @@
 
     def _had(self, offset: int) -> None:
         self.offset = offset
-        self.broker.recorder.bus(offset, self.version)
+        self.broker.recorder.record_bus_position(offset, self.version)
 
     def _hand_on(self, kind: api.ListKind, version: int, entries: list[tuple[api.Server, str]]) -> None:
         log.info(
@@ -95,7 +95,7 @@
             if server.state is not api.Lifecycle.GONE:
                 self.servers.add(server.address, dial, server.started_ms)
         dials = {server.address: dial for server, dial in entries}
-        for host in self.broker.listed(kind, version, [server for server, _ in entries], dials):
+        for host in self.broker.update_server_list(kind, version, [server for server, _ in entries], dials):
             self.entries.pop(host, None)
             self.servers.remove(host)
 
@@ -146,11 +146,11 @@
             raise BadLineError("not JSON") from None
         if isinstance(record, dict):
             self.bus.list.event(record)
-            self.bus.dialing.told(self.bus.list.offset, line)
+            self.bus.dialing.list_event_received(self.bus.list.offset, line)
         elif isinstance(record, bool) or not isinstance(record, int):
             raise BadLineError("neither an event nor a number")
         else:
-            self.bus.dialing.heard()
+            self.bus.dialing.list_unchanged()
 
     def malformed(self, problem: BadLineError) -> None:
         # Guards against an event lost for good: what follows it would be applied, its number passed over.
@@ -175,13 +175,13 @@
         self.clock, self.deadlines = server_list.broker.clock, server_list.broker.deadlines
         self.connection: BusConnection | None = None
         self.slow: BusConnection | None = None  # asked before, silent, and still open: it may yet answer
-        self.dialing: Dialing = EAGER
+        self.dialing: DialPolicy = DIAL_AT_ONCE
         self.under_way: defer.Deferred[object] | None = None
         self._wait: Deadline | None = None  # the next dial, or the end of a silence
 
     def start(self) -> None:
         """At its turn; it may have none, and be started later."""
-        wait = self.dialing.first(LIST)
+        wait = self.dialing.first_delay_ms(LIST_SERVICE)
         if wait <= 0.0:
             self._dial()
         elif wait < math.inf:
@@ -199,14 +199,14 @@
 
         def failed(failure: Failure) -> None:
             if self.connection is connection:
-                self.dialing.failed(LIST)
+                self.dialing.dial_failed(LIST_SERVICE)
                 self._again()
 
         dialing.addErrback(failed)
 
     def _again(self) -> None:
         pause_ms = REDIAL_MS * self.chance.uniform(0.5, 1.0)
-        self._await(self.dialing.again(LIST, pause_ms), self._dial)
+        self._await(self.dialing.redial_delay_ms(LIST_SERVICE, pause_ms), self._dial)
 
     def leave(self) -> None:
         """No connection, and none on its way, until it is started again."""
@@ -239,7 +239,7 @@
             connection.drop()  # it came up after its address was left
             return
         connection.write(b"from %d\n" % self.list.offset)
-        self.dialing.up(LIST)
+        self.dialing.connected(LIST_SERVICE)
         self.heard(connection)
 
     def heard(self, connection: BusConnection) -> None:
@@ -283,5 +283,5 @@
             self.slow = None
         if connection is self.connection:
             log.warning("event bus lost; again from %d", self.list.offset)
-            self.dialing.lost(LIST)
+            self.dialing.connection_lost(LIST_SERVICE)
             self._again()
--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -12,7 +12,7 @@
 from frostport import interface as api
 from frostport.admission.gate import Gate, Seat
 from frostport.core.broker import Broker
-from frostport.core.calls import Body, Given, Request, State, held_until
+from frostport.core.calls import Body, RecordedAnswer, Request, State, held_until
 from frostport.core.deadlines import Deadline
 from frostport.core.lifecycle import Lifecycle
 from frostport.core.slots import Slots
@@ -48,7 +48,7 @@
     slot: int  # the connection it went out on, -1: none
     host: str  # where the call's client connects from
     said_at: float = 0.0
-    given: Given | None = None  # the answer on record, where the client may not have heard it
+    given: RecordedAnswer | None = None  # the answer on record, where the client may not have heard it
     held_until: float = 0.0  # not told before: until then a repeated set-up gets the answer, and this after
 
 
@@ -203,7 +203,7 @@
         self.strikes += 1
         self.front.offended(self)
         named = problem.is_start and problem.tag is not None
-        if named and self.front.broker.find(problem.tag or "") is None:
+        if named and self.front.broker.find_request(problem.tag or "") is None:
             self.say(Message("FINISH", problem.tag or "", rc=jsonl.OVERLOADED))
         if not named or self.lines.ended or self.strikes >= STRIKES:
             self.hang_up()
@@ -225,7 +225,7 @@
             and not self.carries_calls()
             and not self.lines.partial
             and not self._waiting
-            and self.front.lifecycle.emptying()
+            and self.front.lifecycle.closes_idle_connections()
         ):
             self.hang_up()
 
@@ -274,9 +274,9 @@
     return found
 
 
-def repeats(message: Message, given: Given, connection: ClientConnection) -> bool:
+def repeats(message: Message, given: RecordedAnswer, connection: ClientConnection) -> bool:
     """Whether a set-up is the very one that has been answered."""
-    return message.blob is not None and given.repeats(
+    return message.blob is not None and given.matches(
         message.opts.get("class", ""), connection.host, message.blob.encode()
     )
 
@@ -295,7 +295,7 @@
         self.longest_ms = max((cls.deadline_ms for cls in settings.classes), default=0.0)
 
     def serving(self) -> bool:
-        return self.lifecycle.ready()
+        return self.lifecycle.is_ready()
 
     def empty(self) -> None:
         """The agent empties: connections that hold nothing close now, the others once they do."""
@@ -332,7 +332,7 @@
     def offended(self, connection: ClientConnection) -> None:
         now = self.broker.clock.now()
         if self.gate.is_known(connection.host, now):
-            connection.complaints.say(now, connection.peer, f"a known client's, {connection.host}")
+            connection.complaints.warn(now, connection.peer, f"a known client's, {connection.host}")
         self.gate.offends(connection.host, now)
 
     # From clients
@@ -342,16 +342,16 @@
         here or in the process before this one."""
         broker = self.broker
         return (
-            broker.find(call) is None
+            broker.find_request(call) is None
             and call not in broker.ending
             and call not in self.owed
-            and not broker.recorder.elsewhere(call)
+            and not broker.recorder.pending_elsewhere(call)
         )
 
     def start(self, connection: ClientConnection, message: Message) -> None:
         broker, tag, opts = self.broker, message.tag, message.opts
-        broker.recorder.look()
-        if (known := broker.find(tag) or broker.ending.get(tag)) is not None:
+        broker.recorder.refresh()
+        if (known := broker.find_request(tag) or broker.ending.get(tag)) is not None:
             if not self.answered_again(connection, known, message):
                 self.twice(connection, known)
             return
@@ -360,7 +360,7 @@
             return
         name, key = opts.get("class", ""), opts.get("key", "")
         left = jsonl.figures(f"left:{opts.get('left', '')}").get("left", math.nan)
-        if name not in broker.rules.pools:
+        if name not in broker.rules.pools_by_class:
             raise BadLineError(f"opts.class: unknown: {name[:40]!r}")
         if not 0.0 < left <= self.longest_ms * 2.0:
             raise BadLineError("opts.left: no time that a caller could wait")
@@ -368,18 +368,18 @@
             raise BadLineError("opts.key: not 16 hex digits")
         if message.blob is None or len(message.blob.encode()) + len(name) > LONGEST_TEXT:
             raise BadLineError("blob: no description, or one too long to go on")
-        figures = set_up_figures(opts.get("extras", ""), broker.rules.pools[name])
+        figures = set_up_figures(opts.get("extras", ""), broker.rules.pools_by_class[name])
         if (
-            not self.lifecycle.takes()
+            not self.lifecycle.accepts_requests()
             or len(connection.open) >= OPEN_MOST
-            or (self.lifecycle.drains() and connection.carries_calls())
+            or (self.lifecycle.is_draining() and connection.carries_calls())
         ):
-            broker.tally.deferred(name)
+            broker.metrics.deferred(name)
             connection.say(Message("FINISH", tag, rc=jsonl.OVERLOADED))
             return
         team = opts.get("tenant", "-")
         if self.gate.limits.by_team and self.gate.identified(connection.seat, team) is not None:
-            broker.tally.deferred(name)
+            broker.metrics.deferred(name)
             connection.say(Message("FINISH", tag, rc=jsonl.OVERLOADED))
             connection.hang_up()
             return
@@ -396,7 +396,7 @@
         )
         connection.open[tag] = request
         connection.settle()
-        broker.arrive(
+        broker.request_arrived(
             request,
             api.CallArrived(
                 tag,
@@ -412,8 +412,8 @@
 
     def twice(self, connection: ClientConnection, known: Request) -> None:
         """Guards against an id that is open or stands: which one an answer is for, nobody could tell."""
-        connection.complaints.say(self.broker.clock.now(), connection.peer, f"set-up {known.id} came again")
-        if known.front is not self or known.place != connection.slot:
+        connection.complaints.warn(self.broker.clock.now(), connection.peer, f"set-up {known.id} came again")
+        if known.front is not self or known.connection_id != connection.slot:
             connection.say(Message("FINISH", known.id, rc=jsonl.OVERLOADED))
         elif known.state is State.OPEN:
             self.broker.fail(known)
@@ -425,18 +425,18 @@
         It gets that answer, and there is no second set-up; False where this is another set-up, or the
         connection that the answer was given on is still there."""
         if (
-            known.given is None
-            or known.id in getattr(self.connections.get(known.place), "standing", ())
+            known.recorded_answer is None
+            or known.id in getattr(self.connections.get(known.connection_id), "standing", ())
             or known.state is State.OPEN
-            or not repeats(message, known.given, connection)
+            or not repeats(message, known.recorded_answer, connection)
         ):
             return False
-        known.place = connection.slot
+        known.connection_id = connection.slot
         connection.standing.add(known.id)
-        self._answer(connection, known.id, known.given)
+        self._answer(connection, known.id, known.recorded_answer)
         return True
 
-    def _answer(self, connection: ClientConnection, call: str, given: Given) -> None:
+    def _answer(self, connection: ClientConnection, call: str, given: RecordedAnswer) -> None:
         connection.known = True
         connection.say(Message("STARTED", call, blob=str(given.answer)))
 
@@ -459,8 +459,8 @@
 
     def finish(self, connection: ClientConnection, message: Message) -> None:
         """A give-up before the answer, or the release of a call that stands, on any connection."""
-        self.broker.recorder.look()
-        request, answered_on = self.broker.find(message.tag), None
+        self.broker.recorder.refresh()
+        request, answered_on = self.broker.find_request(message.tag), None
         if request is None:
             # Also where a give-up crosses our final answer: there the broker knows the id, and does nothing.
             connection.open.pop(message.tag, None)
@@ -472,7 +472,7 @@
             if request.state is State.OPEN:
                 self.broker.gone(request)
             else:
-                answered_on = self._stood(request.id, request.place)
+                answered_on = self._stood(request.id, request.connection_id)
                 self.broker.release(request)
         self.broker.recorder.barrier(lambda: self._finished(connection, message.tag, answered_on))
 
@@ -504,7 +504,7 @@
             while next(iter(self.failed_ids.values())) < now - KEEP_MS:
                 del self.failed_ids[next(iter(self.failed_ids))]
         self._at(tag, owed, -1)
-        self.broker.recorder.settled(tag)
+        self.broker.recorder.clear_owed_end(tag)
         return True
 
     def lost(self, connection: ClientConnection) -> None:
@@ -527,8 +527,8 @@
 
     # From the broker
 
-    def waits(self, request: Request) -> bool:
-        connection = self.connections.get(request.place)
+    def is_waiting(self, request: Request) -> bool:
+        connection = self.connections.get(request.connection_id)
         return connection is not None and connection.open.get(request.id) is request and not connection.left()
 
     def _answered(self, request: Request) -> ClientConnection | None:
@@ -536,7 +536,7 @@
         afterwards.
 
         Guards against another connection in the same slot: an answer may have waited for its record."""
-        connection = self.connections.get(request.place)
+        connection = self.connections.get(request.connection_id)
         if connection is None or connection.open.get(request.id) is not request:
             return None
         del connection.open[request.id]
@@ -553,17 +553,19 @@
             connection.say(message)
             connection.leave_if_idle()
 
-    def stands(self, request: Request, description: Body) -> None:
+    def call_established(self, request: Request, description: Body) -> None:
         self._say(request, Message("STARTED", request.id, blob=str(description)))
 
-    def refused(self, request: Request, stay_away_ms: float) -> None:
+    def call_refused(self, request: Request, stay_away_ms: float) -> None:
         # The platform's refusal has no field for a time to come back.
         self._say(request, Message("FINISH", request.id, rc=jsonl.OVERLOADED))
 
-    def failed(self, request: Request) -> None:
+    def call_failed(self, request: Request) -> None:
         self._say(request, Message("FINISH", request.id, rc=jsonl.BROKEN))
 
-    def over(self, call: str, place: int, outcome: Outcome, given: Given | None = None) -> None:
+    def call_ended(
+        self, call: str, place: int, outcome: Outcome, given: RecordedAnswer | None = None
+    ) -> None:
         connection, now = self.connections.get(place), self.broker.clock.now()
         answered_on = self._stood(call, place)
         host = connection.host if connection is not None else ""
@@ -576,17 +578,17 @@
             answered_on.leave_if_idle()
         self._watch()
 
-    def _unheard(self, owed: Owed, given: Given, now: float, restarted: bool) -> None:
+    def _unheard(self, owed: Owed, given: RecordedAnswer, now: float, restarted: bool) -> None:
         """Guards a client that waits for the answer of a repeated set-up against hearing the end first.
 
         Without a restart since the answer, the end is told at once: it is the final word then."""
         owed.given = given
-        until = held_until(given.at, now, self.longest_ms)
+        until = held_until(given.recorded_at_ms, now, self.longest_ms)
         if restarted and until > now:
             owed.host, owed.held_until = given.client, until
 
     def resume(
-        self, owed: Mapping[str, tuple[str, Outcome, float]], given: Callable[[str], Given | None]
+        self, owed: Mapping[str, tuple[str, Outcome, float]], given: Callable[[str], RecordedAnswer | None]
     ) -> None:
         """Releases owed since before a restart: client, outcome, since when. Each goes to whoever speaks
         next, unless its answer may not have been heard."""
--- a/frostport/net/gossip.py
+++ b/frostport/net/gossip.py
@@ -11,7 +11,7 @@
 from twisted.internet import protocol
 
 from frostport.core.clock import Clock
-from frostport.core.complaints import Complaints
+from frostport.core.rate_limited_log import RateLimitedLog
 from frostport.membership import messages
 from frostport.membership.messages import BadMessageError, Message
 from frostport.net.peers import split
@@ -58,7 +58,7 @@
         self, seal: Seal, hear: Callable[[str, Message], None], clock: Clock, routes: Mapping[str, str]
     ) -> None:
         self.seal, self.hear, self.clock, self.routes = seal, hear, clock, routes
-        self.complaints = Complaints(log)
+        self.complaints = RateLimitedLog(log)
         self.sent = self.received = self.sent_bytes = self.refused = 0
 
     def send(self, address: str, message: Message) -> None:
@@ -69,14 +69,14 @@
             self.transport.write(data, split(self.routes.get(address, address)))
             self.sent, self.sent_bytes = self.sent + 1, self.sent_bytes + len(data)
         except OSError as problem:  # a datagram may be lost anyway
-            self.complaints.say(self.clock.now(), address, f"datagram lost: {problem}")
+            self.complaints.warn(self.clock.now(), address, f"datagram lost: {problem}")
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
         try:
             message = self.seal.open(datagram)
         except BadMessageError as problem:
             self.refused += 1
-            self.complaints.say(self.clock.now(), addr[0], f"datagram dropped: {problem}")
+            self.complaints.warn(self.clock.now(), addr[0], f"datagram dropped: {problem}")
             return
         self.received += 1
         self.hear(f"{addr[0]}:{addr[1]}", message)
--- a/frostport/net/jsonl.py
+++ b/frostport/net/jsonl.py
@@ -14,8 +14,8 @@
 from twisted.python.failure import Failure
 
 from frostport.core.clock import Clock
-from frostport.core.complaints import Complaints
 from frostport.core.deadlines import Deadline, Deadlines
+from frostport.core.rate_limited_log import RateLimitedLog
 from frostport.net import liveness
 
 log = logging.getLogger("frostport.net")
@@ -145,7 +145,7 @@
 
     peer = "?"
     transport: Any = None
-    complaints = Complaints(log)
+    complaints = RateLimitedLog(log)
     read_ahead = 0  # bytes of lines that may wait while more is read
 
     def __init__(self, clock: Clock, deadlines: Deadlines, longest: int = MAX_LINE) -> None:
@@ -224,7 +224,7 @@
             if line.strip():
                 self.line(line)
         except BadLineError as problem:
-            self.complaints.say(self.clock.now(), self.peer, f"malformed: {problem}")
+            self.complaints.warn(self.clock.now(), self.peer, f"malformed: {problem}")
             self.malformed(problem)
         except Exception:  # a fault in one line costs that line, not the agent
             log.exception("%s: line failed", self.peer)
--- a/frostport/net/link.py
+++ b/frostport/net/link.py
@@ -20,8 +20,8 @@
 from twisted.python.failure import Failure
 
 from frostport.core.clock import Clock
-from frostport.core.complaints import Complaints
 from frostport.core.deadlines import Deadline, Deadlines
+from frostport.core.rate_limited_log import RateLimitedLog
 
 log = logging.getLogger("frostport.link")
 
@@ -142,7 +142,7 @@
                 else:
                     self._first(decode(_first, body))
         except BadFrameError as problem:
-            self.link.complaints.say(self.heard_at, self.name or "a stranger", f"closed: {problem}")
+            self.link.complaints.warn(self.heard_at, self.name or "a stranger", f"closed: {problem}")
             self.drop()
 
     def _first(self, first: First) -> None:
@@ -229,7 +229,7 @@
         self.by_name: dict[str, Connection] = {}
         self.dials: dict[str, Dial] = {}
         self.strangers: set[Connection] = set()
-        self.complaints = Complaints(log)
+        self.complaints = RateLimitedLog(log)
         self.ending = False
         self.sent_bytes = self.refused = 0
         self.deadlines.set(self.clock.now() + BEAT_MS, self._beat)
@@ -328,7 +328,7 @@
         now = self.clock.now()
         for connection in list(self.by_name.values()):
             if now - connection.heard_at > SILENT_MS:
-                self.complaints.say(now, connection.name, "closed: nothing heard")
+                self.complaints.warn(now, connection.name, "closed: nothing heard")
                 connection.drop()
             else:
                 connection.send(framed(BEAT))
--- a/frostport/net/peers.py
+++ b/frostport/net/peers.py
@@ -10,7 +10,7 @@
 from twisted.internet.posixbase import PosixReactorBase
 
 from frostport.core.broker import Broker
-from frostport.core.complaints import Complaints
+from frostport.core.rate_limited_log import RateLimitedLog
 
 log = logging.getLogger("frostport.peers")
 
@@ -50,7 +50,7 @@
     transport: Any = None
 
     def __init__(self, broker: Broker, addresses: list[str]) -> None:
-        self.broker, self.complaints = broker, Complaints(log)
+        self.broker, self.complaints = broker, RateLimitedLog(log)
         self.addresses = [split(address) for address in addresses]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
 
@@ -66,6 +66,6 @@
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
         sender = self.numbers.get((addr[0], addr[1]))
         if sender is None:
-            self.complaints.say(self.broker.clock.now(), addr[0], "message from an unknown address dropped")
+            self.complaints.warn(self.broker.clock.now(), addr[0], "message from an unknown address dropped")
         else:
-            self.broker.told(sender, datagram)
+            self.broker.peer_message_received(sender, datagram)
--- a/frostport/net/upstream.py
+++ b/frostport/net/upstream.py
@@ -14,7 +14,7 @@
 
 from frostport.core.calls import Attempt, State
 from frostport.core.deadlines import Deadline
-from frostport.core.server_liveness import AskForLife, CallsLost, ServerLiveness, Suspected
+from frostport.core.server_liveness import CallsLost, CheckLiveness, ServerLiveness, Suspected
 from frostport.interface import (
     NOTE_NO_LINE,
     NOTE_NUMBER_BUSY,
@@ -128,7 +128,7 @@
 
     def request_connection(self) -> float:
         """A call, a release or a probe needs a connection; how long its dial has to wait."""
-        wait = self.pool.dialing.needed(self.host)
+        wait = self.pool.dialing.on_demand_delay_ms(self.host)
         self.schedule_dial(wait)
         return wait
 
@@ -136,8 +136,8 @@
         """No connection: refused proves that the process is dead, silence proves nothing."""
         refused = isinstance(failure.value, ConnectionRefusedError)
         log.info("%s: no connection: %s", self.host, failure.type.__name__ if failure.type else failure.value)
-        self.broker.tally.avoided(self.host, "connection", True)
-        self.pool.dialing.failed(self.host)
+        self.broker.metrics.set_avoided(self.host, "connection", True)
+        self.pool.dialing.dial_failed(self.host)
         waiting, self.waiting = self.waiting, []
         probes, self.probes = self.probes, []
         if self.connections:  # guards against dialing for each set-up a server that takes no more connections
@@ -149,9 +149,9 @@
             refused_at = self.pool.clock.now()
             self.pool.deadlines.set(refused_at + CUT_MS, lambda: self._process_died(refused_at))
         for attempt in waiting:
-            self.broker.ended(attempt, Outcome.CONNECT_FAILED)
+            self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
         for number in probes:
-            self.broker.probed(number, Outcome.CONNECT_FAILED)
+            self.broker.probe_ended(number, Outcome.CONNECT_FAILED)
         if not self.connections:
             self._again(REDIAL_MS)
         elif self.replacing:
@@ -160,20 +160,20 @@
             self.redial_pause_ms = min(2.0 * self.redial_pause_ms, REDIAL_MOST_MS)
 
     def _process_died(self, refused_at: float) -> None:
-        self.broker.cut(self.host, refused_at, "its process is dead")
+        self.broker.end_established_calls(self.host, refused_at, "its process is dead")
         if self.retired is not None and self.retired.opened_at <= refused_at:
             self._drop_retired()
 
     def _again(self, pause_ms: float) -> None:
-        self.schedule_dial(self.pool.dialing.again(self.host, pause_ms))
+        self.schedule_dial(self.pool.dialing.redial_delay_ms(self.host, pause_ms))
 
     def connection_opened(self, connection: ServerConnection) -> None:
         if not self.listed:
             connection.drop()
             return
         log.info("%s: connected", self.host)
-        self.broker.tally.avoided(self.host, "connection", False)
-        self.pool.dialing.up(self.host)
+        self.broker.metrics.set_avoided(self.host, "connection", False)
+        self.pool.dialing.connected(self.host)
         connection.opened_at = connection.heard_at = connection.reported_at = self.pool.clock.now()
         connection.slot = self.pool.connections.add(connection)
         self.connections.append(connection)
@@ -183,7 +183,7 @@
         self.say_pending_releases(connection)
         waiting, self.waiting = self.waiting, []
         for attempt in waiting:
-            if self.broker.wanted(attempt):
+            if self.broker.may_still_leave(attempt):
                 self.send(attempt)
         probes, self.probes = self.probes, []
         for number in probes:
@@ -193,8 +193,8 @@
         """Releases that waited for a connection go out, unless their calls have begun anew there."""
         pending, self.pending_releases = self.pending_releases, {}
         for tag, cause in pending.items():
-            self.broker.recorder.release_paid(self.host, tag)
-            request = self.broker.find(tag)
+            self.broker.recorder.clear_owed_release(self.host, tag)
+            request = self.broker.find_request(tag)
             if request is None or request.attempt is None or request.attempt.server != self.host:
                 connection.release(tag, cause)
 
@@ -223,7 +223,7 @@
         if (
             connection not in self.connections
             or connection.heard_at < last_heard
-            or not self.broker.calls_stand(self.host)
+            or not self.broker.has_established_calls(self.host)
         ):
             connection.spoilt()
             return
@@ -251,7 +251,7 @@
 
     def _reset(self, out: dict[str, Attempt]) -> None:
         for attempt in out.values():
-            self.broker.ended(attempt, Outcome.RESET)
+            self.broker.attempt_ended(attempt, Outcome.RESET)
 
     def _keep_releases(self, connection: ServerConnection) -> None:
         """Releases that a server had not confirmed when a connection broke are said again on the next."""
@@ -265,12 +265,12 @@
 
     def _release_later(self, tag: str, cause: int) -> None:
         self.pending_releases[tag] = cause
-        self.broker.recorder.release_owed(self.host, tag)
+        self.broker.recorder.record_owed_release(self.host, tag)
 
     def _replace(self, connection: ServerConnection) -> None:
         """Dials again after a loss, also where others are open: on the next connection the server tells again
         what was lost with this one."""
-        self.pool.dialing.lost(self.host)
+        self.pool.dialing.connection_lost(self.host)
         self.replacing = True
         # Guards against a server that closes each new connection at once.
         lasted = self.pool.clock.now() >= connection.opened_at + REDIAL_MS
@@ -294,14 +294,14 @@
 
     def look(self, now_ms: float) -> None:
         """Looks after calls that stand at a server which may have vanished."""
-        if not self.liveness.quiet(now_ms):
+        if not self.liveness.is_quiet(now_ms):
             if self.retired is not None and self.liveness.heard_after(self.retired.heard_at):
                 self._drop_retired()
             return
-        calls_stand = self.broker.calls_stand(self.host)
+        calls_stand = self.broker.has_established_calls(self.host)
         if not calls_stand:
             self._drop_retired()
-        for action in self.liveness.look(now_ms, calls_stand):
+        for action in self.liveness.evaluate(now_ms, calls_stand):
             match action:
                 case Suspected(since_ms):
                     log.warning(
@@ -310,8 +310,8 @@
                         now_ms - since_ms,
                         self.open_connections(),
                     )
-                    self.broker.tally.suspected(self.host)
-                case AskForLife(since_ms):
+                    self.broker.metrics.server_suspected(self.host)
+                case CheckLiveness(since_ms):
                     self.ask_for_life(since_ms)
                 case CallsLost(since_ms, stood_by_ms):
                     self.calls_lost(since_ms, stood_by_ms)
@@ -351,7 +351,7 @@
         silence, now or later."""
         silent_ms = self.pool.clock.now() - since_ms
         log.warning("%s: liveness: suspected -> lost, silent for %.0f ms", self.host, silent_ms)
-        over = self.broker.cut(self.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
+        over = self.broker.end_established_calls(self.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
         old = [at for at in self.connections if at.opened_at <= since_ms]
         for connection in old if self.retired is None else [*old, self.retired]:
             connection.spoilt()
@@ -364,7 +364,7 @@
         """The server is off the list: nothing is sent, no call stands there any more."""
         self.listed = False
         for tag in self.pending_releases:
-            self.broker.recorder.release_paid(self.host, tag)
+            self.broker.recorder.clear_owed_release(self.host, tag)
         self.lag.stop()
         if self.redial is not None:
             self.redial.cancel()
@@ -373,11 +373,11 @@
             self.dialing.cancel()
         waiting, self.waiting = self.waiting, []
         for attempt in waiting:  # guards against one that waits for a dial which is never made
-            self.broker.ended(attempt, Outcome.CONNECT_FAILED)
+            self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
 
     def reset(self, before_ms: float, why: str) -> None:
         """The process that ran before a time is gone: its connections, its set-ups and its calls with it."""
-        self.broker.cut(self.host, before_ms, why)
+        self.broker.end_established_calls(self.host, before_ms, why)
         for connection in [at for at in self.connections if at.opened_at <= before_ms]:
             connection.spoilt()
         if self.retired is not None and self.retired.opened_at <= before_ms:
@@ -386,24 +386,24 @@
     # Sending
 
     def send(self, attempt: Attempt) -> None:
-        request, link = attempt.request, attempt.request.last_link
+        request, link = attempt.request, attempt.request.last_connection_id
         if not self.connections:
             self.waiting.append(attempt)
             if self.request_connection() > self.pool.connect_timeout_ms and attempt in self.waiting:
                 self.waiting.remove(attempt)  # its turn comes too late: another server
-                self.broker.ended(attempt, Outcome.CONNECT_FAILED)
+                self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
             return
         # Guards against second copies of the last attempt's answer: elsewhere they are not this one's.
         chosen = min(self.connections, key=lambda at: (len(at.out) + (at.slot == link), at.opened_at))
         if chosen.out and len(self.connections) < CONNECTIONS_MOST and attempt.sent_at >= self.enough_until:
             self.request_connection()  # the fewer set-ups share a connection, the fewer break with it
-        left = max(1, round(attempt.end_at - self.pool.clock.now()))
+        left = max(1, round(attempt.deadline_at_ms - self.pool.clock.now()))
         opts = {"class": request.call_class, "left": str(left)}
         if request.key:
             opts["key"] = request.key
-        request.last_link = chosen.slot
+        request.last_connection_id = chosen.slot
         if chosen.start(attempt, Message("START", request.id, opts, blob=str(request.description)).encode()):
-            self.broker.tally.sent(request.call_class)
+            self.broker.metrics.sent(request.call_class)
 
     def give_up(self, attempt: Attempt) -> None:
         if attempt in self.waiting:
@@ -451,10 +451,10 @@
                 self.lag.reported(connection)
                 # Each connection brings it: the module hears it once, as from the simulator.
                 if (report := self.report(message)) and connection is self.connections[0]:
-                    self.broker.reported(self.host, report)
+                    self.broker.report_received(self.host, report)
             case "ECHOED":
                 outcome = Outcome.OK if message.rc == 1 else Outcome.FULL
-                self.broker.probed(int(message.tag, 16), outcome, self.report(message))
+                self.broker.probe_ended(int(message.tag, 16), outcome, self.report(message))
             case "ECHO":
                 connection.say(Message("ECHOED", message.tag, rc=1))
             case "FINISHED":
@@ -470,9 +470,9 @@
         ):
             return
         if attempt is not None:
-            self.broker.stood(attempt, message.blob or "")
+            self.broker.call_established(attempt, message.blob or "")
         elif (
-            (request := self.broker.find(message.tag)) is None
+            (request := self.broker.find_request(message.tag)) is None
             or request.attempt is None
             or request.attempt.server != self.host
         ):
@@ -489,27 +489,27 @@
         def confirm() -> None:
             connection.say(Message("FINISHED", message.tag))
 
-        request = self.broker.find(message.tag)
+        request = self.broker.find_request(message.tag)
         if attempt is not None and message.rc == jsonl.NORMAL:
-            self.broker.over_unheard(attempt, self.report(message))
+            self.broker.ended_unanswered(attempt, self.report(message))
         elif attempt is not None:
             note = NOTES.get(message.opts.get("note", ""), 0)
             outcome = BEFORE.get(message.rc or 0, Outcome.ERROR)
-            self.broker.ended(attempt, outcome, note, report=self.report(message))
+            self.broker.attempt_ended(attempt, outcome, note, report=self.report(message))
         elif request is None:
             over = Outcome.OK if message.rc == jsonl.NORMAL else Outcome.RESET
-            self.broker.over_unknown(message.tag, self.pool.front, over)
+            self.broker.unknown_call_ended(message.tag, self.pool.front, over)
         elif request.attempt is not None and request.attempt.server == self.host:
             if request.state is State.STANDING and message.rc in AFTER:
                 over = Outcome.OK if message.rc == jsonl.NORMAL else Outcome.RESET
-                self.broker.ended(request.attempt, over, report=self.report(message))
+                self.broker.attempt_ended(request.attempt, over, report=self.report(message))
             elif (
-                request.attempt.out
-                and request.attempt.link not in (None, connection.slot)
+                request.attempt.pending
+                and request.attempt.route_ref not in (None, connection.slot)
                 and message.rc == jsonl.NORMAL
             ):
                 # A server tells the end on the next connection that opens too, where it may be read before
                 # the answer. On the answer's own it can't be: another word on an earlier attempt.
-                self.broker.over_early(request.attempt, confirm)
+                self.broker.ended_before_answer(request.attempt, confirm)
                 return
         self.broker.recorder.barrier(confirm)
--- a/frostport/net/upstream_connection.py
+++ b/frostport/net/upstream_connection.py
@@ -49,7 +49,7 @@
             self.heard_at = self.clock.now()
             self.server.sign_of_life(self)  # the server closed it
         elif self.alive:
-            self.server.liveness.reset(self.clock.now())
+            self.server.liveness.connection_reset(self.clock.now())
         super().connectionLost(reason)
 
     def closed(self) -> None:
@@ -83,7 +83,7 @@
 
     def start(self, attempt: Attempt, line: bytes) -> bool:
         """Writes a set-up; whether it was written in full to the transport."""
-        attempt.link = self.slot
+        attempt.route_ref = self.slot
         self.out[attempt.request.id] = attempt
         self.sent_in[attempt.request.id] = self.turns
         return self.write(line)
--- a/frostport/net/upstream_pool.py
+++ b/frostport/net/upstream_pool.py
@@ -6,7 +6,7 @@
 
 from frostport.core.broker import Broker
 from frostport.core.calls import Attempt, Front
-from frostport.core.dialing import EAGER, Dialing
+from frostport.core.dial_policy import DIAL_AT_ONCE, DialPolicy
 from frostport.core.liveness_sweep import LivenessSweep
 from frostport.core.slots import Slots
 from frostport.interface import Outcome
@@ -24,7 +24,7 @@
         self.clock, self.deadlines = broker.clock, broker.deadlines
         self.connections: Slots[ServerConnection] = Slots()
         self.members: dict[str, UpstreamServer] = {}
-        self.dialing: Dialing = EAGER
+        self.dialing: DialPolicy = DIAL_AT_ONCE
         self.due: Callable[[int], None] = lambda connections: None  # told how many these may open in all
         self.probes = broker.rules.settings.probes  # whether servers may be tested
         self._sweep = LivenessSweep(self.clock, self.deadlines, self.members.values, UpstreamServer.look)
@@ -44,8 +44,8 @@
             self.due(len(self.members) * CONNECTIONS_MOST)
         if born_ms:
             server.reset(born_ms, "a new process")
-        if not server.connections and self.dialing.wanted(host):
-            server.schedule_dial(self.dialing.first(host))
+        if not server.connections and self.dialing.connects_eagerly(host):
+            server.schedule_dial(self.dialing.first_delay_ms(host))
 
     def remove(self, host: str) -> None:
         server = self.members.pop(host, None)
@@ -59,12 +59,12 @@
             if host in self.members:
                 self.members[host].release(tag, jsonl.NORMAL)
             else:
-                self.broker.recorder.release_paid(host, tag)
+                self.broker.recorder.clear_owed_release(host, tag)
 
     def send(self, attempt: Attempt) -> None:
         server = self.members.get(attempt.server)
         if server is None:
-            self.broker.ended(attempt, Outcome.CONNECT_FAILED)
+            self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
         else:
             server.send(attempt)
 
@@ -83,6 +83,6 @@
     def probe(self, server: str, number: int) -> None:
         member = self.members.get(server)
         if member is None:
-            self.broker.probed(number, Outcome.CONNECT_FAILED)
+            self.broker.probe_ended(number, Outcome.CONNECT_FAILED)
         else:
             member.probe(number)
--- a/frostport/observe/figures.py
+++ b/frostport/observe/statsd.py
@@ -11,13 +11,13 @@
 
 from collections.abc import Iterable
 
-from frostport.core.tally import Tally
+from frostport.core.metrics import Metrics
 
 PREFIX = "app"
 PER_CLASS = ("answered", "deferred", "errored", "sends")
 
 
-class Figures(Tally):
+class StatsdMetrics(Metrics):
     """Counters and gauges, kept as the events come."""
 
     def __init__(self, classes: Iterable[str]) -> None:
@@ -25,7 +25,7 @@
         self.counts: dict[str, dict[str, int]] = {name: dict.fromkeys(classes, 0) for name in PER_CLASS}
         self.current = 0
         self.cluster_size = 0
-        self.avoiding: dict[str, set[str]] = {}  # listed servers avoided now, with the reasons
+        self.avoidance_reasons: dict[str, set[str]] = {}  # listed servers avoided now, with the reasons
         self.calls_cut = 0
         self.servers_suspected = 0
         self.conf_loaded = 0
@@ -35,10 +35,10 @@
         counts = self.counts[name]
         counts[call_class] = counts.get(call_class, 0) + 1
 
-    def taken(self) -> None:
+    def request_started(self) -> None:
         self.current += 1
 
-    def ended(self) -> None:
+    def request_ended(self) -> None:
         self.current -= 1
 
     def answered(self, call_class: str) -> None:
@@ -53,25 +53,25 @@
     def sent(self, call_class: str) -> None:
         self._count("sends", call_class)
 
-    def cut(self, server: str, calls: int) -> None:
+    def count_calls_cut(self, server: str, calls: int) -> None:
         self.calls_cut += calls
 
-    def suspected(self, server: str) -> None:
+    def server_suspected(self, server: str) -> None:
         self.servers_suspected += 1
 
-    def listed(self, size: int) -> None:
+    def set_cluster_size(self, size: int) -> None:
         self.cluster_size = size
 
-    def avoided(self, server: str, reason: str, avoided: bool) -> None:
-        reasons = self.avoiding.setdefault(server, set())
+    def set_avoided(self, server: str, reason: str, avoided: bool) -> None:
+        reasons = self.avoidance_reasons.setdefault(server, set())
         (reasons.add if avoided else reasons.discard)(reason)
         if not reasons:
-            del self.avoiding[server]
+            del self.avoidance_reasons[server]
 
-    def unlisted(self, server: str) -> None:
-        self.avoiding.pop(server, None)
+    def server_removed(self, server: str) -> None:
+        self.avoidance_reasons.pop(server, None)
 
-    def loaded(self, valid: bool) -> None:
+    def configuration_loaded(self, valid: bool) -> None:
         if valid:
             self.conf_loaded += 1
         else:
@@ -87,7 +87,7 @@
         said += [
             f"{PREFIX}.current:{max(0, self.current)}|g",
             f"{PREFIX}.cluster_size:{self.cluster_size}|g",
-            f"{PREFIX}.cluster_unhealthy:{len(self.avoiding)}|g",
+            f"{PREFIX}.cluster_unhealthy:{len(self.avoidance_reasons)}|g",
             f"{PREFIX}.calls_cut:{self.calls_cut}|c",
             f"{PREFIX}.servers_suspected:{self.servers_suspected}|c",
             f"{PREFIX}.conf_loaded:{self.conf_loaded}|c",
--- a/frostport/operations.py
+++ b/frostport/operations.py
@@ -5,17 +5,17 @@
 from collections.abc import Callable
 
 from frostport.core.broker import Broker
-from frostport.core.lifecycle import DRAINS, Lifecycle, Phase
+from frostport.core.lifecycle import DRAINING_PHASES, Lifecycle, Phase
 from frostport.net.operator import Operation, OperatorError, argument
-from frostport.observe.figures import Figures
+from frostport.observe.statsd import StatsdMetrics
 
 
 class Operations:
     """The calls of the door, by name."""
 
-    def __init__(self, broker: Broker, lifecycle: Lifecycle, figures: Figures) -> None:
+    def __init__(self, broker: Broker, lifecycle: Lifecycle, figures: StatsdMetrics) -> None:
         self.broker, self.lifecycle, self.figures = broker, lifecycle, figures
-        self.kept: Callable[[str], str] = lambda name: ""  # why a server ("": this agent) stays out
+        self.why_kept_out: Callable[[str], str] = lambda name: ""  # why a server ("": this agent) stays out
 
     def operations(self) -> dict[str, Operation]:
         return {
@@ -35,9 +35,9 @@
 
     def _rotate(self, rest: str, out: bool, said: str) -> list[str]:
         name = argument(rest)
-        if not out and (why := self.kept(self.broker.rotation.find(name) or name)):
+        if not out and (why := self.why_kept_out(self.broker.rotation.find_address(name) or name)):
             raise OperatorError(why)
-        address = self.broker.rotate(name, out)
+        address = self.broker.set_rotation(name, out)
         if address is None:
             raise OperatorError(f"unknown server {name[:60]!r}")
         return [f"OK {address} {said}"]
@@ -47,13 +47,13 @@
 
     def ready(self, _: str) -> list[str]:
         phase = self.lifecycle.phase
-        return ["OK yes"] if self.lifecycle.ready() else [f"ERR no: {phase.value}"]
+        return ["OK yes"] if self.lifecycle.is_ready() else [f"ERR no: {phase.value}"]
 
     def drain(self, _: str) -> list[str]:
         phase = self.lifecycle.phase
-        if phase in DRAINS:
+        if phase in DRAINING_PHASES:
             return [f"OK {phase.value} already"]
-        if not self.lifecycle.may(Phase.DRAINING):
+        if not self.lifecycle.can_enter(Phase.DRAINING):
             return [f"ERR not while {phase.value}"]
         self.lifecycle.enter(Phase.DRAINING)
         return ["OK draining"]
@@ -62,9 +62,9 @@
         phase = self.lifecycle.phase
         if phase is Phase.SERVING:
             return ["OK serving already"]
-        if why := self.kept(""):
+        if why := self.why_kept_out(""):
             return [f"ERR {why}"]
-        if phase not in DRAINS:
+        if phase not in DRAINING_PHASES:
             return [f"ERR not while {phase.value}"]
         self.lifecycle.enter(Phase.SERVING)
         return ["OK serving"]
--- a/frostport/sides.py
+++ b/frostport/platform_side.py
@@ -30,7 +30,7 @@
 CONNECT_TIMEOUT_MS = 500.0  # where the settings name none
 
 
-class Parts(Protocol):
+class AgentParts(Protocol):
     """What a side is joined to."""
 
     config: Config
@@ -47,7 +47,7 @@
 class PlatformSide:
     """The platform's wires: JSON lines on both sides, the event bus, datagrams."""
 
-    def __init__(self, agent: Parts) -> None:
+    def __init__(self, agent: AgentParts) -> None:
         self.agent, config = agent, agent.config
         self.front = PlatformFront(agent.broker, agent.lifecycle, agent.gate)
         self.servers = UpstreamPool(
@@ -61,7 +61,7 @@
         self.bus = EventBus(self.list, config.bus, agent.connect, random.Random(config.seed))
 
     def factory(self) -> Factory:
-        return Accept(self.front.build)
+        return FrontFactory(self.front.build)
 
     def start(self) -> None:
         agent, config = self.agent, self.agent.config
@@ -69,7 +69,7 @@
             peers = Peers(agent.broker, config.peers)
             listen_peers(agent.reactor, config.peer_listen, peers)
             agent.gate.descriptors.take(Owner.PEERS)
-            agent.broker.tell = peers.tell
+            agent.broker.send_to_peer = peers.tell
         self.list.known(config.known, config.offset)
         self.servers.start()
         self.bus.start()
@@ -77,7 +77,7 @@
     def reload(self, config: Config) -> None:
         self.bus.move(config.bus)
 
-    def resume(self, restored: Restored) -> None:
+    def restore(self, restored: Restored) -> None:
         """Goes on with what was on record: the list, and releases owed to clients."""
         if restored.offset >= 0:
             self.list.resume(
@@ -87,27 +87,27 @@
             )
         self.front.resume(restored.owed, restored.given)
 
-    def release(self, restored: Restored) -> None:
+    def restore_owed_releases(self, restored: Restored) -> None:
         """Releases owed to servers, once these are known."""
         self.servers.resume(restored.releases)
 
-    def adopt(self, call: str, standing: Standing) -> None:
+    def adopt_call(self, call: str, standing: Standing) -> None:
         """A call that stands from before, or elsewhere."""
 
-    def take_up(self, restored: Restored) -> None:
+    def restore_from_predecessor(self, restored: Restored) -> None:
         """While serving: releases that a process before this one still owed."""
         self.front.resume(restored.owed, restored.given)
         self.servers.resume(restored.releases)
 
-    def calls(self, server: str) -> bool:
+    def knows_server(self, server: str) -> bool:
         """Whether this server can still be called."""
         return server in self.servers.members
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """Nothing is said to anyone: calls that stand do so without this program."""
 
 
-class Accept(Factory):
+class FrontFactory(Factory):
     """Hands each accepted connection to a front."""
 
     noisy = False
--- a/frostport/starting.py
+++ b/frostport/starting.py
@@ -17,7 +17,7 @@
 from frostport.core.broker import Broker
 from frostport.core.clock import Clock, MonotonicClock
 from frostport.core.deadlines import Deadlines
-from frostport.core.dialing import LIST, Dialing
+from frostport.core.dial_policy import LIST_SERVICE, DialPolicy
 from frostport.core.lifecycle import Lifecycle, Phase
 from frostport.interface import Lifecycle as Listing
 from frostport.membership.messages import State
@@ -54,7 +54,7 @@
     side: Any
 
 
-class Starting(Dialing):
+class Starting(DialPolicy):
     """Turns, feed and waves of one agent."""
 
     def __init__(self, settings: Settings, name: str, fleet: Fleet | None) -> None:
@@ -133,7 +133,7 @@
         serving = 1 + sum(member.info.phase == Phase.SERVING.value for member in here)
         if serving != self.serving:
             self.serving = serving
-            self._joined.broker.siblings_up(serving)
+            self._joined.broker.set_sibling_count(serving)
         self._feed(
             feeding.Members({member.name: member.info.zone for member in here if member.state is State.ALIVE})
         )
@@ -166,7 +166,7 @@
                 case feeding.Take(events):
                     self._take(events)
                 case feeding.Connect(among):
-                    bus.start_in(self.turns.first(LIST, self.monotonic.now(), among))
+                    bus.start_in(self.turns.first(LIST_SERVICE, self.monotonic.now(), among))
                 case feeding.Disconnect():
                     bus.leave()
         if self.said != (said := f"{feed.role.value} {feed.source}".strip()):
@@ -183,7 +183,7 @@
         message = _messages.decode(body)
         if not isinstance(message, messages.Enough):
             for target, level in message.pressed:
-                if target == LIST or target in self._joined.side.servers.members:
+                if target == LIST_SERVICE or target in self._joined.side.servers.members:
                     self.turns.heard(target, level, self.monotonic.now())
         self.teller = sender
         self._feed(feeding.Heard(sender, message))
@@ -239,26 +239,26 @@
 
     # As the one whom bus and lobby servers ask before they dial
 
-    def wanted(self, target: str) -> bool:
+    def connects_eagerly(self, target: str) -> bool:
         return False  # those that are come from `_choose`
 
-    def first(self, target: str) -> float:
-        if target == LIST and self.fleet is not None:
+    def first_delay_ms(self, target: str) -> float:
+        if target == LIST_SERVICE and self.fleet is not None:
             if self.feed is None or self.feed.role not in (feeding.Role.FEEDING, feeding.Role.ALONE):
                 return float("inf")  # the feed says when
             self._feed(feeding.Down())  # the service has another address: the connection is gone
         return self.turns.first(target, self.monotonic.now())
 
-    def again(self, target: str, pause_ms: float) -> float:
+    def redial_delay_ms(self, target: str, pause_ms: float) -> float:
         return self.turns.again(target, self.monotonic.now())
 
-    def needed(self, target: str) -> float:
+    def on_demand_delay_ms(self, target: str) -> float:
         return self.turns.needed(target, self.monotonic.now())
 
-    def up(self, target: str) -> None:
+    def connected(self, target: str) -> None:
         now = self.up_at[target] = self.monotonic.now()
         self.turns.up(target, now)
-        if target == LIST:
+        if target == LIST_SERVICE:
             self._feed(feeding.Up())
         else:
             # Its answer shows that it serves: one that accepts and never speaks counts for nothing.
@@ -271,22 +271,22 @@
             if connection.heard_at <= connection.opened_at:
                 connection.say(Message("ECHO", "0" * 16, rc=0))
 
-    def failed(self, target: str) -> None:
+    def dial_failed(self, target: str) -> None:
         self.turns.pressed(target, self.monotonic.now())
-        if target == LIST:
+        if target == LIST_SERVICE:
             self._feed(feeding.Down())
 
-    def lost(self, target: str) -> None:
+    def connection_lost(self, target: str) -> None:
         now = self.monotonic.now()
         if now - self.up_at.get(target, now) < AT_ONCE_MS:
             self.turns.pressed(target, now)
-        if target == LIST:
+        if target == LIST_SERVICE:
             self._feed(feeding.Down())
 
-    def heard(self) -> None:
+    def list_unchanged(self) -> None:
         self._feed(feeding.Word())
 
-    def told(self, offset: int, line: bytes) -> None:
+    def list_event_received(self, offset: int, line: bytes) -> None:
         self._heard_of(offset)
         self._feed(feeding.Word(offset, line))
 
@@ -336,7 +336,7 @@
                 self.fleet.phase(PREPARED)
             if ready:
                 self.fleet.record.event("able", waited_ms=round(now - self.waves.began))
-        elif ready and agent.lifecycle.may(Phase.SERVING):
+        elif ready and agent.lifecycle.can_enter(Phase.SERVING):
             agent.lifecycle.enter(Phase.SERVING)
 
     # The door
--- a/frostport/startup/turns.py
+++ b/frostport/startup/turns.py
@@ -11,7 +11,7 @@
 import random
 from dataclasses import dataclass
 
-from frostport.core.dialing import LIST
+from frostport.core.dial_policy import LIST_SERVICE
 from frostport.startup.settings import PRESSURE_HALF_MS, PRESSURE_MOST, Settings
 
 
@@ -50,7 +50,7 @@
 
     def window_ms(self, name: str, now: float) -> float:
         """Over which the fleet's dials of a target are spread."""
-        rate = self.settings.lists_a_second if name == LIST else self.settings.dials_a_second
+        rate = self.settings.lists_a_second if name == LIST_SERVICE else self.settings.dials_a_second
         target = self.targets.get(name)
         among = target.among if target is not None and target.among else self.size
         return min(among, self.size) / rate * 1000.0 * self.pressure(name, now)
--- a/frostport/state/recorder.py
+++ b/frostport/state/recorder.py
@@ -14,9 +14,9 @@
 from typing import Protocol
 
 from frostport import interface as api
-from frostport.core.calls import Attempt, Body, Given, Request
+from frostport.core.calls import Attempt, Body, RecordedAnswer, Request
 from frostport.core.clock import Clock
-from frostport.core.recorder import Recorder, Then
+from frostport.core.recorder import Continuation, Recorder
 from frostport.interface import Outcome
 from frostport.state import records
 from frostport.state.records import BETWEEN, BUDGET, CALL, OWED, PEER, RELEASE, SERVER, Record
@@ -36,7 +36,7 @@
 class Sink(Protocol):
     """Where the records go."""
 
-    def write(self, changes: Sequence[Change], then: Then | None = None) -> None: ...
+    def write(self, changes: Sequence[Change], then: Continuation | None = None) -> None: ...
 
 
 class Other(Protocol):
@@ -46,7 +46,7 @@
 
     def elsewhere(self, call: str) -> bool: ...
 
-    def defers(self, call: str, server: str, then: Then) -> bool: ...
+    def defers(self, call: str, server: str, then: Continuation) -> bool: ...
 
 
 def as_bytes(body: Body) -> bytes:
@@ -63,14 +63,14 @@
         self.trusted = True  # the store answers
         self.room: Callable[[], bool] = lambda: True  # and is not nearly full
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         if self.handover is not None:
             self.handover.look()
 
-    def elsewhere(self, call: str) -> bool:
+    def pending_elsewhere(self, call: str) -> bool:
         return self.handover is not None and self.handover.elsewhere(call)
 
-    def defers(self, call: str, server: str, then: Then) -> bool:
+    def defers(self, call: str, server: str, then: Continuation) -> bool:
         return self.handover is not None and self.handover.defers(call, server, then)
 
     def taken_over(self) -> None:
@@ -80,13 +80,13 @@
             self._drop(CALL + call)
         self._forgotten.clear()
 
-    def takes(self) -> bool:
+    def accepts_calls(self) -> bool:
         return self.trouble is Trouble.SERVE or (self.trusted and self.room())
 
-    def barrier(self, then: Then) -> None:
+    def barrier(self, then: Continuation) -> None:
         self.sink.write((), then)
 
-    def _put(self, key: str, record: Record, then: Then | None = None) -> None:
+    def _put(self, key: str, record: Record, then: Continuation | None = None) -> None:
         self.sink.write(((key, records.encode(record)),), then)
 
     def _drop(self, key: str) -> None:
@@ -103,12 +103,12 @@
             request.call_class,
             request.team,
             request.client,
-            request.identity,
+            request.end_to_end_id,
         )
 
     def _over(self, request: Request, server: str, owed: bool = False) -> records.Over:
         """With the answer where a duplicate may still ask for it: a client that is owed the end, say."""
-        given = request.given
+        given = request.recorded_answer
         if given is None or (isinstance(given.answer, str) and not owed):
             return records.Over(
                 request.answer,
@@ -116,9 +116,9 @@
                 self.clock.now(),
                 request.not_before,
                 request.client,
-                request.identity,
+                request.end_to_end_id,
                 request.ended_by,
-                request.back_ms,
+                request.stay_away_ms,
                 b"",
             )
         return records.Over(
@@ -127,25 +127,25 @@
             self.clock.now(),
             request.not_before,
             request.client,
-            request.identity,
+            request.end_to_end_id,
             request.ended_by,
-            request.back_ms,
+            request.stay_away_ms,
             as_bytes(given.answer),
             isinstance(given.answer, str),
             given.service,
-            given.print,
-            given.at,
+            given.description_crc32,
+            given.recorded_at_ms,
         )
 
-    def sending(self, attempt: Attempt, then: Then) -> None:
+    def record_attempt(self, attempt: Attempt, then: Continuation) -> None:
         self._put(CALL + attempt.request.id, self._open(attempt.request, attempt.server), then)
 
-    def guarded(self, request: Request, server: str) -> None:
+    def record_release_guard(self, request: Request, server: str) -> None:
         record = self._over(request, server) if request.answer else self._open(request, server)
         self._put(CALL + request.id, record)
 
-    def stands(self, request: Request, attempt: Attempt, body: Body, then: Then) -> None:
-        given = request.given = Given(
+    def record_established(self, request: Request, attempt: Attempt, body: Body, then: Continuation) -> None:
+        given = request.recorded_answer = RecordedAnswer(
             request.call_class,
             request.client,
             zlib.crc32(as_bytes(request.description)),
@@ -156,22 +156,22 @@
             CALL + request.id,
             records.Standing(
                 attempt.server,
-                given.at,
+                given.recorded_at_ms,
                 given.service,
                 request.team,
                 given.client,
-                request.identity,
-                given.print,
+                request.end_to_end_id,
+                given.description_crc32,
                 isinstance(body, str),
                 as_bytes(body),
             ),
             then,
         )
 
-    def answered(self, request: Request, server: str, then: Then) -> None:
+    def record_answered(self, request: Request, server: str, then: Continuation) -> None:
         self._put(CALL + request.id, self._over(request, server), then)
 
-    def over(self, request: Request, server: str, outcome: Outcome | None, then: Then) -> None:
+    def record_end(self, request: Request, server: str, outcome: Outcome | None, then: Continuation) -> None:
         record = self._over(request, server, owed=outcome is not None)
         changes: list[Change] = [(CALL + request.id, records.encode(record))]
         if outcome is not None:
@@ -182,19 +182,19 @@
     def _owed(self, client: str, outcome: Outcome) -> bytes:
         return records.encode(records.Owed(client, outcome.value, self.clock.now()))
 
-    def owed(self, call: str, client: str, outcome: Outcome, then: Then) -> None:
+    def record_owed_end(self, call: str, client: str, outcome: Outcome, then: Continuation) -> None:
         self.sink.write(((OWED + call, self._owed(client, outcome)),), then)
 
-    def settled(self, call: str) -> None:
+    def clear_owed_end(self, call: str) -> None:
         self._drop(OWED + call)
 
-    def release_owed(self, server: str, call: str) -> None:
+    def record_owed_release(self, server: str, call: str) -> None:
         self._put(f"{RELEASE}{server}{BETWEEN}{call}", records.Release(self.clock.now()))
 
-    def release_paid(self, server: str, call: str) -> None:
+    def clear_owed_release(self, server: str, call: str) -> None:
         self._drop(f"{RELEASE}{server}{BETWEEN}{call}")
 
-    def forgotten(self, call: str) -> None:
+    def forget_call(self, call: str) -> None:
         if self.handover is not None:
             # Guards against a call that stands in the old process's store, and is over by this record alone.
             self._forgotten.append(call)
@@ -203,13 +203,13 @@
 
     # All else
 
-    def spent(self, team: str, service: str, tokens: float, at: float) -> None:
+    def record_budget(self, team: str, service: str, tokens: float, at: float) -> None:
         self._put(f"{BUDGET}{team}{BETWEEN}{service}", records.Bucket(tokens, at))
 
-    def unspent(self, team: str, service: str) -> None:
+    def clear_budget(self, team: str, service: str) -> None:
         self._drop(f"{BUDGET}{team}{BETWEEN}{service}")
 
-    def listed(self, server: api.Server, dial: str, stop_at: float | None) -> None:
+    def record_server(self, server: api.Server, dial: str, stop_at: float | None) -> None:
         self._put(
             SERVER + server.address,
             records.Listed(
@@ -225,13 +225,13 @@
             ),
         )
 
-    def unlisted(self, address: str) -> None:
+    def forget_server(self, address: str) -> None:
         self._drop(SERVER + address)
 
-    def bus(self, offset: int, version: int) -> None:
+    def record_bus_position(self, offset: int, version: int) -> None:
         self._put(records.BUS, records.Bus(offset, version, self.clock.now()))
 
-    def peer(self, host: str, state_id: int | None, started_ms: float) -> None:
+    def record_peer(self, host: str, state_id: int | None, started_ms: float) -> None:
         self._put(
             PEER + host, records.PeerState(-1 if state_id is None else state_id, started_ms, self.clock.now())
         )
--- a/frostport/state/recovery.py
+++ b/frostport/state/recovery.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from frostport import interface as api
-from frostport.core.calls import Given
+from frostport.core.calls import RecordedAnswer
 from frostport.interface import Lifecycle, Outcome
 from frostport.state import records
 from frostport.state.records import BETWEEN, Over, Standing
@@ -25,7 +25,7 @@
 STANDING_MS = 24 * 3600_000.0  # no call stands longer: what is older was never heard to end
 
 
-def given(record: Standing | Over) -> Given | None:
+def given(record: Standing | Over) -> RecordedAnswer | None:
     """The answer that a client gets which repeats its set-up."""
     if isinstance(record, Standing):
         body, at = record.answer, record.at
@@ -33,7 +33,9 @@
         body, at = record.body, record.answered_at
     else:
         return None
-    return Given(record.service, record.client, record.print, body.decode() if record.text else body, at)
+    return RecordedAnswer(
+        record.service, record.client, record.print, body.decode() if record.text else body, at
+    )
 
 
 @dataclass(slots=True)
@@ -53,7 +55,7 @@
     dropped: list[str] = field(default_factory=list)  # keys that are of no more use: to be deleted
     set_back_ms: float = 0.0  # how far the clock has gone back since the last record
 
-    def given(self, call: str) -> Given | None:
+    def given(self, call: str) -> RecordedAnswer | None:
         """The answer of a call that is over, where its client may not have heard it."""
         return given(self.over[call]) if call in self.over else None
 
--- a/frostport/work.py
+++ b/frostport/work.py
@@ -33,7 +33,7 @@
 from frostport.maintenance.plan import HELD_OUT, Plan, State
 from frostport.membership.messages import State as Seen
 from frostport.net.operator import Operation, OperatorError
-from frostport.observe.figures import Figures
+from frostport.observe.statsd import StatsdMetrics
 
 if TYPE_CHECKING:
     from frostport.fleet import Fleet
@@ -52,7 +52,7 @@
 
     broker: Broker
     lifecycle: Lifecycle
-    figures: Figures
+    figures: StatsdMetrics
     clock: Clock
 
     def empty(self) -> bool: ...
@@ -144,7 +144,7 @@
                     again = self._do(action) or again
         finally:
             self._looking = False
-        self.agent.broker.budgets.share(self.known.share(), self.agent.clock.now())
+        self.agent.broker.budgets.set_scale(self.known.share(), self.agent.clock.now())
 
     def _do(self, action: object) -> bool:
         """Whether something has changed here that the keeper must see at once."""
@@ -161,12 +161,12 @@
                 return False
             case Serve() | Resume() | Drain() | TurnAway():
                 phase = PHASES.get(type(action), Phase.SERVING)
-                if agent.lifecycle.may(phase):
+                if agent.lifecycle.can_enter(phase):
                     agent.lifecycle.enter(phase)
             case HoldOut(server):
-                agent.broker.rotate(server, True)
+                agent.broker.set_rotation(server, True)
             case PutBack(server):
-                agent.broker.rotate(server, False)
+                agent.broker.set_rotation(server, False)
         return True
 
     def _say(self, word: words.Word) -> None:
@@ -181,8 +181,8 @@
         agent, fleet = self.agent, self.fleet
         assert agent is not None
         rotation, rules, now = agent.broker.rotation, agent.broker.rules, agent.clock.now()
-        for server in self.keeper.holding & rotation.last.keys() - rotation.held:
-            agent.broker.rotate(server, True)  # the list had dropped it, and has it again
+        for server in self.keeper.holding & rotation.last_records.keys() - rotation.disabled:
+            agent.broker.set_rotation(server, True)  # the list had dropped it, and has it again
         busy: dict[str, int] = {}
         if plan.held_out():
             for request in agent.broker.requests:
@@ -216,11 +216,11 @@
             frozenset(
                 server
                 for server in self.keeper.holding
-                if server in rules.servers and not rules.drained(server, now)
+                if server in rules.servers and not rules.drained_past_grace(server, now)
             ),
             frozenset(
                 server
-                for server, reasons in agent.figures.avoiding.items()
+                for server, reasons in agent.figures.avoidance_reasons.items()
                 if reasons & {"connection", "operator"}
             ),
             members,
@@ -228,7 +228,7 @@
                 server.address: words.Server(
                     server.address, server.zone, server.nominal, server.state is Listing.READY
                 )
-                for server in rotation.last.values()
+                for server in rotation.last_records.values()
                 if server.state is not Listing.GONE
             },
             agent.able(),
--- a/standins/starts.py
+++ b/standins/starts.py
@@ -13,7 +13,7 @@
 import random
 from collections.abc import Callable, Iterable
 
-from frostport.core.dialing import LIST
+from frostport.core.dial_policy import LIST_SERVICE
 from frostport.startup import feed as feeding
 from frostport.startup.feed import Feed, Role
 from frostport.startup.messages import Message, Told
@@ -121,7 +121,7 @@
 
     def _again(self, target: str) -> None:
         """A connection is lost, or was not to be had."""
-        if target == LIST:
+        if target == LIST_SERVICE:
             self.do(feeding.Down())
             if self.feed.role not in (Role.FEEDING, Role.ALONE):
                 return
@@ -132,12 +132,12 @@
         party = self.site.parties[target]
         if not self.alive() or party.open.get(self.name) != number:
             return
-        if target == LIST and self.feed.role not in (Role.FEEDING, Role.ALONE):
+        if target == LIST_SERVICE and self.feed.role not in (Role.FEEDING, Role.ALONE):
             del party.open[self.name]
             return
         self.connected[target] = number
         self.turns.up(target, self.clock())
-        if target == LIST:
+        if target == LIST_SERVICE:
             self.do(feeding.Up())
             self.heard_list = self.site.now
             done = party.takes(party.work_ms)
@@ -170,12 +170,12 @@
                         self.takes(int(line.split()[-1]))
                         self.do(feeding.Applied(self.offset, line))
                 case feeding.Connect(among):
-                    if LIST not in self.dial_at:
-                        self.dial_in(LIST, self.turns.first(LIST, self.clock(), among))
+                    if LIST_SERVICE not in self.dial_at:
+                        self.dial_in(LIST_SERVICE, self.turns.first(LIST_SERVICE, self.clock(), among))
                 case feeding.Disconnect():
-                    self.dial_at.pop(LIST, None)
-                    self.connected.pop(LIST, None)
-                    self.site.parties[LIST].open.pop(self.name, None)
+                    self.dial_at.pop(LIST_SERVICE, None)
+                    self.connected.pop(LIST_SERVICE, None)
+                    self.site.parties[LIST_SERVICE].open.pop(self.name, None)
 
     def takes(self, offset: int) -> None:
         for each in range(self.offset + 1, offset + 1):
@@ -192,10 +192,10 @@
         if self.site.now < self.frozen_until:
             return
         now = self.clock()
-        if LIST in self.connected and self.site.now - self.heard_list > SILENT_MS:
-            number = self.connected[LIST]
-            self.site.parties[LIST].open.pop(self.name, None)
-            self.broken(LIST, number)
+        if LIST_SERVICE in self.connected and self.site.now - self.heard_list > SILENT_MS:
+            number = self.connected[LIST_SERVICE]
+            self.site.parties[LIST_SERVICE].open.pop(self.name, None)
+            self.broken(LIST_SERVICE, number)
         self.feed.pressed = self.turns.pressures(now)
         if self._learn():
             self.turns.seen(len(self.members) + 1)
@@ -272,7 +272,7 @@
         self.order = itertools.count()
         self.settings = settings or Settings(agents=count)
         self.skew_ms, self.first_offset = skew_ms, offset
-        self.parties = {LIST: Party(self, LIST, 1.0, ask_ms, most_ms)}
+        self.parties = {LIST_SERVICE: Party(self, LIST_SERVICE, 1.0, ask_ms, most_ms)}
         self.servers = [f"h{number}" for number in range(servers)]
         self.parties.update({name: Party(self, name, 1.0, 5.0, most_ms) for name in self.servers})
         self.agents: dict[str, Agent] = {}
@@ -385,23 +385,23 @@
         """One event more; all that are connected are told."""
         self.last += 1
         self.told_at[self.last] = self.now
-        for name, number in list(self.parties[LIST].open.items()):
+        for name, number in list(self.parties[LIST_SERVICE].open.items()):
             self.tell(name, number)
         return self.last
 
     def beat(self) -> None:
         self.after(BEAT_MS, self.beat)
-        for name, number in list(self.parties[LIST].open.items()):
+        for name, number in list(self.parties[LIST_SERVICE].open.items()):
             self.tell(name, number)
 
     def tell(self, name: str, number: int) -> None:
-        party = self.parties[LIST]
+        party = self.parties[LIST_SERVICE]
         if party.mute or not party.up:
             return
 
         def arrive() -> None:
             agent = self.agents.get(name)
-            if agent is None or agent.connected.get(LIST) != number:
+            if agent is None or agent.connected.get(LIST_SERVICE) != number:
                 return
             if self.now < agent.frozen_until:
                 self.at(agent.frozen_until, arrive)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -381,8 +381,8 @@
                 told = {
                     "exit": self.agent.lifecycle.phase is Phase.STOPPED and self.reactor.stopped,
                     f"phase {self.agent.lifecycle.phase.value}": True,
-                    f"stopped {self.agent.rules.stopped.total()}": True,
-                    f"open {self.agent.broker.open}": True,
+                    f"stopped {self.agent.rules.violations.total()}": True,
+                    f"open {self.agent.broker.open_count}": True,
                     f"dials {self.dials}": True,
                 }
                 assert told.get(rest), f"agent is in {told}"
@@ -414,9 +414,9 @@
         except AssertionError as problem:
             raise AssertionError(f"step {number}: {line}: {problem}") from None
     if "expect agent stopped" not in script:
-        assert made.agent.rules.stopped.total() == 0
+        assert made.agent.rules.violations.total() == 0
     slots = {request.slot for request in made.agent.broker.requests}
-    assert slots == set(made.agent.broker.by_id.values())
+    assert slots == set(made.agent.broker.slots_by_id.values())
     return made
 
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -249,7 +249,7 @@
         assert not wire.paused  # it is read on while lines wait, or nobody would hear it
         wire.deliver(give_up)
     world.settle()
-    assert begun(world) == [] and world.agent.broker.open == 0
+    assert begun(world) == [] and world.agent.broker.open_count == 0
     heard = [(said[""], said["tag"]) for said in world.actors["c2"].inbox]
     assert heard.count(("FINISHED", "a")) == 1 and ("FINISH", "a") not in heard
 
@@ -267,7 +267,7 @@
     wire = flood(world, Message("FINISH", "b".zfill(16), rc=16).encode())
     wire.protocol.connectionLost(failure(error.ConnectionLost))
     world.settle()
-    assert begun(world) == [] and world.agent.broker.open == 0
+    assert begun(world) == [] and world.agent.broker.open_count == 0
     world.step("expect s0 FINISH b rc=16")
 
 
@@ -288,7 +288,7 @@
 
 def test_a_request_that_the_module_has_lost_sight_of_is_answered_just_after_its_time() -> None:
     world = play("send c1 ECHO 1 rc=0", platform())
-    world.agent.broker.module = type("Deaf", (), {"handle": lambda self, event, now: []})()
+    world.agent.broker.decision_module = type("Deaf", (), {"handle": lambda self, event, now: []})()
     for line in (
         "expect c1 ECHOED",
         "send c1 START a class=race left=1000",
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -90,13 +90,13 @@
     assert a_second(0.0) == 10
     scales = []
     for number in range(40):
-        budgets.share(1.5 if number < 20 else 1.0, number * 250.0)
+        budgets.set_scale(1.5 if number < 20 else 1.0, number * 250.0)
         scales.append(budgets.scale)
     assert max(abs(one - other) for one, other in itertools.pairwise(scales)) <= 0.0250001
     assert scales[19] == pytest.approx(1.475) and scales[39] < 1.01
-    budgets.share(9.0, 1e9)
+    budgets.set_scale(9.0, 1e9)
     assert budgets.scale == 2.0 and a_second(1e9) == 20  # twice at most
-    budgets.share(0.1, 2e9)
+    budgets.set_scale(0.1, 2e9)
     assert budgets.scale == 1.0
 
 
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -76,11 +76,11 @@
     """,
         record,
     )
-    module: Any = world.agent.broker.module
+    module: Any = world.agent.broker.decision_module
     module.calls["a".zfill(16)].cls = dataclasses.replace(module.classes["race"], effect=Effect.PURE)
     for line in ("send s0 FINISH a rc=41", "wait 2000", "expect s0 nothing", "expect s1 nothing"):
         world.step(line)
-    assert world.agent.rules.stopped["may have run"] > 0
+    assert world.agent.rules.violations["may have run"] > 0
 
 
 def test_settings_name_the_effect_that_they_can_t_read() -> None:
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from frostport.observe.figures import Figures
+from frostport.observe.statsd import StatsdMetrics
 from tests.scenario import World, event, host, lines, platform
 
 
@@ -98,6 +98,6 @@
 
 
 def test_a_class_that_no_setting_names_is_counted_as_it_comes() -> None:
-    made = Figures(["race"])
+    made = StatsdMetrics(["race"])
     made.deferred("other")
     assert "app.deferred.other:1|c" in made.lines() and "app.deferred.race:0|c" in made.lines()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -7,7 +7,7 @@
 from frostport.decide import Controller
 from frostport.net.front import PlatformFront
 from frostport.net.jsonl import LINES_A_TURN
-from frostport.sides import PlatformSide
+from frostport.platform_side import PlatformSide
 from tests.scenario import START_MS, Nobody, Wire, event, host, platform, play
 
 REFUSED_AND_OVER = (
@@ -804,7 +804,7 @@
 
 def test_nothing_is_left_after_churn() -> None:
     world = play("expect c1 nothing", platform())
-    agent, module = world.agent, world.agent.broker.module
+    agent, module = world.agent, world.agent.broker.decision_module
     assert isinstance(agent.side, PlatformSide) and isinstance(module, Controller)
     for number in range(2, 60):
         old, new = host(number % 2, "gone", name=f"h{number - 2}"), host(number % 2, name=f"h{number}")
@@ -829,7 +829,9 @@
     assert set(agent.rules.servers) == set(side.servers.members) == set(side.list.entries) == names
     assert set(module.controls) == names and not module.calls and not module.held
     assert all(control.out == 0 for control in module.controls.values())
-    assert not agent.broker.by_id and not len(agent.broker.requests) and len(agent.broker.ended_ids) == 1
+    assert (
+        not agent.broker.slots_by_id and not len(agent.broker.requests) and len(agent.broker.ended_ids) == 1
+    )
     assert not side.front.owed and len(side.front.connections) == 1
     assert len(side.servers.connections) == sum(
         len(lobby.connections) for lobby in side.servers.members.values()
@@ -850,14 +852,14 @@
 
 def test_an_exception_in_one_call_fails_that_call() -> None:
     world = play("expect c1 nothing", platform())
-    real = world.agent.broker.module.handle
+    real = world.agent.broker.decision_module.handle
 
     def handle(given: object, now: float) -> list[object]:
         if getattr(given, "call", "").endswith("a"):
             raise RuntimeError("a fault of the module")
         return real(given, now)  # type: ignore[arg-type, return-value]
 
-    world.agent.broker.module.handle = handle  # type: ignore[method-assign, assignment]
+    world.agent.broker.decision_module.handle = handle  # type: ignore[method-assign, assignment]
     for line in (
         "send c1 START a class=race left=3000",
         "expect c1 FINISH a rc=41",
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -908,7 +908,7 @@
         PlatformRestarts,
     )
     told = world.agent.rules.servers["h0"]
-    assert told.stop_at == START_MS
+    assert told.closed_since_ms == START_MS
     assert world.agent.durability is not None
     assert not [key for key in world.agent.durability.engine.places if key.startswith("call/")]
 
@@ -1110,8 +1110,8 @@
                 self.say(server, "end", call)
         self.wait(100.0)
         agent = self.world.agent
-        assert not agent.broker.requests and not agent.broker.open
-        assert agent.rules.stopped.total() == 0
+        assert not agent.broker.requests and not agent.broker.open_count
+        assert agent.rules.violations.total() == 0
         self.wait(130_000.0)
         self.waits["ffff"] = "c1"  # one more call: with it, all that ended long ago is forgotten
         self.say("c1", "ask", "ffff", "0")
--- a/tests/test_server_liveness.py
+++ b/tests/test_server_liveness.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from frostport.core.server_liveness import (
-    ANSWER_MS,
-    LOST_MS,
-    PERIOD_MS,
-    QUIET_MS,
-    AskForLife,
+    CALLS_LOST_AFTER_MS,
+    CHECK_PERIOD_MS,
+    CHECK_TIMEOUT_MS,
+    QUIET_AFTER_MS,
     CallsLost,
+    CheckLiveness,
     ServerLiveness,
     Suspected,
 )
@@ -22,8 +22,8 @@
     actions: list[object] = []
     now_ms = begin_ms
     while now_ms <= end_ms:
-        actions += liveness.look(now_ms, calls)
-        now_ms += PERIOD_MS
+        actions += liveness.evaluate(now_ms, calls)
+        now_ms += CHECK_PERIOD_MS
         if any(isinstance(action, CallsLost) for action in actions):
             break
     return actions
@@ -31,20 +31,20 @@
 
 def test_a_silent_server_is_asked_then_suspected_then_its_calls_are_lost_within_the_limit() -> None:
     liveness = ServerLiveness(START_MS)
-    actions = looked(liveness, START_MS, START_MS + TOLD_MS - PERIOD_MS)
+    actions = looked(liveness, START_MS, START_MS + TOLD_MS - CHECK_PERIOD_MS)
     kinds = list(dict.fromkeys(type(action) for action in actions))
-    assert kinds == [AskForLife, Suspected, CallsLost]
+    assert kinds == [CheckLiveness, Suspected, CallsLost]
     assert sum(isinstance(action, Suspected) for action in actions) == 1
-    assert actions[-1] == CallsLost(START_MS, START_MS + LOST_MS)
+    assert actions[-1] == CallsLost(START_MS, START_MS + CALLS_LOST_AFTER_MS)
     assert not liveness.suspected
 
 
 def test_a_server_that_speaks_is_never_asked() -> None:
     liveness = ServerLiveness(START_MS)
-    for now_ms in range(int(START_MS), 60_000, int(QUIET_MS) - 1):
+    for now_ms in range(int(START_MS), 60_000, int(QUIET_AFTER_MS) - 1):
         liveness.heard(now_ms, START_MS)
-        assert not liveness.quiet(now_ms + QUIET_MS - 1.0)
-        assert liveness.look(now_ms + QUIET_MS - 1.0, True) == []
+        assert not liveness.is_quiet(now_ms + QUIET_AFTER_MS - 1.0)
+        assert liveness.evaluate(now_ms + QUIET_AFTER_MS - 1.0, True) == []
 
 
 def test_one_without_standing_calls_is_neither_asked_nor_suspected() -> None:
@@ -53,67 +53,67 @@
 
 def test_an_old_connection_that_speaks_again_keeps_the_calls() -> None:
     liveness = ServerLiveness(START_MS)
-    back_ms = START_MS + LOST_MS - PERIOD_MS
-    looked(liveness, START_MS, back_ms - PERIOD_MS)
+    back_ms = START_MS + CALLS_LOST_AFTER_MS - CHECK_PERIOD_MS
+    looked(liveness, START_MS, back_ms - CHECK_PERIOD_MS)
     assert liveness.suspected
     assert liveness.heard(back_ms, START_MS - 500.0)
-    assert looked(liveness, back_ms, back_ms + QUIET_MS - 1.0) == []
+    assert looked(liveness, back_ms, back_ms + QUIET_AFTER_MS - 1.0) == []
 
 
 def test_a_new_connection_that_speaks_does_not_keep_calls_from_before_the_silence() -> None:
     liveness = ServerLiveness(START_MS)
-    looked(liveness, START_MS, START_MS + QUIET_MS + ANSWER_MS)
+    looked(liveness, START_MS, START_MS + QUIET_AFTER_MS + CHECK_TIMEOUT_MS)
     actions: list[object] = []
-    for now_ms in range(int(START_MS + 4000.0), int(START_MS + TOLD_MS), int(PERIOD_MS)):
+    for now_ms in range(int(START_MS + 4000.0), int(START_MS + TOLD_MS), int(CHECK_PERIOD_MS)):
         assert not liveness.heard(now_ms, START_MS + 3900.0)
-        actions += liveness.look(now_ms, True)
+        actions += liveness.evaluate(now_ms, True)
         if any(isinstance(action, CallsLost) for action in actions):
             break
     lost = actions[-1]
     assert isinstance(lost, CallsLost) and lost.since_ms == START_MS
     # A call that stood just after the last word, which told of it, is in doubt; one that stands by the newer
     # connection's first word is not.
-    assert START_MS + 5.0 < lost.stood_by_ms < START_MS + 4000.0
+    assert START_MS + 5.0 < lost.established_by_ms < START_MS + 4000.0
 
 
 def test_a_pause_of_this_process_is_no_silence_of_the_server() -> None:
     liveness = ServerLiveness(START_MS)
     resumed_ms = START_MS + 20_000.0
-    liveness.paused(resumed_ms)
-    assert liveness.look(resumed_ms, True) == [AskForLife(None)]
+    liveness.process_paused(resumed_ms)
+    assert liveness.evaluate(resumed_ms, True) == [CheckLiveness(None)]
     assert not liveness.suspected
     liveness.heard(resumed_ms + 10.0, START_MS)
-    assert liveness.look(resumed_ms + PERIOD_MS, True) == []
+    assert liveness.evaluate(resumed_ms + CHECK_PERIOD_MS, True) == []
 
 
 def test_a_pause_within_a_suspicion_leaves_time_for_the_answer() -> None:
     liveness = ServerLiveness(START_MS)
-    looked(liveness, START_MS, START_MS + QUIET_MS + ANSWER_MS)
-    resumed_ms = START_MS + LOST_MS + 5000.0
-    liveness.paused(resumed_ms)
-    assert not [action for action in liveness.look(resumed_ms, True) if isinstance(action, CallsLost)]
-    actions = looked(liveness, resumed_ms, resumed_ms + LOST_MS)
+    looked(liveness, START_MS, START_MS + QUIET_AFTER_MS + CHECK_TIMEOUT_MS)
+    resumed_ms = START_MS + CALLS_LOST_AFTER_MS + 5000.0
+    liveness.process_paused(resumed_ms)
+    assert not [action for action in liveness.evaluate(resumed_ms, True) if isinstance(action, CallsLost)]
+    actions = looked(liveness, resumed_ms, resumed_ms + CALLS_LOST_AFTER_MS)
     assert [action.since_ms for action in actions if isinstance(action, CallsLost)] == [START_MS]
 
 
 def test_a_process_that_comes_back_within_the_first_check_does_not_keep_the_calls_of_the_one_before() -> None:
     liveness = ServerLiveness(START_MS)
-    back_ms = START_MS + QUIET_MS + 100.0
+    back_ms = START_MS + QUIET_AFTER_MS + 100.0
     assert not liveness.heard(back_ms, back_ms - 10.0)
     assert liveness.suspected
     lost = looked(liveness, back_ms, START_MS + TOLD_MS)[-1]
-    assert isinstance(lost, CallsLost) and START_MS < lost.stood_by_ms < back_ms
+    assert isinstance(lost, CallsLost) and START_MS < lost.established_by_ms < back_ms
 
 
 def test_where_a_quiet_server_is_asked_by_a_new_connection_its_first_word_is_the_answer() -> None:
     liveness = ServerLiveness(START_MS, old_are_asked=False)
-    answered_ms = START_MS + QUIET_MS + 100.0
+    answered_ms = START_MS + QUIET_AFTER_MS + 100.0
     liveness.heard(answered_ms, answered_ms - 10.0)
     assert not liveness.suspected
 
 
 def test_a_reset_after_a_silence_leaves_the_calls_in_doubt_and_one_without_does_not() -> None:
-    for silent_ms in (QUIET_MS, QUIET_MS - 1.0):
+    for silent_ms in (QUIET_AFTER_MS, QUIET_AFTER_MS - 1.0):
         liveness = ServerLiveness(START_MS, old_are_asked=False)
-        liveness.reset(START_MS + silent_ms)
-        assert liveness.suspected is (silent_ms >= QUIET_MS)
+        liveness.connection_reset(START_MS + silent_ms)
+        assert liveness.suspected is (silent_ms >= QUIET_AFTER_MS)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -7,7 +7,7 @@
 import pytest
 
 from frostport.core.lifecycle import Phase
-from frostport.core.shutdown import RESTART_MOST_MS, UPGRADE_MOST_MS, schedule
+from frostport.core.shutdown import MAX_RESTART_DEADLINE_MS, MAX_UPGRADE_DEADLINE_MS, schedule
 from tests.scenario import platform, play
 
 OUT = """
@@ -25,20 +25,20 @@
 @pytest.mark.parametrize(
     ("longest", "most", "kill"),
     [
-        (100.0, RESTART_MOST_MS, 800.0),
-        (1100.0, RESTART_MOST_MS, 1800.0),
-        (3000.0, RESTART_MOST_MS, 3700.0),
-        (9000.0, RESTART_MOST_MS, 3700.0),
-        (9000.0, UPGRADE_MOST_MS, 5700.0),
-        (250.0, UPGRADE_MOST_MS, 950.0),
+        (100.0, MAX_RESTART_DEADLINE_MS, 800.0),
+        (1100.0, MAX_RESTART_DEADLINE_MS, 1800.0),
+        (3000.0, MAX_RESTART_DEADLINE_MS, 3700.0),
+        (9000.0, MAX_RESTART_DEADLINE_MS, 3700.0),
+        (9000.0, MAX_UPGRADE_DEADLINE_MS, 5700.0),
+        (250.0, MAX_UPGRADE_DEADLINE_MS, 950.0),
     ],
 )
 def test_all_is_done_before_sigkill_and_what_comes_by_then_is_taken(
     longest: float, most: float, kill: float
 ) -> None:
     plan = schedule([50.0, longest], most)
-    assert 600.0 <= plan.take_ms <= plan.answer_ms < plan.exit_ms < kill
-    assert plan.answer_ms >= kill - 250.0  # nothing is given up long before it has to be
+    assert 600.0 <= plan.accept_until_ms <= plan.answer_by_ms < plan.exit_by_ms < kill
+    assert plan.answer_by_ms >= kill - 250.0  # nothing is given up long before it has to be
 
 
 SHORT = {
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -108,12 +108,12 @@
     """,
         record,
     )
-    request = world.agent.broker.find("a".zfill(16))
+    request = world.agent.broker.find_request("a".zfill(16))
     assert request is not None and request.attempts == 1
     world.wait(60.0)  # the guard, a tick of its own, and the module's beat
     assert request.attempts == 2 and world.agent.rules.settings.try_limit == most
     world.wait(longest)
-    assert request.state.value == "over" and world.agent.rules.stopped.total() == 0
+    assert request.state.value == "over" and world.agent.rules.violations.total() == 0
     kill = min(longest, 3000.0) + 700.0
     play(
         f"""
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -18,7 +18,7 @@
 
 from frostport import config_startup
 from frostport.config import ConfigError
-from frostport.core.dialing import LIST
+from frostport.core.dial_policy import LIST_SERVICE
 from frostport.starting import Starting
 from frostport.startup import feed as feeding
 from frostport.startup.feed import Feed, Role
@@ -50,7 +50,7 @@
     """Nothing collapsed, and nobody was rushed."""
     assert site.collapsed() == []
     for name, party in site.parties.items():
-        most = 10 if name == LIST else 25
+        most = 10 if name == LIST_SERVICE else 25
         assert busiest([at for at in party.accepted if at >= since]) <= most, name
 
 
@@ -79,7 +79,7 @@
     site.run(max(20_000.0, 100.0 * site.count))  # at 80 a second, with gaps that have grown
     spared(site, began)
     assert all(set(site.servers) <= agent.connected.keys() for agent in site.agents.values())
-    assert sum(at >= began for at in site.parties[LIST].accepted) <= 20
+    assert sum(at >= began for at in site.parties[LIST_SERVICE].accepted) <= 20
     heard(site)
 
 
@@ -87,9 +87,9 @@
     """It returns, and dies again; its first return brings few enough."""
     all_serve(site, 20_000.0)
     for _ in range(3):
-        site.parties[LIST].away()
+        site.parties[LIST_SERVICE].away()
         site.run(5000.0)
-        site.parties[LIST].back()
+        site.parties[LIST_SERVICE].back()
         site.run(1000.0)
     site.run(15_000.0)
     heard(site)
@@ -379,11 +379,11 @@
     fleet: Any = SimpleNamespace(record=SimpleNamespace(event=lambda what, **more: said.append(what)))
     part = Starting(Settings(agents=4), "a", fleet)
     part.agent = SimpleNamespace(side=SimpleNamespace(bus=None))
-    assert part.first(LIST) == float("inf")  # before the feed has begun
+    assert part.first_delay_ms(LIST_SERVICE) == float("inf")  # before the feed has begun
     part.feed = Feed("a", "z", 0, Settings(agents=4), 0.0)
-    assert part.first(LIST) == float("inf")
+    assert part.first_delay_ms(LIST_SERVICE) == float("inf")
     part.feed.first, part.feed.role, part.feed.here = True, Role.FEEDING, True
-    assert part.first(LIST) < float("inf") and not part.feed.here and part.feed.dialling
+    assert part.first_delay_ms(LIST_SERVICE) < float("inf") and not part.feed.here and part.feed.dialling
 
 
 # The configuration
--- a/trials/planted.py
+++ b/trials/planted.py
@@ -36,9 +36,9 @@
 
 def drain_ignored() -> None:
     """A server that drains counts as ready until it is gone."""
-    real: Any = Broker.listed
+    real: Any = Broker.update_server_list
 
-    def listed(
+    def update_server_list(
         self: Broker, kind: api.ListKind, version: int, servers: Iterable[api.Server], dials: Any = None
     ) -> Any:
         shown = [
@@ -49,32 +49,32 @@
         ]
         return real(self, kind, version, shown, dials)
 
-    setattr(Broker, "listed", listed)  # noqa: B010
+    setattr(Broker, "update_server_list", update_server_list)  # noqa: B010
 
 
 def answer_twice() -> None:
     """An answer is said twice to its client."""
-    real: Any = PlatformFront.stands
+    real: Any = PlatformFront.call_established
 
-    def stands(self: PlatformFront, request: Any, description: Any) -> None:
+    def call_established(self: PlatformFront, request: Any, description: Any) -> None:
         connection = self.connections.get(request.place)
         real(self, request, description)
         if connection is not None:
             connection.open[request.id] = request
             real(self, request, description)
 
-    setattr(PlatformFront, "stands", stands)  # noqa: B010
+    setattr(PlatformFront, "call_established", call_established)  # noqa: B010
 
 
 def attempts_for_the_gone() -> None:
     """A client that has closed or cancelled is still served."""
     setattr(Broker, "gone", lambda self, request: None)  # noqa: B010
-    setattr(PlatformFront, "waits", lambda self, request: True)  # noqa: B010
+    setattr(PlatformFront, "is_waiting", lambda self, request: True)  # noqa: B010
 
 
 def silence_ignored() -> None:
     """Nobody looks after servers that have fallen silent."""
-    setattr(LivenessSweep, "look", lambda self: None)  # noqa: B010
+    setattr(LivenessSweep, "sweep", lambda self: None)  # noqa: B010
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
