--- a/frostport/core/broker.py
+++ b/frostport/core/broker.py
@@ -1,7 +1,7 @@
-"""The broker: requests, their attempts and outcomes, and one final answer each.
+"""The broker: owns the requests of a call agent, their attempts, and the one final answer of each.
 
-It feeds the decision module the events that the simulator would, in the same order, and carries out
-what the module asks for through a front (towards clients) and a route (towards servers).
+It passes events to the decision module in the order in which the simulator would, and carries out the
+actions that the module returns through a front (towards clients) and a route (towards servers).
 """
 
 from __future__ import annotations
@@ -26,45 +26,49 @@
 
 log = logging.getLogger("frostport.broker")
 
-ENDED_ID_RETENTION_MS = (
-    60_000.0  # how long an ended call's id is known: releases may be repeated on later connections
-)
-MAX_ENDED_IDS = 20_000  # and how many of them
-UNKNOWN_RELEASE_BURST, UNKNOWN_RELEASES_PER_SECOND = (
-    200.0,
-    50.0,
-)  # releases of unknown ids passed on: at once, and a second
-UNRECORDABLE_STAY_AWAY_MS = 1000.0  # how long a call that can't be put on record is told to stay away
-OVERDUE_GRACE_MS = (
-    10.0  # a request still open this long after its caller's time gets its answer from the broker
-)
+# Ids of ended calls are kept this long, since clients may repeat a release on a later connection.
+ENDED_ID_RETENTION_MS = 60_000.0
+MAX_ENDED_IDS = 20_000
+# Token bucket for releases of unknown ids: each one is passed on to every server.
+UNKNOWN_RELEASE_BURST, UNKNOWN_RELEASES_PER_SECOND = 200.0, 50.0
+UNRECORDABLE_STAY_AWAY_MS = 1000.0  # stay-away time of a call refused because the store can't record it
+OVERDUE_GRACE_MS = 10.0  # the broker fails a request that is still open this long after its deadline
 
 
 class DecisionModule(Protocol):
-    """The decision module."""
+    """Decides on every event; `decide.Controller` implements it."""
 
-    def handle(self, event: api.Event, now_ms: float) -> list[api.Action]: ...
+    def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
+        """Takes one event and returns the actions to perform, in order."""
 
 
 class Route(Protocol):
-    """What the broker asks of the servers' side; outcomes come back to the broker's methods."""
+    """The connections to the servers, as the broker uses them.
 
-    def send(self, attempt: Attempt) -> None: ...
+    Outcomes are reported through the broker's methods, such as `call_established` and `attempt_ended`."""
+
+    def send(self, attempt: Attempt) -> None:
+        """Sends the set-up to `attempt.server`, over a new connection if there is none."""
 
     def give_up(self, attempt: Attempt) -> None:
-        """The attempt is no longer waited for."""
+        """Cancels a pending attempt: its outcome no longer matters to the broker."""
 
     def release(self, attempt: Attempt) -> None:
-        """The call that stands on this attempt is over at the client's side."""
+        """Releases the call that this attempt established: its client has ended it."""
 
     def release_unknown(self, call: str) -> None:
-        """A client ended a call set up before this program's start: only the servers know where it stands."""
+        """Releases a call that was set up before this process started; its server is not known here."""
 
-    def probe(self, server: str, number: int) -> None: ...
+    def probe(self, server: str, number: int) -> None:
+        """Asks a server for a report; the result goes to `Broker.probe_ended` under `number`."""
 
 
 class Broker:
-    """The calls of one call agent."""
+    """Owns the requests of one call agent.
+
+    A request is open until it has its final answer. Each open request has at most one pending attempt, and
+    gets exactly one of the answers `call_established`, `call_refused` or `call_failed` of its front, unless
+    its client gives up first. An effect leaves the process only after the recorder has recorded it."""
 
     def __init__(
         self,
@@ -78,37 +82,35 @@
         self.decision_module, self.rules, self.clock, self.deadlines = module, rules, clock, deadlines
         self.probe_timeout_ms, self.budgets = probe_timeout_ms, budgets or Budgets()
         self.recorder = Recorder()
-        self.metrics = Metrics()  # the figures
-        self.rotation = Rotation()  # servers that operators took out
+        self.metrics = Metrics()
+        self.rotation = Rotation()
         self.send_to_peer: Callable[[int, bytes], None] = lambda peer, data: None
         self.route: Route | None = None
         self.requests: Slots[Request] = Slots()
         self.slots_by_id: dict[str, int] = {}
-        self.ended_ids: OrderedDict[str, tuple[float, float]] = OrderedDict()  # ended at, not again before
-        self.ending: dict[str, Request] = {}  # ended by their servers, and the end not on record yet
+        self.ended_ids: OrderedDict[str, tuple[float, float]] = OrderedDict()  # ended at, no retry before
+        self.ending: dict[str, Request] = {}  # ended by their servers, the end not recorded yet
         self.open_count = 0
-        self.on_idle: Callable[[], None] = lambda: None  # called when the last open request is answered
-        self._unknown_release_tokens, self._unknown_release_tokens_at = (
-            UNKNOWN_RELEASE_BURST,
-            0.0,
-        )  # releases of unknown ids that may still go on
+        self.on_idle: Callable[[], None] = lambda: None  # called when the last open request has ended
+        self._release_tokens, self._release_tokens_at = UNKNOWN_RELEASE_BURST, 0.0
         self._probes: dict[int, tuple[str, float]] = {}
         self._probe_number = 0
         self._events: deque[tuple[api.Event, Request | None]] = deque()
         self._dispatching = False
 
-    # From the front
+    # Events from the front and from the fleet
 
     def set_sibling_count(self, count: int) -> None:
-        """How many call agents serve, with this one."""
+        """Sets the number of call agents in service, this one included."""
         self._dispatch(api.SiblingsUp(count))
 
     def find_request(self, call: str) -> Request | None:
+        """Returns the request of this id that is open or whose call is established."""
         slot = self.slots_by_id.get(call)
         return None if slot is None else self.requests.get(slot)
 
     def request_arrived(self, request: Request, event: api.CallArrived) -> None:
-        """A new request; its id is not one of those open or standing."""
+        """Takes a new request; its id must not belong to an open request or an established call."""
         request.slot = self.requests.add(request)
         self.slots_by_id[request.id] = request.slot
         _, request.not_before = self.ended_ids.pop(request.id, (0.0, 0.0))
@@ -132,8 +134,8 @@
             request.deadline_at_ms + OVERDUE_GRACE_MS, lambda: self._answer_overdue(request)
         )
         if now < request.not_before:
-            # Guards against a call that comes again on a new connection while its last attempt's release
-            # is still awaited: the module doesn't know that it is the same call.
+            # A client may repeat a call on a new connection within the release guard of its last attempt.
+            # The decision module doesn't know that it is the same call, so the event waits here.
             self.deadlines.set(request.not_before, lambda: self._dispatch_delayed(event, request))
         else:
             self._dispatch(event, request)
@@ -148,20 +150,23 @@
             self._dispatch(dataclasses.replace(event, budget_ms=left), request)
 
     def _guard_other_process(self, request: Request) -> bool:
-        """Guards against a second attempt while a process that hands over may have one out: the guard runs
-        anew."""
+        """Restarts the release guard while another process may have a pending attempt of this call.
+
+        During a handover, a second attempt could otherwise run beside that of the old process."""
         if not self.recorder.pending_elsewhere(request.id):
             return False
         request.not_before = self.clock.now() + self.rules.settings.release_guard_ms
         return True
 
     def ended_elsewhere(self, request: Request) -> None:
-        """A call that stands has been ended by another process, which tells all who must know."""
+        """Drops an established call that another process has ended.
+
+        That process notifies the client and the server."""
         request.attempt = None
         self._close_request(request)
 
     def gone(self, request: Request) -> None:
-        """The client no longer waits for the answer."""
+        """The client of an open request has closed its connection or given up: cancels the attempt."""
         if request.state is not State.OPEN:
             return
         request.answer = "gone"
@@ -171,44 +176,45 @@
         self._cancel_attempt(request)
 
     def fail(self, request: Request) -> None:
-        """Answers a call without the module, which is told that nothing is owed any more."""
+        """Fails an open request without the decision module, which only learns that the request is gone."""
         if request.state is State.OPEN:
             self._fail(request)
             self._dispatch(api.CallGone(request.id), request)
 
     def release(self, request: Request) -> None:
-        """The client ends a call that stands."""
+        """The client releases an established call."""
         attempt = request.attempt
-        if request.state is not State.STANDING or attempt is None:
+        if request.state is not State.ESTABLISHED or attempt is None:
             return
         self._close_request(request)
         self.recorder.record_end(request, attempt.server, None, lambda: self._route().release(attempt))
         self._end_attempt(attempt, Outcome.CANCELLED)
 
     def release_unknown(self, call: str) -> None:
-        """A client's release of an id not known here; one that ended lately has been released already."""
+        """A client releases an id that is not known here; a recently ended one has been released already."""
         now = self.clock.now()
-        came = (now - self._unknown_release_tokens_at) / 1000.0 * UNKNOWN_RELEASES_PER_SECOND
-        self._unknown_release_tokens, self._unknown_release_tokens_at = (
-            min(UNKNOWN_RELEASE_BURST, self._unknown_release_tokens + came),
+        refill = (now - self._release_tokens_at) / 1000.0 * UNKNOWN_RELEASES_PER_SECOND
+        self._release_tokens, self._release_tokens_at = (
+            min(UNKNOWN_RELEASE_BURST, self._release_tokens + refill),
             now,
         )
-        if call not in self.ended_ids and self._unknown_release_tokens >= 1.0:
-            # Guards the servers against clients that make ids up: each goes to all of them.
-            self._unknown_release_tokens -= 1.0
+        if call not in self.ended_ids and self._release_tokens >= 1.0:
+            # The bucket protects the servers from clients that make up ids: each release goes to all servers.
+            self._release_tokens -= 1.0
             self._remember_ended(call, 0.0)
             self._route().release_unknown(call)
 
-    # From the route
+    # Events from the route
 
     def call_established(self, attempt: Attempt, description: Body) -> None:
+        """The server has accepted the set-up: records the call, then answers its client."""
         request, now = attempt.request, self.clock.now()
         if not attempt.pending or request.state is not State.OPEN:
             return
         self._stop_waiting(attempt)
         self._count_answered(request)
         self.metrics.answered(request.call_class)
-        request.state, request.established_at_ms = State.STANDING, now
+        request.state, request.established_at_ms = State.ESTABLISHED, now
         request.answer = "stands"
         self.recorder.record_established(
             request, attempt, description, lambda: request.front.call_established(request, description)
@@ -218,7 +224,8 @@
         )
         if attempt.confirm_end is not None:
             self.attempt_ended(attempt, Outcome.OK)
-            # Guards against the end of an earlier attempt, told again: nothing is left standing there.
+            # The early end may be the repeated end of an earlier attempt: the release makes sure that no call
+            # stays established at the server.
             self.recorder.barrier(lambda: self._route().release(attempt))
 
     def attempt_ended(
@@ -229,11 +236,13 @@
         wait_ms: float = 0.0,
         report: tuple[float, ...] = (),
     ) -> None:
-        """An attempt that is out has failed, or the call that stands on it has come to its end."""
+        """A pending attempt has failed, or its server has ended the call that it established.
+
+        `note`, `wait_ms` and `report` go to the decision module with `api.AttemptEnded`."""
         request = attempt.request
         if request.attempt is not attempt:
             return
-        if request.state is State.STANDING:
+        if request.state is State.ESTABLISHED:
             self._close_request(request)
             self.ending[request.id] = request
             self.recorder.record_end(
@@ -242,21 +251,22 @@
         self._end_attempt(attempt, outcome, note, wait_ms, report)
 
     def _tell_client_of_end(self, request: Request, outcome: Outcome) -> None:
-        """The end is on record: now its client may hear it."""
+        """Called once the end is recorded."""
         self.ending.pop(request.id, None)
         request.front.call_ended(request.id, request.connection_id, outcome, request.recorded_answer)
 
     def ended_before_answer(self, attempt: Attempt, confirm: Callable[[], object]) -> None:
-        """A call has come to its end at its server; its answer is still on its way, on another connection.
+        """The server has ended a call whose answer is still in transit on another connection.
 
-        Guards against a call that stands for ever: the end is told and confirmed once. It counts once the
-        answer is heard; an attempt that ends without one ran, and has failed. `confirm` waits for either."""
+        The server reports and expects confirmation of an end only once, so a lost end would leave the call
+        established for ever. The end takes effect when the answer arrives; an attempt that ends without an
+        answer has run, and fails. `confirm` is called after either."""
         attempt.confirm_end = confirm
 
     def ended_unanswered(self, attempt: Attempt, report: tuple[float, ...] = ()) -> None:
-        """A call has come to its end at its server, and its answer was never heard: it ran, and has failed.
+        """The server has ended a call whose answer never arrived: the attempt has run, and fails.
 
-        Guards against sending it again: the server has ended the id, and would never tell of a second end."""
+        The call must not be sent again: the server has ended this id and would not report a second end."""
         request = attempt.request
         if request.attempt is attempt and request.state is State.OPEN:
             request.answer = "failed"
@@ -266,31 +276,33 @@
             self._end_attempt(attempt, Outcome.RESET, report=report)
 
     def unknown_call_ended(self, call: str, front: Front, outcome: Outcome) -> None:
-        """A server's release of an id not known here: a call set up before this program's start."""
+        """A server releases an id not known here: a call that was set up before this process started."""
         if call not in self.ended_ids:
             self._remember_ended(call, 0.0)
             self.recorder.record_owed_end(call, "", outcome, lambda: front.call_ended(call, -1, outcome))
 
     def has_established_calls(self, server: str) -> bool:
-        """Whether any call stands at this server."""
+        """Whether any call is established at this server."""
         return any(
-            request.state is State.STANDING
+            request.state is State.ESTABLISHED
             and request.attempt is not None
             and request.attempt.server == server
             for request in self.requests
         )
 
-    def end_established_calls(self, server: str, before_ms: float, why: str) -> list[str]:
-        """The calls that stood at a server since before a time are over; returns their ids."""
-        over = [
+    def end_established_calls(self, server: str, before_ms: float, reason: str) -> list[str]:
+        """Ends the calls established at a server no later than `before_ms`, and returns their ids.
+
+        For calls that are lost without a message from their server. `reason` goes into the log."""
+        lost = [
             request
             for request in self.requests
-            if request.state is State.STANDING
+            if request.state is State.ESTABLISHED
             and request.attempt is not None
             and request.attempt.server == server
             and request.established_at_ms <= before_ms
         ]
-        for request in over:
+        for request in lost:
             assert request.attempt is not None
             log.info(
                 "call %s over: cut at %s, attempt %d, stood for %.0f ms: %s",
@@ -298,22 +310,23 @@
                 server,
                 request.attempt.number,
                 self.clock.now() - request.established_at_ms,
-                why,
+                reason,
             )
             self.attempt_ended(request.attempt, Outcome.RESET)
-        if over:
-            log.info("%s: %d calls cut: %s", server, len(over), why)
-            self.metrics.count_calls_cut(server, len(over))
-        return [request.id for request in over]
+        if lost:
+            log.info("%s: %d calls cut: %s", server, len(lost), reason)
+            self.metrics.count_calls_cut(server, len(lost))
+        return [request.id for request in lost]
 
     def report_received(self, server: str, report: tuple[float, ...]) -> None:
-        """A report that came unasked."""
+        """A server has sent a report without being probed."""
         self._dispatch(api.ServerReport(server, Outcome.OK, 0.0, report))
 
     def probe_ended(self, number: int, outcome: Outcome, report: tuple[float, ...] = ()) -> None:
+        """The probe `number` was answered, or has failed with `outcome`. Unknown numbers are ignored."""
         if number in self._probes:
             server, sent_at = self._probes.pop(number)
-            # Guards against a clock that stands still: 0 would mark a report that came unasked.
+            # An elapsed time of 0 marks an unsolicited report, and the clock may stand still.
             elapsed = max(0.001, self.clock.now() - sent_at)
             self._dispatch(api.ServerReport(server, outcome, elapsed, report))
 
@@ -324,9 +337,9 @@
         servers: Iterable[api.Server],
         dials: Mapping[str, str] | None = None,
     ) -> set[str]:
-        """The server list or changes to it; returns the servers that are no longer on it.
+        """Takes the server list or changes to it, and returns the servers that are no longer on it.
 
-        `dials`: the servers' addresses, where the list tells them."""
+        `dials`: the dial addresses of servers, as far as the list gives them."""
         servers = tuple(servers)
         self.rotation.update(servers, dials or {})
         servers = tuple(self.rotation.effective_record(server) for server in servers)
@@ -335,9 +348,9 @@
         for server in servers:
             self.metrics.set_avoided(server.address, "list", server.state is not api.Lifecycle.READY)
         for server in servers:
-            if (told := self.rules.servers.get(server.address)) is not None:
+            if (listed := self.rules.servers.get(server.address)) is not None:
                 self.recorder.record_server(
-                    server, (dials or {}).get(server.address, ""), told.closed_since_ms
+                    server, (dials or {}).get(server.address, ""), listed.closed_since_ms
                 )
         for address in removed:
             self.recorder.forget_server(address)
@@ -347,9 +360,10 @@
         return removed
 
     def set_rotation(self, name: str, out: bool) -> str | None:
-        """An operator takes a listed server out of rotation (the module sees it drain), or puts it back as
-        the list last said of it. Returns the server's name, or None where none is listed by that name or
-        dial address; saying it twice changes nothing."""
+        """Takes a listed server out of rotation, or puts it back; idempotent.
+
+        The decision module sees a server out of rotation as draining, and one put back as last listed.
+        `name` is a server's name or dial address. Returns the server's name, None if none is listed so."""
         address = self.rotation.find_address(name)
         if address is None:
             return None
@@ -361,21 +375,21 @@
         return address
 
     def peer_message_received(self, sender: int, data: bytes) -> None:
-        """A message from another call agent."""
+        """Passes a message of another call agent to the decision module."""
         self._dispatch(api.PeerMessage(sender, data))
 
-    # At the program's end
+    # Shutdown
 
     def fail_all(self) -> None:
-        """Answers whatever is still open."""
+        """Fails every request that is still open."""
         for request in self.requests:
             if request.state is State.OPEN:
                 self._fail(request)
 
-    # The module's side
+    # Events to the decision module, and its actions
 
     def _dispatch(self, event: api.Event, request: Request | None = None) -> None:
-        """One event to the module at a time: what its actions bring about comes after them."""
+        """Queues an event for the decision module: events caused by its actions are handled after these."""
         self._events.append((event, request))
         if self._dispatching:
             return
@@ -390,8 +404,8 @@
         now = self.clock.now()
         try:
             actions = self.decision_module.handle(event, now)
-        except Exception:  # a fault in one call costs that call, not the agent
-            log.exception("the module failed on %s", type(event).__name__)
+        except Exception:  # an error in one call fails that call, not the agent
+            log.exception("decision module failed on %s", type(event).__name__)
             if request is not None:
                 self.fail(request)
             return
@@ -436,7 +450,7 @@
             case api.WriteLog(text):
                 log.info("module: %s", text)
             case api.Subscribe():
-                pass  # changes come by themselves on this wire
+                pass  # the event bus pushes list changes without a subscription
 
     def _send(self, request: Request, server: str, within: float, now: float) -> None:
         if request.state is State.OPEN and not request.front.is_waiting(request):
@@ -459,7 +473,7 @@
         self.recorder.record_attempt(attempt, lambda: self._send_recorded(attempt))
 
     def _send_recorded(self, attempt: Attempt) -> None:
-        """The attempt leaves, if it is still wanted now that it is on record."""
+        """Sends an attempt once it is recorded, unless it has become pointless while it waited."""
         now = self.clock.now()
         if now > attempt.sent_at and not self.may_still_leave(attempt):
             return
@@ -468,10 +482,10 @@
             self._route().send(attempt)
 
     def may_still_leave(self, attempt: Attempt) -> bool:
-        """Whether an attempt that has waited, for a disk or a dial, may still leave; else it is ended here.
+        """Whether an attempt that has waited for the store or for a dial may still be sent.
 
-        Guards against a set-up for a client that has gone meanwhile, and against one to a server that has
-        been draining past the grace."""
+        If not, the attempt is ended here: its client has gone in the meantime, or its server has been
+        draining for longer than the grace period."""
         if attempt.pending and not attempt.request.front.is_waiting(attempt.request):
             self.gone(attempt.request)
         elif attempt.pending and self.rules.drained_past_grace(attempt.server, self.clock.now()):
@@ -485,7 +499,7 @@
         self.deadlines.set(now + self.probe_timeout_ms, lambda: self.probe_ended(number, Outcome.TIMEOUT))
         self._route().probe(server, number)
 
-    # Shared steps
+    # Internal steps
 
     def _route(self) -> Route:
         assert self.route is not None
@@ -537,7 +551,7 @@
         )
 
     def _cancel_attempt(self, request: Request) -> None:
-        """Gives up the attempt that is out, if any."""
+        """Cancels the pending attempt, if any."""
         attempt = request.attempt
         if attempt is not None and attempt.pending:
             self._route().give_up(attempt)
@@ -549,9 +563,9 @@
             self._end_attempt(attempt, Outcome.TIMEOUT)
 
     def _answer_overdue(self, request: Request) -> None:
-        """Guards against a call that the module has lost sight of."""
+        """Fails a request that the decision module has left without an answer past its deadline."""
         if request.state is State.OPEN:
-            log.warning("%s overdue: answered by the broker", request.id)
+            log.warning("%s: no answer from the decision module by its deadline; failing it", request.id)
             self.fail(request)
 
     def _refuse(self, request: Request, stay_away_ms: float) -> None:
@@ -563,14 +577,14 @@
         self.metrics.errored(request.call_class)
         self._answer_finally(request, "failed", lambda: request.front.call_failed(request))
 
-    def _answer_finally(self, request: Request, answer: str, say: Callable[[], None]) -> None:
+    def _answer_finally(self, request: Request, answer: str, notify: Callable[[], None]) -> None:
         request.answer = answer
         self._close_request(request)
-        self.recorder.record_answered(request, self._pending_server(request), say)
+        self.recorder.record_answered(request, self._pending_server(request), notify)
         self._cancel_attempt(request)
 
     def _pending_server(self, request: Request) -> str:
-        """The server where an attempt is out, or none."""
+        """Returns the server of the pending attempt, "" if there is none."""
         return request.attempt.server if request.attempt is not None and request.attempt.pending else ""
 
     def _count_answered(self, request: Request) -> None:
@@ -581,12 +595,12 @@
             self.on_idle()
 
     def _close_request(self, request: Request) -> None:
-        """The request is over: its slot is free, its id is remembered for releases still on their way."""
+        """Ends a request: frees its slot, and keeps its id for releases that are still in transit."""
         if request.state is State.OPEN:
-            request.state = State.OVER
+            request.state = State.ENDED
             self._count_answered(request)
-        request.state = State.OVER
-        self.metrics.request_ended()  # a call that stood ends here too: it was current until then
+        request.state = State.ENDED
+        self.metrics.request_ended()  # the gauge of current requests includes established calls
         self.requests.free(request.slot)
         del self.slots_by_id[request.id]
         self._remember_ended(request.id, request.not_before)
--- a/frostport/core/calls.py
+++ b/frostport/core/calls.py
@@ -1,4 +1,4 @@
-"""Calls: requests, their attempts, and the face of the front that each request came through."""
+"""Calls: requests, their attempts, and the interface of the front through which a request comes."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from frostport.core.deadlines import Deadline
 from frostport.interface import Outcome
 
-Body = str | bytes  # a description, opaque here: each front is paired with a route that knows its form
+Body = str | bytes  # a description, opaque to the core: each front is paired with a route that knows its form
 
 
-MAX_RELEASE_HOLD_MS = (
-    10_000.0  # a release is held back no longer than this for a client that may repeat its set-up
-)
+MAX_RELEASE_HOLD_MS = 10_000.0  # longest delay of a release for a client that may repeat its set-up
 
 
 class State(Enum):
-    """Where a request stands."""
+    """State of a request."""
 
-    OPEN = "open"  # owes a final answer
-    STANDING = "standing"
-    OVER = "over"
+    OPEN = "open"  # waits for its final answer
+    ESTABLISHED = "standing"
+    ENDED = "over"
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One call: `id`, `key` and `description` go on to the server as they came."""
+    """One call, from its set-up to its end. All times are ms of `core.clock`.
+
+    `id`, `key` and `description` are passed to the server unchanged."""
 
     id: str
     call_class: str
@@ -37,39 +37,37 @@
     description: Body
     deadline_at_ms: float
     front: Front
-    connection_id: int  # the front's number of the connection it came on
+    connection_id: int  # the front's number of the connection it came on; -1: none
     team: str = "-"
-    slot: int = -1
+    slot: int = -1  # its number in `Broker.requests`
     state: State = State.OPEN
-    attempts: int = 0
-    attempt: Attempt | None = None  # the one that is out, or on which the call stands
-    not_before: float = 0.0
-    ran_on: str = ""  # the server where an attempt may have run first
-    last_connection_id: int = -1  # the route's number of the connection that the last attempt went out on
+    attempts: int = 0  # how many attempts have been made
+    attempt: Attempt | None = None  # the pending one, or the one that established the call
+    not_before: float = 0.0  # end of the release guard: no attempt before this time, ms
+    ran_on: str = ""  # the first server that may have run an attempt
+    last_connection_id: int = -1  # the route's number of the connection that the last attempt was sent on
     overdue_timer: Deadline | None = None
     established_at_ms: float = 0.0
-    answer: str = ""  # once it is final: stands, refused, failed, gone
-    recorded_answer: RecordedAnswer | None = (
-        None  # the answer that is on record, where duplicates may ask again
-    )
-    stay_away_ms: float = 0.0  # how long its client was told to stay away
-    client: str = ""  # who asked, as the front names it
-    end_to_end_id: int = 0  # the front's number of the request itself (Diameter's End-to-End id)
-    ended_by: int = -1  # and of the one that ended the call
+    answer: str = ""  # the final answer: stands, refused, failed, gone
+    recorded_answer: RecordedAnswer | None = None  # set with a store: a repeated set-up may ask for it again
+    stay_away_ms: float = 0.0  # the stay-away time that its client was given
+    client: str = ""  # the client's name, as the front knows it
+    end_to_end_id: int = 0  # Diameter: End-to-End Identifier of the set-up
+    ended_by: int = -1  # Diameter: End-to-End Identifier of the release; -1: none
 
 
 @dataclass(frozen=True, slots=True)
 class RecordedAnswer:
-    """An answer on record: its client may not have heard it, and repeats the set-up then."""
+    """An answer that is stored. A client that may not have received it repeats its set-up."""
 
     service: str
     client: str
-    description_crc32: int  # CRC-32 of the description that was asked with
+    description_crc32: int  # of the description in the set-up
     answer: Body
-    recorded_at_ms: float  # when it went on record, ms
+    recorded_at_ms: float
 
     def matches(self, service: str, client: str, description: bytes) -> bool:
-        """Whether this set-up is the one that was answered."""
+        """Whether a set-up repeats the one that got this answer."""
         return (
             service == self.service
             and self.client in ("", client)
@@ -78,45 +76,49 @@
 
 
 def held_until(answered_at: float, now_ms: float, longest_ms: float) -> float:
-    """How long the end of a call may be kept from a client that may not have heard the answer, ms.
+    """Returns until when the end of a call is held back from a client that may lack the answer, ms.
 
-    To a client that still waits, the end before the answer is a failure, and the answer would be a second
-    word. No client waits longer than twice the longest deadline."""
+    A client that still waits takes an end that comes before the answer for a failure, and the answer after
+    it for a second one. No client waits longer than twice the longest deadline, `longest_ms`."""
     return min(answered_at + 2.0 * longest_ms, now_ms + MAX_RELEASE_HOLD_MS)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One set-up at one server."""
+    """One set-up sent to one server. All times are ms of `core.clock`."""
 
     request: Request
-    number: int
+    number: int  # counts from 0 within the request
     server: str
     sent_at: float
     deadline_at_ms: float
     timeout: Deadline | None = None
-    route_ref: int | None = None  # XX
-    pending: bool = True
-    confirm_end: Callable[[], object] | None = (
-        None  # the call's end overtook its answer: confirms it to the server
-    )
+    route_ref: int | None = None  # set by the route: connection number, or Diameter Hop-by-Hop Identifier
+    pending: bool = True  # its outcome is awaited
+    confirm_end: Callable[[], object] | None = None  # confirms an end that preceded the answer
 
 
 class Front(Protocol):
-    """What the broker says towards clients. Each request hears `stands`, `refused` or `failed`, once."""
+    """The connections to the clients, as the broker uses them.
+
+    Each request gets one call of `call_established`, `call_refused` or `call_failed`, unless it is gone."""
 
     def is_waiting(self, request: Request) -> bool:
-        """Whether the client of an open request is still there, as far as can be told now."""
+        """Whether the client of an open request is still connected, as far as can be told now."""
 
-    def call_established(self, request: Request, description: Body) -> None: ...
+    def call_established(self, request: Request, description: Body) -> None:
+        """Answers with the server's description."""
 
-    def call_refused(self, request: Request, stay_away_ms: float) -> None: ...
+    def call_refused(self, request: Request, stay_away_ms: float) -> None:
+        """Answers that the call was refused and never ran; the client should wait before it redials."""
 
-    def call_failed(self, request: Request) -> None: ...
+    def call_failed(self, request: Request) -> None:
+        """Answers that the call has failed; an attempt may have run."""
 
     def call_ended(
-        self, call: str, place: int, outcome: Outcome, given: RecordedAnswer | None = None
+        self, call: str, connection_id: int, outcome: Outcome, recorded_answer: RecordedAnswer | None = None
     ) -> None:
-        """A call that stood has ended (`place` -1 where it isn't known on which connection it came).
+        """Notifies the client that an established call has ended.
 
-        `given`: its answer, where that is on record."""
+        `connection_id` is -1 where the connection of the call is not known. `recorded_answer` is the answer
+        of the call, where it is stored."""
--- a/frostport/diameter/route.py
+++ b/frostport/diameter/route.py
@@ -204,7 +204,7 @@
         """Away too long: what stood there is over towards its clients, and ended there when it is back."""
         for request in self.broker.requests:
             if (
-                request.state is State.STANDING
+                request.state is State.ESTABLISHED
                 and request.attempt is not None
                 and request.attempt.server == server.host
             ):
--- a/frostport/durability.py
+++ b/frostport/durability.py
@@ -214,7 +214,7 @@
         client=standing.client,
         end_to_end_id=standing.identity,
     )
-    request.state, request.established_at_ms, request.answer = State.STANDING, standing.at, "stands"
+    request.state, request.established_at_ms, request.answer = State.ESTABLISHED, standing.at, "stands"
     request.recorded_answer, request.attempts = recovery.given(standing), 1
     request.attempt = Attempt(request, 0, standing.server, standing.at, standing.at, pending=False)
     request.slot = agent.broker.requests.add(request)
--- a/frostport/handover.py
+++ b/frostport/handover.py
@@ -197,7 +197,7 @@
             case _:
                 if call in self.adopted:
                     self.adopted.discard(call)
-                    if request is not None and request.state is CallState.STANDING:
+                    if request is not None and request.state is CallState.ESTABLISHED:
                         broker.ended_elsewhere(request)
                 if isinstance(record, Over) and call not in broker.slots_by_id:
                     broker.ended_ids[call] = (self.agent.clock.now(), record.not_before)
--- a/frostport/net/upstream.py
+++ b/frostport/net/upstream.py
@@ -500,7 +500,7 @@
             over = Outcome.OK if message.rc == jsonl.NORMAL else Outcome.RESET
             self.broker.unknown_call_ended(message.tag, self.pool.front, over)
         elif request.attempt is not None and request.attempt.server == self.host:
-            if request.state is State.STANDING and message.rc in AFTER:
+            if request.state is State.ESTABLISHED and message.rc in AFTER:
                 over = Outcome.OK if message.rc == jsonl.NORMAL else Outcome.RESET
                 self.broker.attempt_ended(request.attempt, over, report=self.report(message))
             elif (
