--- a/frostport/core/__init__.py
+++ b/frostport/core/__init__.py
@@ -1,1 +1,1 @@
-"""The broker's core: requests, attempts and outcomes. It knows no wire and imports no network code."""
+"""The core: requests, attempts and outcomes, independent of protocols; imports no network code."""
--- a/frostport/core/clock.py
+++ b/frostport/core/clock.py
@@ -1,4 +1,4 @@
-"""The program's one clock: float milliseconds of Unix time, never running backwards."""
+"""Clocks: float milliseconds that never run backwards."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """Reads the system's clock; `now` holds still between two readings that go backwards."""
+    """Unix time in ms. While the system clock has gone back, `now` stays at the latest reading."""
 
     def __init__(self) -> None:
         self._last = 0.0
@@ -20,14 +20,14 @@
 
 
 class MonotonicClock(Clock):
-    """Milliseconds since some moment of this machine: no step of the time of day touches it."""
+    """Monotonic time in ms since an arbitrary moment, unaffected by changes of the time of day."""
 
     def read(self) -> float:
         return time.monotonic() * 1000.0
 
 
 class SetClock(Clock):
-    """A clock that shows what it is set to."""
+    """A clock for tests and simulations: reads the time in `at`, ms."""
 
     def __init__(self, now_ms: float = 0.0) -> None:
         super().__init__()
--- a/frostport/core/contracts.py
+++ b/frostport/core/contracts.py
@@ -1,7 +1,7 @@
-"""Contracts and budgets: what each service was promised, and what each team may ask of it a second.
+"""Contracts and budgets: the service levels of each service, and the rate that each team may ask of it.
 
-A contract stands in the description of a service, OpenAPI 3 or AsyncAPI 3, as the extension
-`x-frostport-contract` of an operation. This module reads the description once it is decoded.
+A contract is the extension `x-frostport-contract` of an operation in a service's OpenAPI 3 or AsyncAPI 3
+description. This module reads the decoded description.
 """
 
 from __future__ import annotations
@@ -18,21 +18,19 @@
 EXTENSION = "x-frostport-contract"
 HTTP_METHODS = ("get", "put", "post", "delete", "options", "head", "patch", "trace")
 FIELDS = ("class", "aim_ms", "deadline_ms", "attempts", "set_ups_per_second")
-MAX_BUCKETS = 1000  # more than so many are looked through for those that may go
-BURST_SECONDS = 1.0  # a team may spend so many seconds' budget at once
-SCALE_STEP_PER_SECOND, MAX_SCALE = (
-    0.1,
-    2.0,
-)  # of what agents that are out leave to the others: a second, and in all
+MAX_BUCKETS = 1000  # above this number, full buckets are removed
+BURST_SECONDS = 1.0  # a team may spend the budget of this many seconds at once
+# The share of agents that are out of service goes to the others, up to MAX_SCALE times their own.
+SCALE_STEP_PER_SECOND, MAX_SCALE = 0.1, 2.0
 
 
 class ContractError(ValueError):
-    """A contract that can't be kept as it is written; the message names the place and the field."""
+    """An invalid contract; the message names the place in the document and the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """One service's contract; the budget counts for each team by itself."""
+    """One service's contract; each team has a budget of its own."""
 
     service: str
     aim_ms: float
@@ -42,7 +40,7 @@
 
 
 def read(document: object) -> list[Contract]:
-    """The contracts of a description; one for each class at most."""
+    """Returns the contracts of a description, at most one for each class. Raises ContractError."""
     if not isinstance(document, dict):
         raise ContractError("document: not an object")
     contracts: dict[str, Contract] = {}
@@ -57,7 +55,7 @@
 
 
 def find_extensions(document: Mapping[str, Any]) -> Iterator[tuple[str, object]]:
-    """The places of all contracts, by the description's kind."""
+    """Yields the place and the undecoded content of each contract. Raises ContractError."""
     if str(document.get("openapi", "")).startswith("3."):
         for path, item in object_member(document, "paths").items():
             for method in HTTP_METHODS:
@@ -72,6 +70,7 @@
 
 
 def object_member(document: Mapping[str, Any], name: str) -> Mapping[str, Any]:
+    """Returns a member of the document that must be an object; an empty one if it is missing."""
     found = document.get(name, {})
     if not isinstance(found, dict):
         raise ContractError(f"{name}: not an object")
@@ -79,11 +78,13 @@
 
 
 def operation_extension(place: str, operation: Mapping[str, Any]) -> Iterator[tuple[str, object]]:
+    """Yields the place and the undecoded content of the operation's contract, if it has one."""
     if EXTENSION in operation:
         yield f"{place}.{EXTENSION}", operation[EXTENSION]
 
 
 def parse_contract(place: str, written: object) -> Contract:
+    """Checks and converts the content of a contract. Raises ContractError."""
     if not isinstance(written, dict):
         raise ContractError(f"{place}: not an object")
     for name in written:
@@ -92,28 +93,29 @@
     service = written.get("class")
     if not isinstance(service, str) or not service:
         raise ContractError(f"{place}.class: no name")
-    figures = {name: positive_number(f"{place}.{name}", written.get(name)) for name in FIELDS[1:]}
-    if figures["attempts"] != int(figures["attempts"]):
+    numbers = {name: positive_number(f"{place}.{name}", written.get(name)) for name in FIELDS[1:]}
+    if numbers["attempts"] != int(numbers["attempts"]):
         raise ContractError(f"{place}.attempts: not a whole number")
-    if figures["aim_ms"] > figures["deadline_ms"]:
+    if numbers["aim_ms"] > numbers["deadline_ms"]:
         raise ContractError(f"{place}.aim_ms: past deadline_ms")
     return Contract(
         service,
-        figures["aim_ms"],
-        figures["deadline_ms"],
-        int(figures["attempts"]),
-        figures["set_ups_per_second"],
+        numbers["aim_ms"],
+        numbers["deadline_ms"],
+        int(numbers["attempts"]),
+        numbers["set_ups_per_second"],
     )
 
 
 def positive_number(place: str, value: object) -> float:
+    """Raises ContractError unless the value is a finite number above 0."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 < value < math.inf:
         raise ContractError(f"{place}: not a number above 0")
     return float(value)
 
 
 def with_contracts(settings: api.Settings, contracts: Iterable[Contract]) -> api.Settings:
-    """The settings with each contract's aim and deadline; a class that only a contract names joins them."""
+    """Returns the settings with each contract's aim and deadline, and with the classes that only it names."""
     classes = {cls.name: cls for cls in settings.classes}
     for contract in contracts:
         known = classes.get(contract.service) or api.CallClass(contract.service, 0.0, 0.0)
@@ -124,16 +126,16 @@
 
 
 class Budgets:
-    """One token bucket for each team and service under contract; whoever has no contract has no limit."""
+    """One token bucket for each team and service under contract; a service without contract has no limit."""
 
     def __init__(self, contracts: Iterable[Contract] = ()) -> None:
         self.recorder = Recorder()
         self.contracts = {contract.service: contract for contract in contracts}
-        self._buckets: dict[tuple[str, str], tuple[float, float]] = {}  # tokens, and when they were counted
-        self.scale, self._scaled_at = 1.0, -math.inf  # times what the contracts say, and since when
+        self._buckets: dict[tuple[str, str], tuple[float, float]] = {}  # tokens at a time, ms
+        self.scale, self._scaled_at = 1.0, -math.inf  # multiple of the contracts' rates, and when it was set
 
     def wait_ms(self, team: str, service: str, now: float) -> float:
-        """0 where the set-up is within budget, and counted; else how long until it would be."""
+        """Spends a token for a set-up and returns 0; without a token, returns how long until there is one."""
         contract = self.contracts.get(service)
         if contract is None:
             return 0.0
@@ -151,8 +153,9 @@
         return (1.0 - tokens) / rate * 1000.0
 
     def set_scale(self, wanted: float, now: float) -> None:
-        """This agent's part of the teams' budgets is to be so many times the configured one: `SCALE_MOST` at
-        most, reached in steps of `SCALE_STEP` a second."""
+        """Moves this agent's share of the budgets towards `wanted` times the configured one.
+
+        The scale is at most `MAX_SCALE`, and changes by at most `SCALE_STEP_PER_SECOND`."""
         room = (
             SCALE_STEP_PER_SECOND * max(0.0, now - self._scaled_at) / 1000.0
             if self._scaled_at > -math.inf
@@ -163,7 +166,7 @@
         self.scale += max(-room, min(room, wanted - self.scale))
 
     def _prune(self, now: float) -> None:
-        """Guards against team names without end: a bucket that is full again is as good as none."""
+        """Removes buckets that are full again, as clients can make up any number of team names."""
         rates = {service: contract.set_ups_per_second for service, contract in self.contracts.items()}
         self._replace_buckets(
             {
@@ -179,22 +182,23 @@
         self._buckets = buckets
 
     def restore(self, buckets: Mapping[tuple[str, str], tuple[float, float]]) -> None:
-        """What was spent before a restart stays spent: tokens, and when they were counted."""
+        """Restores the buckets from before a restart: tokens at a time, by team and service."""
         self._buckets = dict(buckets)
         self._replace_buckets({key: bucket for key, bucket in buckets.items() if key[1] in self.contracts})
 
     def replace_contracts(self, contracts: Iterable[Contract]) -> None:
-        """Other contracts from now on; what was spent stays spent."""
+        """Replaces the contracts; the buckets of services that keep a contract stay as they are."""
         self.contracts = {contract.service: contract for contract in contracts}
         self._replace_buckets(
             {key: bucket for key, bucket in self._buckets.items() if key[1] in self.contracts}
         )
 
     def deadline_ms(self, service: str, left_ms: float) -> float:
+        """Returns the time that a call may take: `left_ms`, limited by its contract."""
         contract = self.contracts.get(service)
         return left_ms if contract is None else min(left_ms, contract.deadline_ms)
 
     def attempts_exhausted(self, service: str, attempts: int) -> bool:
-        """Whether a call has used up the attempts of its contract."""
+        """Whether a call that has made `attempts` has used up those of its contract."""
         contract = self.contracts.get(service)
         return contract is not None and attempts >= contract.attempts
--- a/frostport/core/deadlines.py
+++ b/frostport/core/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines of the program in one ordered structure."""
+"""A queue of all timers of the process, ordered by time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Deadline:
-    """One thing to do at a time; `cancel` may be called at any moment, also afterwards."""
+    """An action to run at a time; `cancel` may be called at any moment, also after it has run."""
 
     __slots__ = ("action", "at_ms")
 
@@ -20,7 +20,10 @@
 
 
 class Deadlines:
-    """A heap by time, then by order of setting. Whoever owns the wait is told when the first one changes."""
+    """A heap ordered by time, then by order of `set`.
+
+    `on_first_changed` is called when a new deadline becomes the first one, so that the owner's timer can be
+    set to it."""
 
     def __init__(self, changed: Callable[[], None] = lambda: None) -> None:
         self._heap: list[tuple[float, int, Deadline]] = []
@@ -36,17 +39,17 @@
         return deadline
 
     def __len__(self) -> int:
-        """How many are still to be done."""
+        """The number of deadlines that have neither run nor been cancelled."""
         return sum(deadline.action is not None for _, _, deadline in self._heap)
 
     def next_ms(self) -> float | None:
-        """When the first one is due, or None."""
+        """Returns the time of the first deadline, or None."""
         while self._heap and self._heap[0][2].action is None:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
     def run(self, now_ms: float) -> None:
-        """Does what is due, in order; what an action sets anew for now waits for the next run."""
+        """Runs the actions that are due, in order; those that they set for now wait for the next run."""
         last = self._order
         while (at := self.next_ms()) is not None and at <= now_ms and self._heap[0][1] <= last:
             deadline = heapq.heappop(self._heap)[2]
--- a/frostport/core/dial_policy.py
+++ b/frostport/core/dial_policy.py
@@ -1,44 +1,45 @@
 """When connections are opened: by default at once, and again after a fixed pause.
 
-The bus and the lobby servers ask here before they dial; `frostport/starting.py` answers with turns.
+The event bus and the lobby servers' connections ask the policy before they dial. `frostport/starting.py`
+spreads the dials of a fleet over time instead.
 """
 
 from __future__ import annotations
 
 
 class DialPolicy:
-    """All times in ms. Targets are `LIST` and the names of lobby servers."""
+    """Connects at once. All times are in ms; targets are `LIST_SERVICE` and the names of lobby servers."""
 
     def connects_eagerly(self, target: str) -> bool:
-        """Whether it is to be connected before a call needs it."""
+        """Whether to connect to the target before a call needs it."""
         return True
 
     def first_delay_ms(self, target: str) -> float:
-        """How long the first dial waits; infinite: it is asked for later, if at all."""
+        """Returns the delay of the first dial; infinity if the policy starts the dial itself, if at all."""
         return 0.0
 
     def redial_delay_ms(self, target: str, pause_ms: float) -> float:
-        """How long a redial waits, where `pause_ms` is usual."""
+        """Returns the delay of a redial; `pause_ms` is the default one."""
         return pause_ms
 
     def on_demand_delay_ms(self, target: str) -> float:
-        """How long a dial waits that a call needs."""
+        """Returns the delay of a dial that a call waits for."""
         return 0.0
 
     def connected(self, target: str) -> None:
-        """A connection is there."""
+        """A connection was established."""
 
     def dial_failed(self, target: str) -> None:
-        """None was to be had."""
+        """A dial has failed."""
 
     def connection_lost(self, target: str) -> None:
-        """It broke."""
+        """An established connection was lost."""
 
     def list_unchanged(self) -> None:
-        """The list service said that nothing is new."""
+        """The list service has reported that there is no new event."""
 
     def list_event_received(self, offset: int, line: bytes) -> None:
-        """It said an event, which is in the list now."""
+        """The list service has sent the event `line`, and the list stands at `offset` with it."""
 
 
 LIST_SERVICE = "list service"
--- a/frostport/core/lifecycle.py
+++ b/frostport/core/lifecycle.py
@@ -1,7 +1,7 @@
-"""The program's phases, from start to exit, as named states of one object.
+"""The life cycle of the process, from start to exit, as a state machine.
 
-An operator's drain and resume, an upgrade's handover and SIGTERM's end are all moves of this one
-object, each move named in `NEXT`; whatever must happen on a move listens for it.
+An operator's drain and resume, the handover of an upgrade and the shutdown on SIGTERM are transitions of
+this machine, all listed in `TRANSITIONS`; what has to happen on a transition is done by listeners.
 """
 
 from __future__ import annotations
@@ -14,20 +14,22 @@
 
 
 class Phase(Enum):
-    """Where the program stands."""
+    """The phase that the process is in."""
 
     STARTING = "starting"  # nothing is open yet
-    SERVING = "serving"  # new connections and requests are taken; ready says yes
-    DRAINING = "draining"  # told to drain: ready says no; a connection that carries calls stays until they
-    # are over, and new set-ups on it are refused; one that carries nothing closes
-    DRAINED = "drained"  # no client connection and no request is left; resume brings serving back
-    TURNING_AWAY = "turning away"  # going out for work: new set-ups are refused, also on a connection whose
-    # client never pauses; once nothing is left here, nothing can come any more
-    HANDING_OVER = "handing over"  # a newer process serves on the same socket: this one takes no more, and
-    # gives its store up once what it holds is answered
-    CLOSING = "closing"  # told to end: what still comes is taken and served, tests fail
-    STOPPING = "stopping"  # no new connections or requests; what was taken is answered
-    STOPPED = "stopped"  # all answered: the program exits
+    SERVING = "serving"  # new connections and requests are accepted; the process reports ready
+    DRAINING = (
+        "draining"  # an operator has asked for a drain, and the process reports not ready; a connection
+    )
+    # with calls stays open until they have ended, and refuses new set-ups; one without calls is closed
+    DRAINED = "drained"  # no client connection and no request is left; a resume returns to serving
+    TURNING_AWAY = "turning away"  # going out for maintenance: new set-ups are refused, also on a connection
+    # that is never idle; once no request is left, none can arrive any more
+    HANDING_OVER = "handing over"  # a newer process serves on the same socket: this one accepts nothing new,
+    # and gives up its store once its requests are answered
+    CLOSING = "closing"  # SIGTERM received: what still arrives is served, readiness checks fail
+    STOPPING = "stopping"  # no new connections or requests; the open requests are answered
+    STOPPED = "stopped"  # all requests are answered, and the process exits
 
 
 TRANSITIONS = {
@@ -41,24 +43,24 @@
     Phase.STOPPING: (Phase.STOPPED,),
     Phase.STOPPED: (),
 }
-READY_PHASES = (Phase.SERVING,)  # where ready says yes
+READY_PHASES = (Phase.SERVING,)  # phases that report ready
 ACCEPTING_PHASES = (
     Phase.SERVING,
     Phase.DRAINING,
     Phase.DRAINED,
     Phase.HANDING_OVER,
     Phase.CLOSING,
-)  # requests taken
-DRAINING_PHASES = (Phase.DRAINING, Phase.DRAINED, Phase.TURNING_AWAY)  # from which resume brings serving back
+)  # accept requests
+DRAINING_PHASES = (Phase.DRAINING, Phase.DRAINED, Phase.TURNING_AWAY)  # a resume returns to serving
 RELOADABLE_PHASES = (
     Phase.SERVING,
     *DRAINING_PHASES,
-)  # a drained program may serve again: it must not stay with an old bus
-IDLE_CLOSING_PHASES = (*DRAINING_PHASES, Phase.HANDING_OVER, Phase.STOPPING)  # connections close once idle
+)  # a drained process may serve again, and must not keep an old bus
+IDLE_CLOSING_PHASES = (*DRAINING_PHASES, Phase.HANDING_OVER, Phase.STOPPING)  # idle connections are closed
 
 
 class Lifecycle:
-    """Holds the phase and tells whoever listens when it changes."""
+    """Holds the phase, and calls the listeners when it changes, in the order in which they were added."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
@@ -68,33 +70,34 @@
         self._listeners.append(listener)
 
     def enter(self, phase: Phase) -> None:
+        """Moves to a phase. Raises ValueError if there is no such transition."""
         if phase not in TRANSITIONS[self.phase]:
-            raise ValueError(f"no way from {self.phase.value} to {phase.value}")
+            raise ValueError(f"no transition from {self.phase.value} to {phase.value}")
         log.info("phase %s -> %s", self.phase.value, phase.value)
         self.phase = phase
         for listener in self._listeners:
             listener(phase)
 
     def can_enter(self, phase: Phase) -> bool:
-        """Whether the program can move to this phase now."""
+        """Whether there is a transition to this phase now."""
         return phase in TRANSITIONS[self.phase]
 
     def accepts_requests(self) -> bool:
-        """Whether requests that come now are taken."""
+        """Whether a request that arrives now is taken."""
         return self.phase in ACCEPTING_PHASES
 
     def is_draining(self) -> bool:
-        """Whether connections that carry calls get nothing new, so that they can close."""
+        """Whether new set-ups are refused on connections that carry calls, so that these become idle."""
         return self.phase in DRAINING_PHASES
 
     def is_ready(self) -> bool:
-        """Whether this process says that it serves: new connections are welcome."""
+        """Whether this process reports that it accepts new connections."""
         return self.phase in READY_PHASES
 
     def accepts_reload(self) -> bool:
-        """Whether a new configuration is taken in."""
+        """Whether a reload of the configuration is accepted."""
         return self.phase in RELOADABLE_PHASES
 
     def closes_idle_connections(self) -> bool:
-        """Whether a client connection closes once it holds no request and owes nothing."""
+        """Whether a client connection is closed once it has no request and no release to be confirmed."""
         return self.phase in IDLE_CLOSING_PHASES
--- a/frostport/core/liveness_sweep.py
+++ b/frostport/core/liveness_sweep.py
@@ -1,4 +1,4 @@
-"""The timer of the servers' failure detectors: looks at each of them at a fixed period."""
+"""The timer of the servers' failure detectors: evaluates each of them periodically."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 
 class LivenessSweep(Generic[Server]):
-    """Looks at all servers every PERIOD_MS, and tells their detectors of pauses of this process."""
+    """Checks all servers every CHECK_PERIOD_MS, and tells their detectors of pauses of this process."""
 
     def __init__(
         self,
         clock: Clock,
         deadlines: Deadlines,
         servers: Callable[[], Iterable[Server]],
-        look: Callable[[Server, float], None],
+        check_server: Callable[[Server, float], None],
     ) -> None:
-        """`look` is called with a server and the time, in ms."""
+        """`check_server` is called with a server and the time, in ms."""
         self._clock, self._deadlines = clock, deadlines
-        self._servers, self._check_server = servers, look
+        self._servers, self._check_server = servers, check_server
         self._last_sweep_ms = 0.0
 
     def start(self) -> None:
-        """Looks for the first time one period from now."""
+        """Schedules the first sweep one period from now."""
         self._schedule_next(self._clock.now())
 
     def _schedule_next(self, now_ms: float) -> None:
@@ -46,7 +46,7 @@
         self._deadlines.set(now_ms + CHECK_PERIOD_MS, self.sweep)
 
     def sweep(self) -> None:
-        """Looks at every server now."""
+        """Checks every server now, and schedules the next sweep."""
         now = self._clock.now()
         paused = now - self._last_sweep_ms > PROCESS_PAUSE_MS
         if paused:
--- a/frostport/core/metrics.py
+++ b/frostport/core/metrics.py
@@ -1,46 +1,46 @@
-"""What the core tells of each event that the figures count: by default nobody listens.
+"""The interface through which the core reports the events that metrics count; counts nothing by default.
 
-The broker, the fronts and the routes call these where the event happens; `observe/figures.py` counts.
+The broker, the fronts and the routes call it where an event happens; `observe/statsd.py` counts.
 """
 
 from __future__ import annotations
 
 
 class Metrics:
-    """Counts nothing."""
+    """Ignores all events."""
 
     def request_started(self) -> None:
-        """A request is taken."""
+        """A request has arrived."""
 
     def request_ended(self) -> None:
-        """A taken request has ended: refused, failed, gone, or released after it stood."""
+        """A request has ended: refused, failed, gone, or released after its call was established."""
 
     def answered(self, call_class: str) -> None:
-        """A request is served: its call stands."""
+        """A request has been served: its call is established."""
 
     def deferred(self, call_class: str) -> None:
-        """A request is refused."""
+        """A request has been refused."""
 
     def errored(self, call_class: str) -> None:
         """A request has failed."""
 
     def sent(self, call_class: str) -> None:
-        """An attempt is written in full to a server."""
+        """An attempt has been written in full to a server."""
 
     def count_calls_cut(self, server: str, calls: int) -> None:
-        """Calls that stood at a server are over, and the server did not say so."""
+        """Established calls were ended because their server was lost, without a message from it."""
 
     def server_suspected(self, server: str) -> None:
-        """A server with standing calls gives no sign of life though it was asked for one."""
+        """A server with established calls has not answered a liveness check."""
 
     def set_cluster_size(self, size: int) -> None:
-        """The server list has this many servers now."""
+        """Sets the number of servers on the list."""
 
     def set_avoided(self, server: str, reason: str, avoided: bool) -> None:
-        """A listed server is avoided for this reason from now on, or no longer."""
+        """Sets whether a listed server is avoided for this reason."""
 
     def server_removed(self, server: str) -> None:
         """A server has left the list."""
 
     def configuration_loaded(self, valid: bool) -> None:
-        """The configuration was read: valid and in force, or not."""
+        """The configuration was read; `valid` if it is in force now."""
--- a/frostport/core/rate_limited_log.py
+++ b/frostport/core/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""What is wrong with what comes in: a log line each, and no more than a few a second in a flood."""
+"""Log lines about malformed input, limited in number per second."""
 
 from __future__ import annotations
 
@@ -6,7 +6,9 @@
 
 
 class RateLimitedLog:
-    """Guards the log against those who send nothing but what can't be read."""
+    """Logs a warning for each problem, at most `MAX_LINES` within `WINDOW_MS`.
+
+    A peer that sends only malformed input would otherwise fill the log."""
 
     MAX_LINES, WINDOW_MS = 10, 1000.0
 
@@ -14,9 +16,10 @@
         self._log, self._since, self._count = log, 0.0, 0
 
     def warn(self, now: float, peer: str, problem: object) -> None:
+        """Logs the problem that `peer` has caused at `now`, ms, unless the limit is reached."""
         if now - self._since >= self.WINDOW_MS:
             if self._count > self.MAX_LINES:
-                self._log.warning("%d more complaints not logged", self._count - self.MAX_LINES)
+                self._log.warning("%d more warnings suppressed", self._count - self.MAX_LINES)
             self._since, self._count = now, 0
         self._count += 1
         if self._count <= self.MAX_LINES:
--- a/frostport/core/recorder.py
+++ b/frostport/core/recorder.py
@@ -1,9 +1,8 @@
-"""What is kept over a restart, as seen from the core: by default nothing.
+"""The interface through which the core records what must survive a restart; records nothing by default.
 
-The broker, the fronts and the routes tell the recorder of each change before its effect leaves the program;
-what
-they pass as `then` is that effect. Here it goes on at once. With a store (state/recorder.py) it waits for the
-record, in order.
+The broker, the fronts and the routes report each change before its effect leaves the process, and pass that
+effect as `then`. Without a store it runs at once. With a store (state/recorder.py) it runs once the change
+is recorded, in the order of the calls.
 """
 
 from __future__ import annotations
@@ -21,86 +20,88 @@
 
 
 class Recorder:
-    """Keeps nothing and delays nothing."""
+    """Records nothing and delays nothing."""
 
     def accepts_calls(self) -> bool:
-        """Whether new calls are taken: not while what must be kept can't be."""
+        """Whether new calls may be taken: not while the store can't record them."""
         return True
 
     def refresh(self) -> None:
-        """Before a call is looked up: what another process on the same store knows by now is taken in."""
+        """Reads what another process has written to the same store; called before a call is looked up."""
 
     def pending_elsewhere(self, call: str) -> bool:
-        """Whether another process may have an attempt of this call out."""
+        """Whether another process may have a pending attempt of this call."""
         return False
 
     def defers(self, call: str, server: str, then: Continuation) -> bool:
-        """Before a server's word on a call that is not open here: whether another process has yet to say what
-        became of it.
+        """Whether a server's message on a call that is not open here waits for another process.
 
-        `then` goes on once it has, or is gone; of several from one server on one call the last."""
+        If so, `then` runs once that process has recorded the call's outcome, or has ended. Of several
+        messages of one server on one call only the last is kept."""
         return False
 
     def barrier(self, then: Continuation) -> None:
-        """Goes on once all that was told before is on record."""
+        """Runs `then` once all earlier changes are recorded."""
         then()
 
     # Calls
 
     def record_attempt(self, attempt: Attempt, then: Continuation) -> None:
-        """An attempt is about to leave."""
+        """An attempt is about to be sent; `then` sends it."""
         then()
 
     def record_release_guard(self, request: Request, server: str) -> None:
-        """An attempt has ended uncleanly, or was given up: `request.not_before` runs."""
+        """An attempt has ended uncleanly or was given up, which starts the guard in `request.not_before`."""
 
     def record_established(self, request: Request, attempt: Attempt, body: Body, then: Continuation) -> None:
-        """A call stands; `then` answers its client."""
+        """A call is established; `then` answers its client."""
         then()
 
     def record_answered(self, request: Request, server: str, then: Continuation) -> None:
-        """A call was refused or failed, or its client gave it up (`request.answer`); `then` tells it.
+        """A call was refused, has failed or was given up (see `request.answer`); `then` answers its client.
 
-        `server` is where an attempt is still out, "" where none is."""
+        `server` is the server of the attempt that is still pending, "" if there is none."""
         then()
 
     def record_end(self, request: Request, server: str, outcome: Outcome | None, then: Continuation) -> None:
-        """A call that stood has ended, None: by its client; else the client is owed the end, and `then`
-        tells it."""
+        """An established call has ended.
+
+        With `outcome` None its client has ended it, and `then` releases it at the server. Otherwise the
+        client has to be notified, which `then` does."""
         then()
 
     def record_owed_end(self, call: str, client: str, outcome: Outcome, then: Continuation) -> None:
-        """A client is owed the end of a call that is not known here."""
+        """A client has to be notified of the end of a call that is not known here; `then` does it."""
         then()
 
     def clear_owed_end(self, call: str) -> None:
-        """The client has heard it, or nobody will."""
+        """The client has confirmed the end of the call, or can no longer be notified."""
 
     def record_owed_release(self, server: str, call: str) -> None:
-        """A server that can't be reached is owed a release."""
+        """A release is due to a server that can't be reached."""
 
     def clear_owed_release(self, server: str, call: str) -> None:
-        """It was sent, or the server is no more."""
+        """The release was sent, or the server no longer exists."""
 
     def forget_call(self, call: str) -> None:
-        """The id of a call that is over is no longer known."""
+        """The id of an ended call is no longer kept."""
 
-    # All else
+    # Budgets, servers and peers
 
     def record_budget(self, team: str, service: str, tokens: float, at: float) -> None:
-        """A team's budget was drawn on."""
+        """A team has spent from its budget: its tokens at the time `at`, ms."""
 
     def clear_budget(self, team: str, service: str) -> None:
-        """A team's budget is full again, or no longer under contract."""
+        """A team's budget is full again, or its service has no contract any more."""
 
     def record_server(self, server: api.Server, dial: str, stop_at: float | None) -> None:
-        """What the list says of a server, and since when nothing new may go there."""
+        """A server as listed, its dial address, and since when it takes no new calls (ms, None: it does)."""
 
     def forget_server(self, address: str) -> None:
-        """A server is off the list."""
+        """A server has left the list."""
 
     def record_bus_position(self, offset: int, version: int) -> None:
-        """The last event taken in."""
+        """The offset of the last event read from the bus, and the version of its list."""
 
     def record_peer(self, host: str, state_id: int | None, started_ms: float) -> None:
-        """A Diameter peer's Origin-State-Id, and since when it counts as started."""
+        """A Diameter peer's Origin-State-Id, and the time from which it counts as started."""
--- a/frostport/core/rotation.py
+++ b/frostport/core/rotation.py
@@ -1,7 +1,7 @@
-"""Servers that operators took out of rotation: the list's word on them is held as draining.
+"""Servers that operators took out of rotation: these are presented as draining.
 
-Plain data, no I/O. Invariant: while a server is held, every record of it that reaches the module and the
-rules says it drains (or that it is gone); once let go, the last record that the list gave goes on.
+Plain data, no I/O. Invariant: while a server is disabled, every record of it that reaches the decision module
+and the rules says that it drains (or that it is gone). When it is enabled, its last listed record applies.
 """
 
 from __future__ import annotations
@@ -14,15 +14,17 @@
 
 
 class Rotation:
-    """The records that the list last gave, and the servers held out."""
+    """The last listed records, and the servers that are out of rotation.
+
+    `address` is a server's name on the list (`api.Server.address`)."""
 
     def __init__(self) -> None:
-        self.last_records: dict[str, api.Server] = {}
-        self.dial_addresses: dict[str, str] = {}
+        self.last_records: dict[str, api.Server] = {}  # by address, as listed
+        self.dial_addresses: dict[str, str] = {}  # by address
         self.disabled: set[str] = set()
 
     def find_address(self, name: str) -> str | None:
-        """The listed server of this name or dial address."""
+        """Returns the address of the listed server with this name or dial address, or None."""
         if name in self.last_records:
             return name
         found = (
@@ -33,6 +35,7 @@
         return next(found, None)
 
     def update(self, servers: Iterable[api.Server], dials: Mapping[str, str]) -> None:
+        """Takes the servers of a list or of changes to it, before `effective_record` is asked for them."""
         for server in servers:
             self.last_records[server.address] = server
         self.dial_addresses.update(dials)
@@ -43,20 +46,20 @@
         self.disabled.discard(address)
 
     def effective_record(self, server: api.Server) -> api.Server:
-        """A record as the module is to see it."""
+        """Returns a record as the decision module must see it."""
         if server.address in self.disabled and server.state is Lifecycle.READY:
             return dataclasses.replace(server, state=Lifecycle.DRAINING)
         return server
 
     def disable(self, address: str) -> api.Server | None:
-        """Takes a server out; the record to tell, or None where it was out already."""
+        """Takes a server out of rotation; returns its new effective record, None if it was out already."""
         if address in self.disabled:
             return None
         self.disabled.add(address)
         return self.effective_record(self.last_records[address])
 
     def enable(self, address: str) -> api.Server | None:
-        """Puts a server back; the list's own last record, or None where it was not out."""
+        """Puts a server back; returns its last listed record, None if it was not out of rotation."""
         if address not in self.disabled:
             return None
         self.disabled.discard(address)
--- a/frostport/core/rules.py
+++ b/frostport/core/rules.py
@@ -1,4 +1,7 @@
-"""The guard before every send. It decides nothing: what it stops would have broken a rule."""
+"""Checks every send of the decision module against the rules, and stops those that would break one.
+
+It makes no decisions of its own.
+"""
 
 from __future__ import annotations
 
@@ -13,59 +16,64 @@
 
 log = logging.getLogger("frostport.rules")
 
+# After these the server may still be running the attempt, so the release guard starts.
 UNCLEAN_OUTCOMES = (api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED)
 
 
 @dataclass(slots=True)
 class ListedServer:
-    """What the list last said of a server, and since when it has said that nothing new may go there."""
+    """The last listed state of a server."""
 
     number: int
-    closed_since_ms: float | None = None
+    closed_since_ms: float | None = None  # since when the list has forbidden new calls there
 
 
 class Rules:
-    """Keeps what the rules need to know and says why a send may not go."""
+    """The state that the rules depend on, and the check of a send against it.
+
+    `drain_grace_ms`: how long a send may still go to a server after the list has marked it as draining."""
 
     def __init__(self, settings: api.Settings, drain_grace_ms: float) -> None:
         self.settings, self.drain_grace_ms = settings, drain_grace_ms
         self.pools_by_class = {call_class.name: call_class.pools for call_class in settings.classes}
         self.single_run_classes = {
-            cls.name for cls in settings.classes if cls.effect is api.Effect.SIDE_EFFECT
+            call_class.name for call_class in settings.classes if call_class.effect is api.Effect.SIDE_EFFECT
         }
         self.servers: dict[str, ListedServer] = {}
         self.violations: Counter[str] = Counter()
 
     def update_list(self, kind: ListKind, servers: Iterable[api.Server], now: float) -> set[str]:
-        """Takes in a list and returns the servers that it removes."""
+        """Takes the server list or changes to it, and returns the servers that this removes."""
         removed = set()
         named = set()
         for server in servers:
-            told = self.servers.setdefault(server.address, ListedServer(server.number))
-            told.number = server.number
+            listed = self.servers.setdefault(server.address, ListedServer(server.number))
+            listed.number = server.number
             named.add(server.address)
             if server.state is Lifecycle.READY:
-                told.closed_since_ms = None
+                listed.closed_since_ms = None
             else:
-                told.closed_since_ms = now if told.closed_since_ms is None else told.closed_since_ms
+                listed.closed_since_ms = now if listed.closed_since_ms is None else listed.closed_since_ms
             if server.state is Lifecycle.GONE:
                 removed.add(server.address)
         if kind in (ListKind.COMPLETE, ListKind.PERSISTED):
-            for address, told in self.servers.items():
+            for address, listed in self.servers.items():
                 if address not in named:
-                    told.closed_since_ms = now if told.closed_since_ms is None else told.closed_since_ms
+                    listed.closed_since_ms = now if listed.closed_since_ms is None else listed.closed_since_ms
                     removed.add(address)
         for address in removed:
-            del self.servers[address]  # the list names ever new ones: nothing is kept of one that has left
+            del self.servers[
+                address
+            ]  # the list keeps naming new servers: entries of removed ones would pile up
         return removed
 
     def restore(self, address: str, number: int, stop_at: float | None) -> None:
-        """What the list said before a restart; it stays in force until the list says otherwise."""
+        """Restores a server as listed before a restart; valid until the list changes it."""
         self.servers[address] = ListedServer(number, stop_at)
 
     def violation(self, request: Request, server: str, within_ms: float, now: float) -> str | None:
-        """Why this send may not go, or None."""
-        told = self.servers.get(server)
+        """Returns the rule that this send would break, or None."""
+        listed = self.servers.get(server)
         pools = self.pools_by_class.get(request.call_class)
         if request.attempt is not None:
             return "second attempt"
@@ -77,20 +85,21 @@
             return "may have run"
         if within_ms < 0.0 or now >= request.deadline_at_ms:
             return "too late"
-        if told is None or (pools is not None and told.number not in pools):
+        if listed is None or (pools is not None and listed.number not in pools):
             return "wrong server"
         return "drained server" if self.drained_past_grace(server, now) else None
 
     def drained_past_grace(self, server: str, now: float) -> bool:
-        """Whether a server has been draining past the grace."""
-        told = self.servers.get(server)
+        """Whether a server has been draining for longer than the grace period."""
+        listed = self.servers.get(server)
         return (
-            told is not None
-            and told.closed_since_ms is not None
-            and now > told.closed_since_ms + self.drain_grace_ms
+            listed is not None
+            and listed.closed_since_ms is not None
+            and now > listed.closed_since_ms + self.drain_grace_ms
         )
 
     def record_violation(self, request: Request, server: str, reason: str) -> None:
+        """Counts and logs a send that was stopped."""
         self.violations[reason] += 1
         log.warning(
             "send of %s to %s stopped: %s (%d so far)", request.id, server, reason, self.violations.total()
--- a/frostport/core/server_liveness.py
+++ b/frostport/core/server_liveness.py
@@ -1,13 +1,13 @@
 """Failure detection for one upstream server: a state machine without sockets or timers.
 
-Calls that stand at a server which has vanished are over, and nothing arrives that says so: their callers
-have to be told within 8 s all the same (the protocol page, the rules on sockets), whatever discovery says.
-A server that was only cut off returns with its calls, which have to be kept. The detector therefore asks
-a quiet server for a sign of life early and gives its calls up late.
-
-A sign of life on a connection that is older than the silence proves that the server's process has gone on.
-One on a newer connection proves only that some process serves at that address now: the calls from before
-the silence may have died with the process before it, and their time runs on.
+When a server vanishes, its established calls are lost without any message, and their callers have to be
+notified within 8 s nevertheless (the protocol page, the rules on sockets), whatever discovery reports. A
+server that was only unreachable returns with its calls, and these have to be kept. The detector therefore
+checks a quiet server early, and gives up its calls late.
+
+Data on a connection that is older than the silence proves that the server's process is still running. Data on
+a newer connection proves only that some process serves at that address now: the calls from before the silence
+may have been lost with an earlier process, so their time-out continues.
 """
 
 from __future__ import annotations
@@ -15,34 +15,37 @@
 import math
 from dataclasses import dataclass
 
-CHECK_PERIOD_MS = 500.0  # how often each server is looked at
-QUIET_AFTER_MS = 2000.0  # a server with standing calls that is silent for so long is asked for a sign of life
+CHECK_PERIOD_MS = 500.0  # how often each server is evaluated
+QUIET_AFTER_MS = 2000.0  # a server with established calls is checked after this long a silence
 RECHECK_INTERVAL_MS = 1000.0  # and again at this interval
-CHECK_TIMEOUT_MS = 1000.0  # a sign of life that was asked for takes no longer, or the server is suspected
-# Calls end after so long a silence: 8 s, less one period, and 0.5 s for a busy machine and the caller's line.
+CHECK_TIMEOUT_MS = 1000.0  # a server that has not answered a check by then is suspected
+# Calls are lost after this long a silence: 8 s, less one period, and less 0.5 s for a busy machine and the
+# caller's connection.
 CALLS_LOST_AFTER_MS = 8000.0 - CHECK_PERIOD_MS - 500.0
-PROCESS_PAUSE_MS = 3.0 * CHECK_PERIOD_MS  # a longer gap between two looks is a pause of this process itself
+PROCESS_PAUSE_MS = 3.0 * CHECK_PERIOD_MS  # a longer gap between two sweeps is a pause of this process itself
 
 
 @dataclass(frozen=True, slots=True)
 class CheckLiveness:
-    """The server is to be asked for a sign of life; `since_ms` is the last one where it is suspected."""
+    """The server has to be asked to send something.
+
+    `since_ms`: when it was last heard, if it is suspected; else None."""
 
     since_ms: float | None
 
 
 @dataclass(frozen=True, slots=True)
 class Suspected:
-    """Nothing was heard since a time, though it was asked for."""
+    """The server has not answered a check; it was last heard at `since_ms`."""
 
     since_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class CallsLost:
-    """The calls that stood at the server by a time count as over.
+    """The calls established at the server by `established_by_ms` count as lost.
 
-    Nothing was heard after `since_ms` on a connection that had been opened by then."""
+    Nothing was received after `since_ms` on a connection that had been opened by then."""
 
     since_ms: float
     established_by_ms: float
@@ -55,23 +58,25 @@
 class _Suspicion:
     since_ms: float
     lost_at_ms: float
-    newer_heard_ms: float | None = None  # when a connection that is newer than the silence first spoke
+    newer_heard_ms: float | None = None  # first data on a connection that is newer than the silence
 
     def established_by_ms(self, now_ms: float) -> float:
-        """Until when the calls in doubt stood: later ones stand at the process that speaks now."""
+        """Returns the time up to which calls are in doubt: later ones belong to the process heard now."""
         return now_ms if self.newer_heard_ms is None else math.nextafter(self.newer_heard_ms, 0.0)
 
 
 class ServerLiveness:
-    """What one server's silence means for the calls that stand there. All times in ms."""
+    """The failure detector of one server. All times are in ms.
+
+    The owner reports what it receives through `heard`, and calls `evaluate` every CHECK_PERIOD_MS."""
 
     def __init__(
         self, now_ms: float, lost_ms: float = CALLS_LOST_AFTER_MS, old_are_asked: bool = True
     ) -> None:
-        """`lost_ms`: the silence after which calls count as lost; no more than LOST_MS.
+        """`lost_ms`: the silence after which calls count as lost, at most CALLS_LOST_AFTER_MS.
 
-        `old_are_asked`: whether a quiet server is asked on the connections there are. If it is not, it is
-        asked by a new one, whose first word is the answer."""
+        `checks_old_connections`: whether a quiet server is checked on its existing connections. If not, it
+        is checked through a new connection, and the first data on that is the answer."""
         self._lost_ms = min(lost_ms, CALLS_LOST_AFTER_MS)
         self._checks_old_connections = old_are_asked
         self._last_heard_ms = now_ms
@@ -84,15 +89,15 @@
         return self._suspicion is not None
 
     def is_quiet(self, now_ms: float) -> bool:
-        """Whether there is anything to decide if calls stand at the server."""
+        """Whether `evaluate` would have anything to decide if the server has established calls."""
         return self._suspicion is not None or now_ms >= self._last_heard_ms + QUIET_AFTER_MS
 
     def heard_after(self, at_ms: float) -> bool:
-        """Whether anything was heard later than a time."""
+        """Whether anything was received later than `at_ms`."""
         return self._last_heard_ms > at_ms
 
     def heard(self, now_ms: float, opened_at_ms: float) -> bool:
-        """Something was read on a connection that was opened at a time; whether this ends a suspicion."""
+        """Data was received on a connection opened at `opened_at_ms`. Returns whether a suspicion ends."""
         if self._checks_old_connections and opened_at_ms > self._last_heard_ms:
             self._suspect_if_quiet(now_ms)
         self._last_heard_ms = now_ms
@@ -107,27 +112,29 @@
         return True
 
     def connection_reset(self, now_ms: float) -> None:
-        """A connection was reset by the other side: after a silence, perhaps by a later process."""
+        """The server has reset a connection: after a silence, this may have been a newer process."""
         self._suspect_if_quiet(now_ms)
 
     def _suspect_if_quiet(self, now_ms: float) -> None:
-        """Suspects a server that has been quiet: the process that is heard now may be another."""
+        """Suspects a server that has been quiet: the process that is heard now may be a newer one."""
         if self._suspicion is None and now_ms >= self._last_heard_ms + QUIET_AFTER_MS:
             self._suspicion = _Suspicion(self._last_heard_ms, self._last_heard_ms + self._lost_ms)
 
     def process_paused(self, now_ms: float) -> None:
-        """This process itself has been stopped or starved: its silence is not the server's.
+        """This process itself was stopped or starved, so the silence is not the server's.
 
-        The server is asked at once, and gets as long to answer as one that has just become quiet."""
+        The server is checked at once, and gets as long to answer as one that has just become quiet."""
         self._last_heard_ms = max(self._last_heard_ms, now_ms - QUIET_AFTER_MS)
         self._last_check_ms = now_ms - RECHECK_INTERVAL_MS
         if self._suspicion is not None:
             least = now_ms + self._lost_ms - QUIET_AFTER_MS
             self._suspicion.lost_at_ms = max(self._suspicion.lost_at_ms, least)
 
-    def evaluate(self, now_ms: float, calls_stand: bool) -> list[Action]:
-        """What is to be done now, in order; to be called every PERIOD_MS while `quiet`."""
-        if not calls_stand:
+    def evaluate(self, now_ms: float, has_calls: bool) -> list[Action]:
+        """Returns the actions to take now, in order.
+
+        To be called every CHECK_PERIOD_MS while `is_quiet`. `has_calls`: whether calls are established."""
+        if not has_calls:
             self._suspicion = None
             return []
         actions: list[Action] = []
--- a/frostport/core/shutdown.py
+++ b/frostport/core/shutdown.py
@@ -1,7 +1,7 @@
-"""When a program that was told to end has to be done with what, counted from SIGTERM. Plain data, no I/O.
+"""The time limits of a shutdown, counted from SIGTERM. Plain data, no I/O.
 
-The platform's page: SIGKILL comes no sooner than the longest deadline (3 s where it is longer, 5 s on an
-upgrade) and 0.7 s more; new connections come for up to 0.4 s, requests on open ones for 0.2 s more.
+The platform guarantees: SIGKILL comes no sooner than 0.7 s after the longest deadline, which counts as 3 s at
+most (5 s on an upgrade). New connections arrive for up to 0.4 s, requests on open ones for 0.2 s more.
 """
 
 from __future__ import annotations
@@ -9,27 +9,25 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-MAX_RESTART_DEADLINE_MS, MAX_UPGRADE_DEADLINE_MS = (
-    3000.0,
-    5000.0,
-)  # more of the longest deadline than this does not count
-KILL_MARGIN_MS = 700.0  # from there to SIGKILL
-ANSWER_BEFORE_KILL_MS = 200.0  # the last answers are given so long before SIGKILL: they have to leave
-EXIT_BEFORE_KILL_MS = 50.0  # and the program ends so long before it, whoever has not read them
-ACCEPT_MS = 900.0  # what still comes has come by then
+# The longest deadline counts up to these limits.
+MAX_RESTART_DEADLINE_MS, MAX_UPGRADE_DEADLINE_MS = 3000.0, 5000.0
+KILL_MARGIN_MS = 700.0  # from the end of the longest deadline to SIGKILL
+ANSWER_BEFORE_KILL_MS = 200.0  # the last answers are given this long before SIGKILL, to be sent in time
+EXIT_BEFORE_KILL_MS = 50.0  # the process exits this long before SIGKILL, even if answers are still unread
+ACCEPT_MS = 900.0  # the last connections and requests have arrived by then
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """Ms after SIGTERM: until when requests are taken, when the last is answered, when the program ends."""
+    """Times in ms after SIGTERM."""
 
-    accept_until_ms: float
-    answer_by_ms: float
-    exit_by_ms: float
+    accept_until_ms: float  # requests are taken until then
+    answer_by_ms: float  # requests that are still open are failed then
+    exit_by_ms: float  # the process exits then at the latest
 
 
 def schedule(deadlines_ms: Iterable[float], most_ms: float = MAX_RESTART_DEADLINE_MS) -> Schedule:
-    """`deadlines_ms`: of all classes."""
+    """Returns the limits for the deadlines of all classes, which count up to `most_ms`."""
     kill = min(max(deadlines_ms, default=most_ms), most_ms) + KILL_MARGIN_MS
     answer = kill - ANSWER_BEFORE_KILL_MS
     return Schedule(min(ACCEPT_MS, answer), answer, kill - EXIT_BEFORE_KILL_MS)
--- a/frostport/core/slots.py
+++ b/frostport/core/slots.py
@@ -1,4 +1,4 @@
-"""Tables of numbered slots: connections and requests live in them."""
+"""Tables of numbered slots, for connections and requests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,9 @@
 
 
 class Slots(Generic[T]):
-    """Numbers count from 0; the one freed last is handed out first."""
+    """Gives each item a number, from 0; the number freed last is reused first.
+
+    `limit`: the most items that it holds at a time."""
 
     def __init__(self, limit: int | None = None) -> None:
         self._items: list[T | None] = []
@@ -23,6 +25,7 @@
         return self.limit is not None and len(self) >= self.limit
 
     def add(self, item: T) -> int:
+        """Returns the item's number. Raises OverflowError if the table is full."""
         if self.full():
             raise OverflowError(f"all {self.limit} slots are taken")
         if self._free:
@@ -36,6 +39,7 @@
         return self._items[number] if 0 <= number < len(self._items) else None
 
     def free(self, number: int) -> None:
+        """Raises KeyError if the slot is empty."""
         if self.get(number) is None:
             raise KeyError(number)
         self._items[number] = None
--- a/frostport/deadline_runner.py
+++ b/frostport/deadline_runner.py
@@ -1,4 +1,4 @@
-"""Runs deadlines on the reactor's timer."""
+"""Runs the deadlines of the process on the reactor's timer."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 log = logging.getLogger("frostport.agent")
 
-PROCESS_PAUSE_MS = 250.0  # a deadline that is later than this was held up by a pause of the process
-READ_TURNS = 3  # turns of the reactor in which what came meanwhile is read before late deadlines run
+PROCESS_PAUSE_MS = 250.0  # a deadline run later than this was delayed by a pause of the process
+READ_TURNS = 3  # turns of the reactor that read pending input before late deadlines run
 
 
 class DeadlineRunner:
-    """Runs the deadlines on the reactor's timer."""
+    """Keeps one reactor timer set to the first deadline."""
 
     def __init__(self, reactor: Any, clock: Clock, deadlines: Deadlines) -> None:
         self.reactor, self.clock, self.deadlines = reactor, clock, deadlines
@@ -30,15 +30,15 @@
             self._call = self.reactor.callLater(max(0.0, (at - self.clock.now()) / 1000.0), self.run)
 
     def run(self, read_turns: int = READ_TURNS) -> None:
-        """Runs what is due; after a pause of the process, only once what came meanwhile has been read.
+        """Runs the deadlines that are due; after a pause of the process, it reads pending input first.
 
-        Guards against taking an answer that lies unread in a socket for a silence."""
+        An answer that is still unread in a socket would otherwise count as a time-out."""
         at = self.deadlines.next_ms()
         if at is not None and read_turns and self.clock.now() > at + PROCESS_PAUSE_MS:
             self._call = self.reactor.callLater(0.0, self.run, read_turns - 1)
             return
         try:
             self.deadlines.run(self.clock.now())
-        except Exception:  # a fault in one deadline costs that deadline
-            log.exception("a deadline failed")
+        except Exception:  # an error in one deadline skips only that deadline
+            log.exception("deadline action failed")
         self.schedule()
--- a/frostport/diameter_side.py
+++ b/frostport/diameter_side.py
@@ -1,4 +1,4 @@
-"""Diameter on both sides of a call agent, composed; loaded only where the configuration has `diameter`."""
+"""Composes Diameter on both sides of a call agent; imported only if the configuration has `diameter`."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class DiameterSide:
-    """Diameter on both sides, set up by an operator's file."""
+    """Diameter to clients and servers, with the peers from the configuration."""
 
     def __init__(self, agent: AgentParts) -> None:
         config, wanted = agent.config, agent.config.diameter
@@ -61,10 +61,10 @@
         self.route.start()
 
     def reload(self, config: Config) -> None:
-        """Nothing of its own changes live."""
+        """Does nothing: no setting of Diameter is reloaded."""
 
     def restore(self, restored: Restored) -> None:
-        """Goes on with what was on record: this node's state id, peers, sessions, releases owed."""
+        """Restores the Origin-State-Id, the sessions, and the releases due to clients."""
         if restored.state_id is not None:
             self.identity.state_id = restored.state_id
         for call, standing in restored.standing.items():
@@ -73,9 +73,11 @@
         self.front.resume(restored.owed, restored.given)
 
     def adopt_call(self, call: str, standing: Standing) -> None:
+        """Takes over an established call: restores its session."""
         self.front.resume_session(call, standing.client, standing.team, "stands", standing.answer)
 
     def _restore_ended_sessions(self, restored: Restored) -> None:
+        """Restores the sessions of ended calls, so that repeated requests get the same answer."""
         for call, over in restored.over.items():
             if over.answer != "gone" and call not in self.front.sessions:
                 self.front.resume_session(
@@ -83,17 +85,21 @@
                 )
 
     def restore_from_predecessor(self, restored: Restored) -> None:
+        """Takes over what the previous process has left; called while serving."""
         self._restore_ended_sessions(restored)
         self.front.resume(restored.owed, restored.given)
         self.route.resume({}, restored.releases)
 
     def restore_owed_releases(self, restored: Restored) -> None:
+        """Restores the peers and the releases due to servers; called once the servers are known."""
         self.route.resume(restored.peers, restored.releases)
 
     def knows_server(self, server: str) -> bool:
+        """Whether this server is known, so that calls may be established there."""
         return server in self.route.servers
 
     def disconnect(self) -> None:
+        """Disconnects from all peers; the route opens no further connection."""
         self.route.ending = True
         self.front.disconnect()
         self.route.disconnect()
--- a/frostport/observe/__init__.py
+++ b/frostport/observe/__init__.py
@@ -1,1 +1,1 @@
-"""Event types, logs, records and figures: what the program tells of itself."""
+"""Observability: logs, event records and metrics."""
--- a/frostport/observe/statsd.py
+++ b/frostport/observe/statsd.py
@@ -1,10 +1,10 @@
-"""The figures of one process, as statsd text with the prefix `app`.
+"""The metrics of one process, as statsd text with the prefix `app`.
 
-Each figure is counted where its event happens (see `core/tally.py`), from 0 at the start; nothing is
-recomputed from the broker's tables when the figures are asked for. Per class `answered`, `deferred`,
-`errored`, `sends` (counters); `current`, `cluster_size`, `cluster_unhealthy` (gauges); `conf_loaded`,
-`conf_invalid` (counters); `calls_cut` and `servers_suspected` (counters): calls that ended with their server
-or with its silence, and how often a server with standing calls gave no sign of life.
+Each metric counts from 0 at the start, where its event happens (see `core/metrics.py`); nothing is computed
+from the broker's tables when the metrics are read. Per class `answered`, `deferred`, `errored`, `sends`
+(counters); `current`, `cluster_size`, `cluster_unhealthy` (gauges); `conf_loaded`, `conf_invalid` (counters);
+`calls_cut` and `servers_suspected` (counters): calls that were lost with their server or because of its
+silence, and how often a server with established calls did not answer a liveness check.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class StatsdMetrics(Metrics):
-    """Counters and gauges, kept as the events come."""
+    """Counters and gauges, updated with each event."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         classes = list(classes)
         self.counts: dict[str, dict[str, int]] = {name: dict.fromkeys(classes, 0) for name in PER_CLASS}
         self.current = 0
         self.cluster_size = 0
-        self.avoidance_reasons: dict[str, set[str]] = {}  # listed servers avoided now, with the reasons
+        self.avoidance_reasons: dict[str, set[str]] = {}  # by listed server that is avoided now
         self.calls_cut = 0
         self.servers_suspected = 0
         self.conf_loaded = 0
@@ -78,13 +78,13 @@
             self.conf_invalid += 1
 
     def lines(self) -> list[str]:
-        """The figures in statsd text, one a line."""
-        said = [
+        """Returns the metrics in statsd text, one a line."""
+        lines = [
             f"{PREFIX}.{name}.{call_class}:{count}|c"
             for name, counts in self.counts.items()
             for call_class, count in sorted(counts.items())
         ]
-        said += [
+        lines += [
             f"{PREFIX}.current:{max(0, self.current)}|g",
             f"{PREFIX}.cluster_size:{self.cluster_size}|g",
             f"{PREFIX}.cluster_unhealthy:{len(self.avoidance_reasons)}|g",
@@ -93,4 +93,4 @@
             f"{PREFIX}.conf_loaded:{self.conf_loaded}|c",
             f"{PREFIX}.conf_invalid:{self.conf_invalid}|c",
         ]
-        return said
+        return lines
--- a/frostport/operations.py
+++ b/frostport/operations.py
@@ -1,4 +1,4 @@
-"""What staff may ask at the operators' door."""
+"""The commands of the operators' port that concern this agent."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 
 
 class Operations:
-    """The calls of the door, by name."""
+    """Implements the commands; `operations` returns them by name."""
 
-    def __init__(self, broker: Broker, lifecycle: Lifecycle, figures: StatsdMetrics) -> None:
-        self.broker, self.lifecycle, self.figures = broker, lifecycle, figures
-        self.why_kept_out: Callable[[str], str] = lambda name: ""  # why a server ("": this agent) stays out
+    def __init__(self, broker: Broker, lifecycle: Lifecycle, metrics: StatsdMetrics) -> None:
+        self.broker, self.lifecycle, self.metrics = broker, lifecycle, metrics
+        self.why_kept_out: Callable[[str], str] = (
+            lambda name: ""
+        )  # why a server ("": this agent) must stay out
 
     def operations(self) -> dict[str, Operation]:
         return {
@@ -28,22 +30,22 @@
         }
 
     def disable_server(self, rest: str) -> list[str]:
-        return self._rotate(rest, True, "out of rotation")
+        return self._set_rotation(rest, True, "out of rotation")
 
     def enable_server(self, rest: str) -> list[str]:
-        return self._rotate(rest, False, "in rotation")
+        return self._set_rotation(rest, False, "in rotation")
 
-    def _rotate(self, rest: str, out: bool, said: str) -> list[str]:
+    def _set_rotation(self, rest: str, out: bool, result: str) -> list[str]:
         name = argument(rest)
         if not out and (why := self.why_kept_out(self.broker.rotation.find_address(name) or name)):
             raise OperatorError(why)
         address = self.broker.set_rotation(name, out)
         if address is None:
             raise OperatorError(f"unknown server {name[:60]!r}")
-        return [f"OK {address} {said}"]
+        return [f"OK {address} {result}"]
 
     def show_stat(self, _: str) -> list[str]:
-        return [*self.figures.lines(), "END"]
+        return [*self.metrics.lines(), "END"]
 
     def ready(self, _: str) -> list[str]:
         phase = self.lifecycle.phase
--- a/frostport/platform_side.py
+++ b/frostport/platform_side.py
@@ -1,4 +1,4 @@
-"""The platform's side of a call agent, composed; `side_diameter.py` has the other one."""
+"""Composes the platform protocol of a call agent; `diameter_side.py` composes Diameter."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
     from frostport.state.records import Standing
     from frostport.state.recovery import Restored
 
-CONNECT_TIMEOUT_MS = 500.0  # where the settings name none
+CONNECT_TIMEOUT_MS = 500.0  # unless the settings give one
 
 
 class AgentParts(Protocol):
-    """What a side is joined to."""
+    """The parts of the agent that a side uses."""
 
     config: Config
     reactor: Any
@@ -45,7 +45,7 @@
 
 
 class PlatformSide:
-    """The platform's wires: JSON lines on both sides, the event bus, datagrams."""
+    """The platform protocol: JSON lines to clients and servers, the event bus, datagrams to other agents."""
 
     def __init__(self, agent: AgentParts) -> None:
         self.agent, config = agent, agent.config
@@ -55,7 +55,7 @@
         )
         agent.broker.route = self.servers
         due = agent.gate.descriptors.due
-        due[Owner.BUS] = 2 if config.bus else 0  # the one that is left, and the one that it moves to
+        due[Owner.BUS] = 2 if config.bus else 0  # the current connection, and the one that it moves to
         self.servers.due = partial(due.__setitem__, Owner.SERVERS)
         self.list = ServerList(agent.broker, self.servers)
         self.bus = EventBus(self.list, config.bus, agent.connect, random.Random(config.seed))
@@ -78,7 +78,7 @@
         self.bus.move(config.bus)
 
     def restore(self, restored: Restored) -> None:
-        """Goes on with what was on record: the list, and releases owed to clients."""
+        """Restores the server list, and the releases due to clients."""
         if restored.offset >= 0:
             self.list.resume(
                 restored.offset,
@@ -88,27 +88,27 @@
         self.front.resume(restored.owed, restored.given)
 
     def restore_owed_releases(self, restored: Restored) -> None:
-        """Releases owed to servers, once these are known."""
+        """Restores the releases due to servers; called once the servers are known."""
         self.servers.resume(restored.releases)
 
     def adopt_call(self, call: str, standing: Standing) -> None:
-        """A call that stands from before, or elsewhere."""
+        """Takes over an established call; the platform protocol keeps no state for it."""
 
     def restore_from_predecessor(self, restored: Restored) -> None:
-        """While serving: releases that a process before this one still owed."""
+        """Takes over the releases that the previous process still had to make; called while serving."""
         self.front.resume(restored.owed, restored.given)
         self.servers.resume(restored.releases)
 
     def knows_server(self, server: str) -> bool:
-        """Whether this server can still be called."""
+        """Whether this server is known, so that calls may be established there."""
         return server in self.servers.members
 
     def disconnect(self) -> None:
-        """Nothing is said to anyone: calls that stand do so without this program."""
+        """Sends nothing: established calls go on without this process."""
 
 
 class FrontFactory(Factory):
-    """Hands each accepted connection to a front."""
+    """Builds the front's protocol for each accepted connection; `build` takes the peer's address."""
 
     noisy = False
 
