--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,6 +1,6 @@
-"""A client that closes or cancels has gone: no attempt begins for it afterwards, wherever it waits.
+"""No attempt starts for a client that has closed its connection or given up, wherever its request waits.
 
-And the other way: whoever is still there hears one final answer before its connection is closed."""
+A client that is still connected gets one final answer before its connection is closed."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     expect s0 START a
     send s0 FINISH a rc=41
 """
-ASKED_AND_GIVEN_UP = (
+SET_UP_AND_GIVE_UP = (
     r'{"verb":"START","tag":"000000000000000a","opts":{"class":"race","left":"3000"},"blob":"x"}\n'
     r'{"verb":"FINISH","tag":"000000000000000a","opts":{},"rc":16}\n'
 )
 GONE = {
-    "closed, held by the module": HELD
+    "closed, held by the decision module": HELD
     + """
         close c1 unheard
         wait 400
@@ -42,7 +42,7 @@
         expect s1 nothing
         expect agent open 0
     """,
-    "cancelled, held by the module, and come again under its id: one attempt": HELD
+    "given up, held by the decision module, and repeated with the same id: one attempt": HELD
     + """
         send c1 FINISH a rc=16
         send c1 START a class=race left=3000 extras=dest:0
@@ -50,7 +50,7 @@
         expect s0 START a
         expect s1 nothing
     """,
-    "cancelled by one that does not read, held by the module: heard, what it asks then is not begun": HELD
+    "given up without reading, held by the decision module: no further set-up starts until it reads": HELD
     + """
         send c1 stuck
         send c1 START b class=race left=3000 extras=dest:0
@@ -64,14 +64,14 @@
         expect s0 START b
         expect s0 nothing
     """,
-    "cancelled in one write with its set-up, under an id that is over": """
+    "given up in one write with its set-up, with the id of an ended call": """
         send c1 START a class=race left=3000 extras=dest:0
         expect s0 START a
         send c1 FINISH a rc=16
         expect s0 FINISH a rc=16
         wait 600
         send c1 raw """
-    + ASKED_AND_GIVEN_UP
+    + SET_UP_AND_GIVE_UP
     + """
         expect s0 nothing
         expect c1 FINISHED a
@@ -93,7 +93,7 @@
         expect s1 nothing
         expect agent open 0
     """,
-    "closed, behind a dial that comes up": LATE_DIAL
+    "closed, waiting for a dial that succeeds": LATE_DIAL
     + """
         close c1 unheard
         wait 300
@@ -101,7 +101,7 @@
         expect s0 nothing
         expect agent open 0
     """,
-    "its server drains past the grace, behind a dial that comes up": LATE_DIAL
+    "its server drains past the grace, waiting for a dial that succeeds": LATE_DIAL
     + f"""
         send bus {event(2, host(0, "draining"))}
         wait 499
@@ -109,7 +109,7 @@
         expect s0 nothing
         expect s1 START a
     """,
-    "its server leaves the list, behind a dial that never comes up": LATE_DIAL
+    "its server leaves the list, waiting for a dial that never succeeds": LATE_DIAL
     + f"""
         send bus {event(2, host(0, "gone"))}
         expect s1 START a
@@ -126,7 +126,7 @@
     expect c1 nothing
 """
 ANSWERED = {
-    "an end that overtakes its answer, on another connection: the client hears both": TWO_CONNECTIONS
+    "an end that overtakes its answer, on another connection: the client gets both": TWO_CONNECTIONS
     + """
         send s0 STARTED a blob=table
         expect c1 STARTED a blob=table
@@ -148,7 +148,7 @@
         wait 600
         expect s1 nothing
     """,
-    "an end whose answer never comes, the client gives up: no call stands": TWO_CONNECTIONS
+    "an end whose answer never comes, the client gives up: no call is established": TWO_CONNECTIONS
     + """
         send c1 FINISH a rc=16
         expect s0 FINISH a rc=16
@@ -158,7 +158,7 @@
         expect c1 FINISHED a
         expect c1 nothing
     """,
-    "a client whose third set-up can't be read hears of its others before the close": """
+    "a client whose third set-up is malformed gets its other answers before the close": """
         send c1 START a class=race left=3000 extras=dest:0
         expect s0 START a
         send c1 START b class=none left=3000
@@ -171,7 +171,7 @@
         expect c1 closed
         expect s0 FINISH a rc=16
     """,
-    "a client that does not read for 2 s is closed; what it released meanwhile is released": """
+    "a client that does not read for 2 s is closed; releases that it has sent take effect": """
         send c1 START a class=race left=8000 extras=dest:0
         expect s0 START a
         send s0 STARTED a blob=answer
@@ -187,7 +187,7 @@
         expect s0 FINISH a rc=16
         expect s0 nothing
     """,
-    "a client that stops in a line hears of its set-ups before the close": """
+    "a client that stops within a line gets its answers before the close": """
         send c1 START a class=race left=8000 extras=dest:0
         expect s0 START a
         send c1 raw {"verb":
@@ -196,7 +196,7 @@
         expect c1 closed
         expect s0 FINISH a rc=16
     """,
-    "a second answer of another outcome some ms later: the call stands until its end": """
+    "a second answer of another outcome some ms later: the call stays established until its end": """
         send c1 START a class=race left=8000 extras=dest:0
         expect s0 START a
         send s0 STARTED a blob=answer
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize("name", GONE)
-def test_nothing_begins_for_a_client_that_has_gone(name: str) -> None:
+def test_no_attempt_starts_for_a_client_that_has_gone(name: str) -> None:
     record = platform()
     if "past the grace" in name:
         record["settings"] = {**record["settings"], "rules": {"drain-grace-ms": 100.0}}
@@ -220,12 +220,12 @@
 
 
 @pytest.mark.parametrize("name", ANSWERED)
-def test_one_final_answer_to_a_client_that_is_there(name: str) -> None:
+def test_one_final_answer_to_a_client_that_is_connected(name: str) -> None:
     play(ANSWERED[name], platform())
 
 
 def flood(world: World, after: bytes) -> Wire:
-    """A client's lines that fill a turn, and behind them the set-up `a` and more."""
+    """Delivers as many lines as are handled in one turn, then the set-up `a`, then `after`."""
     protocol = world.reactor.factory.buildProtocol(None)
     wire = Wire(world, protocol)
     wire.other = Wire(world, world.actors["c2"])
@@ -235,9 +235,9 @@
     return wire
 
 
-def begun(world: World) -> list[str]:
-    heard = world.actors["s0"].inbox + world.actors["s1"].inbox
-    return [said["tag"] for said in heard if said[""] == "START"]
+def started_calls(world: World) -> list[str]:
+    received = world.actors["s0"].inbox + world.actors["s1"].inbox
+    return [message["tag"] for message in received if message[""] == "START"]
 
 
 @pytest.mark.parametrize("together", [True, False])
@@ -246,12 +246,12 @@
     give_up = Message("FINISH", "a".zfill(16), rc=16).encode()
     wire = flood(world, give_up if together else b"")
     if not together:
-        assert not wire.paused  # it is read on while lines wait, or nobody would hear it
+        assert not wire.paused  # reading goes on while lines wait, or the give-up would be missed
         wire.deliver(give_up)
     world.settle()
-    assert begun(world) == [] and world.agent.broker.open_count == 0
-    heard = [(said[""], said["tag"]) for said in world.actors["c2"].inbox]
-    assert heard.count(("FINISHED", "a")) == 1 and ("FINISH", "a") not in heard
+    assert started_calls(world) == [] and world.agent.broker.open_count == 0
+    received = [(message[""], message["tag"]) for message in world.actors["c2"].inbox]
+    assert received.count(("FINISHED", "a")) == 1 and ("FINISH", "a") not in received
 
 
 def test_a_close_behind_a_turn_of_lines_stops_the_set_ups_before_it_and_not_the_releases() -> None:
@@ -267,11 +267,11 @@
     wire = flood(world, Message("FINISH", "b".zfill(16), rc=16).encode())
     wire.protocol.connectionLost(failure(error.ConnectionLost))
     world.settle()
-    assert begun(world) == [] and world.agent.broker.open_count == 0
+    assert started_calls(world) == [] and world.agent.broker.open_count == 0
     world.step("expect s0 FINISH b rc=16")
 
 
-def test_a_close_is_told_behind_bytes_that_nobody_has_read() -> None:
+def test_a_close_is_detected_behind_unread_bytes() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client = socket.create_connection(listener.getsockname())
         ours, _ = listener.accept()
@@ -280,13 +280,13 @@
             client.sendall(b"unread")
             assert not liveness.closed(ours)
             client.close()
-            while not liveness.closed(ours):  # bounded by the test's own time; loopback tells at once
+            while not liveness.closed(ours):  # bounded by the test's time-out; immediate on loopback
                 pass
-        assert not liveness.closed(ours)  # ours is closed: its owner has been told
+        assert not liveness.closed(ours)  # this end is closed, which its owner knows
         assert not liveness.closed(object())
 
 
-def test_a_request_that_the_module_has_lost_sight_of_is_answered_just_after_its_time() -> None:
+def test_a_request_that_the_decision_module_never_answers_fails_just_after_its_deadline() -> None:
     world = play("send c1 ECHO 1 rc=0", platform())
     world.agent.broker.decision_module = type("Deaf", (), {"handle": lambda self, event, now: []})()
     for line in (
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Who may import whom, and what the deploy file names."""
+"""The layers of the packages, and the parts that the deploy file names."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     return names
 
 
-# The rooms, from the ground up: a room imports rooms of lower floors only, and none beside it.
-FLOORS = {
+# The layer of each package and root module: each imports lower layers only, and none of its own layer.
+LAYERS = {
     "interface": 1,
     "settings": 1,
     "version": 1,
@@ -45,46 +45,48 @@
     "config_fleet": 5,
     "config_startup": 5,
     "starting": 6,
-    "side_diameter": 6,
+    "diameter_side": 6,
     "agent": 6,
     "durability": 6,
-    "sides": 6,
+    "platform_side": 6,
     "operations": 6,
     "handover": 6,
     "fleet": 6,
-    "pump": 6,
+    "deadline_runner": 6,
     "work": 6,
     "cli": 7,
     "__main__": 8,
 }
-NAMED = {
+# Imports that are allowed against the layers.
+EXCEPTIONS = {
     ("settings", "interface"),
     ("adapter", "settings"),
-    ("adapter", "decide"),  # the simulator's wire
+    ("adapter", "decide"),  # the simulator's protocol
     ("store", "core"),  # the clock and the deadlines of the committer
     ("agent", "durability"),
-    ("agent", "sides"),
+    ("agent", "platform_side"),
     ("agent", "operations"),  # composition
     ("durability", "handover"),
     ("agent", "fleet"),
-    ("agent", "pump"),
-    ("fleet", "pump"),
+    ("agent", "deadline_runner"),
+    ("fleet", "deadline_runner"),
     ("fleet", "work"),
     ("config", "config_startup"),
     ("config_startup", "config"),
     ("agent", "starting"),
     ("starting", "fleet"),
     ("config", "config_fleet"),
-    ("config_fleet", "config"),  # a part of it, read only where there is one
-    ("durability", "sides"),
-    ("durability", "side_diameter"),
-    ("agent", "side_diameter"),
-    ("side_diameter", "sides"),
+    ("config_fleet", "config"),  # a section of it, imported only where it is configured
+    ("durability", "platform_side"),
+    ("durability", "diameter_side"),
+    ("agent", "diameter_side"),
+    ("diameter_side", "platform_side"),
     ("handover", "durability"),
-    ("work", "fleet"),  # for their types alone
+    ("work", "fleet"),  # only for types
     ("cli", "cli"),
 }
-LIBRARIES = {
+# Libraries and modules that a package must not import.
+FORBIDDEN = {
     "core": ("twisted", "socket", "orjson", "sqlite3", "msgspec"),
     "state": ("twisted", "socket", "os", "pathlib", "sqlite3"),
     "store": ("twisted", "socket"),
@@ -99,28 +101,30 @@
 FILES = sorted((ROOT / "frostport").rglob("*.py"))
 
 
-def room(path: pathlib.Path) -> str:
+def package(path: pathlib.Path) -> str:
     inside = path.relative_to(ROOT / "frostport")
     return inside.parts[0].removesuffix(".py")
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: str(path.relative_to(ROOT / "frostport")))
-def test_a_room_imports_what_is_below_it(path: pathlib.Path) -> None:
-    here = room(path)
-    if here == "__init__":
+def test_a_package_imports_lower_layers_only(path: pathlib.Path) -> None:
+    importer = package(path)
+    if importer == "__init__":
         return
     for name in imported(path):
         if name.startswith("frostport."):
-            there = name.split(".")[1]
-            if there in FLOORS and there != here:
-                assert FLOORS[there] < FLOORS[here] or (here, there) in NAMED, f"{path.name} imports {name}"
-        assert not name.startswith(LIBRARIES.get(here, ("-",))) or name.startswith("frostport"), name
+            target = name.split(".")[1]
+            if target in LAYERS and target != importer:
+                assert LAYERS[target] < LAYERS[importer] or (importer, target) in EXCEPTIONS, (
+                    f"{path.name} imports {name}"
+                )
+        assert not name.startswith(FORBIDDEN.get(importer, ("-",))) or name.startswith("frostport"), name
 
 
-def test_the_agent_knows_no_stand_in() -> None:
-    apart = {"standins", "tests", "benchmarks"}
+def test_the_agent_imports_no_test_code() -> None:
+    test_packages = {"standins", "tests", "benchmarks"}
     for path in FILES:
-        assert not [name for name in imported(path) if name.split(".")[0] in apart]
+        assert not [name for name in imported(path) if name.split(".")[0] in test_packages]
 
 
 def test_the_deploy_file_names_every_part_of_the_agent() -> None:
@@ -153,7 +157,7 @@
 
 
 def refused_in(path: pathlib.Path) -> set[str]:
-    """What of the standing days' refusals (programs, fork, splice, sendfile, Unix sockets) a file uses."""
+    """The names used in a file that the platform refuses: programs, fork, splice, sendfile, Unix sockets."""
     used = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name):
@@ -161,7 +165,7 @@
     return (imported(path) | used) & REFUSED
 
 
-def test_run_is_one_process_that_asks_for_nothing_refused() -> None:
+def test_run_is_one_process_that_uses_nothing_refused() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     assert deploy["run"].startswith("exec ")
     assert not set(deploy["run"]) & set(";&|`$()<>")  # one command, nothing before or after it
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The limits of the decision module, and the README's example."""
+"""The limits on the decision module's source, and the README's example."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     assert max(len(line) for line in lines) <= 110
 
 
-def test_its_head_names_the_interface() -> None:
-    head = ast.get_docstring(ast.parse(MODULE))
-    assert head is not None and "frostport/interface.py" in head
+def test_its_docstring_names_the_interface() -> None:
+    docstring = ast.get_docstring(ast.parse(MODULE))
+    assert docstring is not None and "frostport/interface.py" in docstring
 
 
 def test_no_clock_no_input_and_no_hash_order() -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -398,9 +398,9 @@
 
 
 def test_a_server_out_of_rotation_is_unhealthy() -> None:
-    from tests.test_figures import figures, played
+    from tests.test_figures import metrics, world_after
 
-    world = played("door disable-server h1 => OK")
-    assert figures(world)["cluster_unhealthy"] == 1
+    world = world_after("door disable-server h1 => OK")
+    assert metrics(world)["cluster_unhealthy"] == 1
     world.step("door enable-server h1 => OK")
-    assert figures(world)["cluster_unhealthy"] == 0
+    assert metrics(world)["cluster_unhealthy"] == 0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The guards for the five rules."""
+"""The decision module keeps the five rules."""
 
 from __future__ import annotations
 
@@ -22,58 +22,58 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_each_call_gets_one_answer_in_time_one_attempt_out_and_the_release_wait(seed: int) -> None:
-    """A storm of outcomes: rules 1, 2 and 5 looked at from outside."""
-    dice = random.Random(seed)
+def test_each_call_gets_one_answer_in_time_one_pending_attempt_and_the_release_guard(seed: int) -> None:
+    """Random outcomes, checked against rules 1, 2 and 5 from outside the module."""
+    chance = random.Random(seed)
     proxy = Proxy(3, seed=seed)
-    end: dict[str, float] = {}
-    out: dict[str, str] = {}
+    deadline_at: dict[str, float] = {}
+    pending: dict[str, str] = {}
     answered: dict[str, float] = {}
-    barred: dict[str, float] = {}
+    guarded_until: dict[str, float] = {}
 
-    def look() -> None:
+    def check_actions() -> None:
         for at, action in proxy.log:
             if isinstance(action, api.SendAttempt):
-                assert action.call not in out and action.call not in answered
-                assert at >= barred.get(action.call, 0.0)
-                assert at + action.within_ms <= end[action.call] + 0.01
-                out[action.call] = action.server
+                assert action.call not in pending and action.call not in answered
+                assert at >= guarded_until.get(action.call, 0.0)
+                assert at + action.within_ms <= deadline_at[action.call] + 0.01
+                pending[action.call] = action.server
             if isinstance(action, api.RefuseCall | api.FailCall):
-                assert action.call not in answered and action.call not in out
+                assert action.call not in answered and action.call not in pending
                 answered[action.call] = at
         proxy.log.clear()
 
     for step in range(1500):
-        if step < 1000 and dice.random() < 0.5:
-            budget = dice.choice([10.0, 400.0, 3000.0])
+        if step < 1000 and chance.random() < 0.5:
+            budget = chance.choice([10.0, 400.0, 3000.0])
             proxy.calls += 1
             name = f"call-{proxy.calls}"
-            end[name] = proxy.now + budget
+            deadline_at[name] = proxy.now + budget
             proxy.give(
                 api.CallArrived(
-                    name, dice.choice(["plain", "dear"]), "", budget, dice.randrange(3), proxy.calls
+                    name, chance.choice(["plain", "dear"]), "", budget, chance.randrange(3), proxy.calls
                 )
             )
-            look()
+            check_actions()
         proxy.run(20.0)
-        look()
-        for call, address in list(out.items()):
-            overdue = proxy.now >= end[call]
-            if not overdue and dice.random() > 0.05:
+        check_actions()
+        for call, address in list(pending.items()):
+            overdue = proxy.now >= deadline_at[call]
+            if not overdue and chance.random() > 0.05:
                 continue
-            outcome = api.Outcome.TIMEOUT if overdue else dice.choice(OUTCOMES)
-            del out[call]
-            if dice.random() < 0.2 and not overdue:
+            outcome = api.Outcome.TIMEOUT if overdue else chance.choice(OUTCOMES)
+            del pending[call]
+            if chance.random() < 0.2 and not overdue:
                 answered[call] = proxy.now
                 proxy.give(api.CallStands(call, proxy.attempts[call], address, 60.0))
-                look()
+                check_actions()
                 continue
             if outcome in (api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED):
-                barred[call] = proxy.now + proxy.settings.release_guard_ms
+                guarded_until[call] = proxy.now + proxy.settings.release_guard_ms
             proxy.give(api.AttemptEnded(call, proxy.attempts[call], address, outcome, 30.0, False))
-            look()
-    assert not out and set(answered) == set(end)
-    assert all(at <= end[call] + 20.0 for call, at in answered.items())
+            check_actions()
+    assert not pending and set(answered) == set(deadline_at)
+    assert all(at <= deadline_at[call] + 20.0 for call, at in answered.items())
 
 
 @pytest.mark.parametrize("state", [api.Lifecycle.DRAINING, api.Lifecycle.GONE])
@@ -107,7 +107,7 @@
     assert before is not None and proxy.control().ceiling == before
 
 
-def test_a_cold_server_gets_its_part_and_warms_up() -> None:
+def test_a_cold_server_gets_its_share_and_warms_up() -> None:
     proxy = Proxy()
     proxy.load(10.0, 6.0, 60.0, first=1)
     cold = server(0, started=proxy.now)
@@ -121,13 +121,13 @@
             if isinstance(action, api.SendAttempt) and action.server == cold.address
         ]
     )
-    # A third of the six a second that the warm one takes, for three seconds of the ramp.
+    # The expected value is a third of the warm server's 6 calls/s, over the first 3 s of slow start.
     assert 3 <= early <= 14
     proxy.run(proxy.settings.cold_ms + decide.PENDING_MS + 2 * decide.TICK_MS)
     assert {sends(proxy.call(first=0)[1])[0].server for _ in range(30)} == {cold.address}
 
 
-def test_a_call_is_not_sent_again_within_the_release_wait() -> None:
+def test_a_call_is_not_sent_again_within_the_release_guard() -> None:
     proxy = Proxy()
     name, _ = proxy.call()
     proxy.fail(name, api.Outcome.RESET)
@@ -155,8 +155,8 @@
     assert finals(proxy.fail(name, api.Outcome.ERROR)) == [name]
 
 
-def test_a_small_cold_server_gets_the_part_of_its_size() -> None:
-    # Found where a small server restarted beside a large one and was flooded when its ramp ended.
+def test_a_small_cold_server_gets_the_share_of_its_size() -> None:
+    # A small server that restarted beside a large one was flooded at the end of its slow start.
     proxy = Proxy(report_columns=("free", "size"))
     for number, lines in ((0, 20.0), (1, 200.0)):
         proxy.give(api.ServerReport(server(number).address, api.Outcome.OK, 0.0, (lines, lines)))
--- a/tests/test_server_liveness.py
+++ b/tests/test_server_liveness.py
@@ -1,4 +1,4 @@
-"""The failure detector of one server: what silence, signs of life and pauses lead to, on a set clock."""
+"""The failure detector of one server: its actions on silence, received data and pauses of this process."""
 
 from __future__ import annotations
 
@@ -14,11 +14,13 @@
 )
 
 START_MS = 1000.0
-TOLD_MS = 8000.0  # by the protocol page, callers are told within this after the end of their call
+NOTIFY_LIMIT_MS = 8000.0  # the protocol page: callers are notified this long after their call ended
 
 
-def looked(liveness: ServerLiveness, begin_ms: float, end_ms: float, calls: bool = True) -> list[object]:
-    """What a server's detector asks for while it is looked at every period, until its calls are lost."""
+def actions_until_lost(
+    liveness: ServerLiveness, begin_ms: float, end_ms: float, calls: bool = True
+) -> list[object]:
+    """Evaluates a detector every period, until its calls are lost, and returns the actions."""
     actions: list[object] = []
     now_ms = begin_ms
     while now_ms <= end_ms:
@@ -29,9 +31,9 @@
     return actions
 
 
-def test_a_silent_server_is_asked_then_suspected_then_its_calls_are_lost_within_the_limit() -> None:
+def test_a_silent_server_is_checked_then_suspected_then_its_calls_are_lost_within_the_limit() -> None:
     liveness = ServerLiveness(START_MS)
-    actions = looked(liveness, START_MS, START_MS + TOLD_MS - CHECK_PERIOD_MS)
+    actions = actions_until_lost(liveness, START_MS, START_MS + NOTIFY_LIMIT_MS - CHECK_PERIOD_MS)
     kinds = list(dict.fromkeys(type(action) for action in actions))
     assert kinds == [CheckLiveness, Suspected, CallsLost]
     assert sum(isinstance(action, Suspected) for action in actions) == 1
@@ -39,7 +41,7 @@
     assert not liveness.suspected
 
 
-def test_a_server_that_speaks_is_never_asked() -> None:
+def test_a_server_that_sends_is_never_checked() -> None:
     liveness = ServerLiveness(START_MS)
     for now_ms in range(int(START_MS), 60_000, int(QUIET_AFTER_MS) - 1):
         liveness.heard(now_ms, START_MS)
@@ -47,36 +49,36 @@
         assert liveness.evaluate(now_ms + QUIET_AFTER_MS - 1.0, True) == []
 
 
-def test_one_without_standing_calls_is_neither_asked_nor_suspected() -> None:
-    assert looked(ServerLiveness(START_MS), START_MS, START_MS + 60_000.0, calls=False) == []
+def test_a_server_without_established_calls_is_neither_checked_nor_suspected() -> None:
+    assert actions_until_lost(ServerLiveness(START_MS), START_MS, START_MS + 60_000.0, calls=False) == []
 
 
-def test_an_old_connection_that_speaks_again_keeps_the_calls() -> None:
+def test_data_on_an_old_connection_keeps_the_calls() -> None:
     liveness = ServerLiveness(START_MS)
     back_ms = START_MS + CALLS_LOST_AFTER_MS - CHECK_PERIOD_MS
-    looked(liveness, START_MS, back_ms - CHECK_PERIOD_MS)
+    actions_until_lost(liveness, START_MS, back_ms - CHECK_PERIOD_MS)
     assert liveness.suspected
     assert liveness.heard(back_ms, START_MS - 500.0)
-    assert looked(liveness, back_ms, back_ms + QUIET_AFTER_MS - 1.0) == []
+    assert actions_until_lost(liveness, back_ms, back_ms + QUIET_AFTER_MS - 1.0) == []
 
 
-def test_a_new_connection_that_speaks_does_not_keep_calls_from_before_the_silence() -> None:
+def test_data_on_a_new_connection_does_not_keep_calls_from_before_the_silence() -> None:
     liveness = ServerLiveness(START_MS)
-    looked(liveness, START_MS, START_MS + QUIET_AFTER_MS + CHECK_TIMEOUT_MS)
+    actions_until_lost(liveness, START_MS, START_MS + QUIET_AFTER_MS + CHECK_TIMEOUT_MS)
     actions: list[object] = []
-    for now_ms in range(int(START_MS + 4000.0), int(START_MS + TOLD_MS), int(CHECK_PERIOD_MS)):
+    for now_ms in range(int(START_MS + 4000.0), int(START_MS + NOTIFY_LIMIT_MS), int(CHECK_PERIOD_MS)):
         assert not liveness.heard(now_ms, START_MS + 3900.0)
         actions += liveness.evaluate(now_ms, True)
         if any(isinstance(action, CallsLost) for action in actions):
             break
     lost = actions[-1]
     assert isinstance(lost, CallsLost) and lost.since_ms == START_MS
-    # A call that stood just after the last word, which told of it, is in doubt; one that stands by the newer
-    # connection's first word is not.
+    # A call established just after the last data was received is in doubt; one established by the first data
+    # on the newer connection is not.
     assert START_MS + 5.0 < lost.established_by_ms < START_MS + 4000.0
 
 
-def test_a_pause_of_this_process_is_no_silence_of_the_server() -> None:
+def test_a_pause_of_this_process_does_not_count_as_silence_of_the_server() -> None:
     liveness = ServerLiveness(START_MS)
     resumed_ms = START_MS + 20_000.0
     liveness.process_paused(resumed_ms)
@@ -86,26 +88,26 @@
     assert liveness.evaluate(resumed_ms + CHECK_PERIOD_MS, True) == []
 
 
-def test_a_pause_within_a_suspicion_leaves_time_for_the_answer() -> None:
+def test_a_pause_during_a_suspicion_leaves_time_for_the_answer() -> None:
     liveness = ServerLiveness(START_MS)
-    looked(liveness, START_MS, START_MS + QUIET_AFTER_MS + CHECK_TIMEOUT_MS)
+    actions_until_lost(liveness, START_MS, START_MS + QUIET_AFTER_MS + CHECK_TIMEOUT_MS)
     resumed_ms = START_MS + CALLS_LOST_AFTER_MS + 5000.0
     liveness.process_paused(resumed_ms)
     assert not [action for action in liveness.evaluate(resumed_ms, True) if isinstance(action, CallsLost)]
-    actions = looked(liveness, resumed_ms, resumed_ms + CALLS_LOST_AFTER_MS)
+    actions = actions_until_lost(liveness, resumed_ms, resumed_ms + CALLS_LOST_AFTER_MS)
     assert [action.since_ms for action in actions if isinstance(action, CallsLost)] == [START_MS]
 
 
-def test_a_process_that_comes_back_within_the_first_check_does_not_keep_the_calls_of_the_one_before() -> None:
+def test_a_process_restarted_before_the_first_check_does_not_keep_the_calls_of_the_old_one() -> None:
     liveness = ServerLiveness(START_MS)
     back_ms = START_MS + QUIET_AFTER_MS + 100.0
     assert not liveness.heard(back_ms, back_ms - 10.0)
     assert liveness.suspected
-    lost = looked(liveness, back_ms, START_MS + TOLD_MS)[-1]
+    lost = actions_until_lost(liveness, back_ms, START_MS + NOTIFY_LIMIT_MS)[-1]
     assert isinstance(lost, CallsLost) and START_MS < lost.established_by_ms < back_ms
 
 
-def test_where_a_quiet_server_is_asked_by_a_new_connection_its_first_word_is_the_answer() -> None:
+def test_with_checks_on_a_new_connection_its_first_data_is_the_answer() -> None:
     liveness = ServerLiveness(START_MS, old_are_asked=False)
     answered_ms = START_MS + QUIET_AFTER_MS + 100.0
     liveness.heard(answered_ms, answered_ms - 10.0)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM: every request taken gets one whole final answer before SIGKILL, whatever the longest deadline."""
+"""SIGTERM: each accepted request gets one complete final answer before SIGKILL, for any longest deadline."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from frostport.core.shutdown import MAX_RESTART_DEADLINE_MS, MAX_UPGRADE_DEADLINE_MS, schedule
 from tests.scenario import platform, play
 
-OUT = """
+PENDING = """
     send c1 START a class=race left=1000 extras=dest:0
     expect s0 START a
 """
 
 
-def short(deadline_ms: float = 1100.0) -> dict[str, Any]:
+def with_deadline(deadline_ms: float = 1100.0) -> dict[str, Any]:
     record = platform()
     services = [{"name": "race", "aim-ms": deadline_ms / 3.0, "deadline-ms": deadline_ms}]
     return {**record, "settings": {**record["settings"], "services": services}}
 
 
 @pytest.mark.parametrize(
-    ("longest", "most", "kill"),
+    ("longest", "limit", "kill"),
     [
         (100.0, MAX_RESTART_DEADLINE_MS, 800.0),
         (1100.0, MAX_RESTART_DEADLINE_MS, 1800.0),
@@ -33,16 +33,16 @@
         (250.0, MAX_UPGRADE_DEADLINE_MS, 950.0),
     ],
 )
-def test_all_is_done_before_sigkill_and_what_comes_by_then_is_taken(
-    longest: float, most: float, kill: float
+def test_all_is_answered_before_sigkill_and_late_requests_are_accepted(
+    longest: float, limit: float, kill: float
 ) -> None:
-    plan = schedule([50.0, longest], most)
+    plan = schedule([50.0, longest], limit)
     assert 600.0 <= plan.accept_until_ms <= plan.answer_by_ms < plan.exit_by_ms < kill
-    assert plan.answer_by_ms >= kill - 250.0  # nothing is given up long before it has to be
+    assert plan.answer_by_ms >= kill - 250.0  # no request is failed much earlier than necessary
 
 
-SHORT = {
-    "a request that its server never answers, taken late": """
+SCENARIOS = {
+    "a late request that its server never answers": """
         send agent term
         wait 590
         send c1 START a class=race left=2000 extras=dest:0
@@ -56,7 +56,7 @@
         wait 60
         expect agent exit
     """,
-    "twice, and a reload between": OUT
+    "SIGTERM twice, with a reload in between": PENDING
     + """
         send agent term
         wait 100
@@ -70,7 +70,7 @@
         wait 770
         expect agent exit
     """,
-    "held for a retry": """
+    "a request that is held for a retry": """
         send c1 START a class=race left=2000 extras=dest:0
         expect s0 START a
         wait 300
@@ -84,7 +84,7 @@
         wait 60
         expect agent exit
     """,
-    "behind a dial that comes up late": """
+    "a request that waits for a slow dial": """
         close s0 late
         send c1 START a class=race left=1000 extras=dest:0
         send agent term
@@ -94,7 +94,7 @@
         send s0 STARTED a blob=x
         expect c1 STARTED a
     """,
-    "on a connection that is new after it": """
+    "a request on a connection opened after SIGTERM": """
         send agent term
         wait 400
         send c2 START b class=race left=1000 extras=dest:1
@@ -105,15 +105,15 @@
 }
 
 
-@pytest.mark.parametrize("name", SHORT)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_sigterm_with_a_short_longest_deadline(name: str) -> None:
-    play(SHORT[name], short())
+    play(SCENARIOS[name], with_deadline())
 
 
-def test_sigterm_during_a_drain_answers_what_is_open() -> None:
-    record = {**short(), "operator": "10.0.9.2:1"}
+def test_sigterm_during_a_drain_answers_open_requests() -> None:
+    record = {**with_deadline(), "operator": "10.0.9.2:1"}
     play(
-        OUT
+        PENDING
         + """
         door drain => OK
         send agent term
@@ -129,10 +129,10 @@
     )
 
 
-def test_a_client_that_does_not_read_keeps_the_program_no_longer_than_it_may() -> None:
-    world = play(OUT, short())
+def test_a_client_that_does_not_read_does_not_delay_the_exit() -> None:
+    world = play(PENDING, with_deadline())
     for wire in list(world.actors["c1"].wires):
-        wire.other.loseConnection = lambda: None  # what was written never leaves
+        wire.other.loseConnection = lambda: None  # written data is never flushed
     for line in (
         "send s0 STARTED a blob=x",
         "send agent term",
@@ -145,8 +145,8 @@
     assert world.agent.lifecycle.phase is Phase.STOPPED
 
 
-def test_sigterm_before_it_is_ready_ends_it() -> None:
-    world = play("expect c1 nothing", short())
-    world.agent.lifecycle.phase = Phase.STARTING  # as where it still waits for its turn to serve
+def test_sigterm_before_the_agent_is_ready_ends_it() -> None:
+    world = play("expect c1 nothing", with_deadline())
+    world.agent.lifecycle.phase = Phase.STARTING  # as while the agent waits for its turn to serve
     for line in ("send agent term", "expect agent phase closing", "wait 960", "expect agent exit"):
         world.step(line)
