--- a/tests/diameter.py
+++ b/tests/diameter.py
@@ -208,7 +208,7 @@
     if isinstance(world, DiameterWorld):
         agent = getattr(world, "agent", None)
         told = agent.rules.servers.get(actor.name) if agent is not None else None
-        world.log.append((world.clock.at, actor.name, way, heard, told.stop_at if told else None))
+        world.log.append((world.clock.at, actor.name, way, heard, told.closed_since_ms if told else None))
 
 
 def audit(world: DiameterWorld) -> Iterator[str]:
@@ -217,7 +217,7 @@
     free: dict[str, float] = {}  # session: not to be sent again before
     finals: dict[str, int] = {}
     asked: dict[str, int] = {}
-    for at, who, way, heard, stop_at in world.log:
+    for at, who, way, heard, closed_since_ms in world.log:
         name, call = heard[""], heard["tag"]
         if who.startswith("c"):
             asked[call] = asked.get(call, 0) + (name == "CCR-I")
@@ -228,8 +228,8 @@
                 yield f"{call}: two attempts out, at {out[call]} and {who}"
             if at < free.get(call, 0.0):
                 yield f"{call}: sent again {free[call] - at:.0f} ms too early"
-            if stop_at is not None and at > stop_at + 2000.0:
-                yield f"{call}: sent to {who}, draining since {at - stop_at:.0f} ms"
+            if closed_since_ms is not None and at > closed_since_ms + 2000.0:
+                yield f"{call}: sent to {who}, draining since {at - closed_since_ms:.0f} ms"
             out[call] = who
         elif name.startswith("CCA") and way == "says" and out.get(call) == who:
             del out[call]
--- a/trials/planted.py
+++ b/trials/planted.py
@@ -57,7 +57,7 @@
     real: Any = PlatformFront.call_established
 
     def call_established(self: PlatformFront, request: Any, description: Any) -> None:
-        connection = self.connections.get(request.place)
+        connection = self.connections.get(request.connection_id)
         real(self, request, description)
         if connection is not None:
             connection.open[request.id] = request
