--- a/frostport/core/broker.py
+++ b/frostport/core/broker.py
@@ -121,7 +121,7 @@
         request.deadline_at_ms = now + self.budgets.deadline_ms(
             request.call_class, request.deadline_at_ms - now
         )
-        wait = self.budgets.wait_ms(request.team, request.call_class, now)
+        wait = self.budgets.take_token(request.team, request.call_class, now)
         if wait > 0.0:
             log.info("%s over the budget of %s", request.team, request.call_class)
             self._refuse(request, wait)
--- a/frostport/core/calls.py
+++ b/frostport/core/calls.py
@@ -78,8 +78,8 @@
 def held_until(answered_at: float, now_ms: float, longest_ms: float) -> float:
     """Returns until when the end of a call is held back from a client that may lack the answer, ms.
 
-    A client that still waits takes an end that comes before the answer for a failure, and the answer after
-    it for a second one. No client waits longer than twice the longest deadline, `longest_ms`."""
+    A client that still waits would take an end before the answer for a failure, and would then get the
+    answer as a second one. No client waits longer than twice the longest deadline, `longest_ms`."""
     return min(answered_at + 2.0 * longest_ms, now_ms + MAX_RELEASE_HOLD_MS)
 
 
--- a/frostport/core/clock.py
+++ b/frostport/core/clock.py
@@ -26,7 +26,7 @@
         return time.monotonic() * 1000.0
 
 
-class SetClock(Clock):
+class ManualClock(Clock):
     """A clock for tests and simulations: reads the time in `at`, ms."""
 
     def __init__(self, now_ms: float = 0.0) -> None:
--- a/frostport/core/contracts.py
+++ b/frostport/core/contracts.py
@@ -134,15 +134,15 @@
         self._buckets: dict[tuple[str, str], tuple[float, float]] = {}  # tokens at a time, ms
         self.scale, self._scaled_at = 1.0, -math.inf  # multiple of the contracts' rates, and when it was set
 
-    def wait_ms(self, team: str, service: str, now: float) -> float:
+    def take_token(self, team: str, service: str, now: float) -> float:
         """Spends a token for a set-up and returns 0; without a token, returns how long until there is one."""
         contract = self.contracts.get(service)
         if contract is None:
             return 0.0
         rate = contract.set_ups_per_second * self.scale
-        most = max(1.0, rate * BURST_SECONDS)
-        tokens, at = self._buckets.get((team, service), (most, now))
-        tokens = min(most, tokens + (now - at) / 1000.0 * rate)
+        capacity = max(1.0, rate * BURST_SECONDS)
+        tokens, at = self._buckets.get((team, service), (capacity, now))
+        tokens = min(capacity, tokens + (now - at) / 1000.0 * rate)
         if len(self._buckets) >= MAX_BUCKETS:
             self._prune(now)
         if tokens >= 1.0:
--- a/frostport/core/dial_policy.py
+++ b/frostport/core/dial_policy.py
@@ -39,7 +39,7 @@
         """The list service has reported that there is no new event."""
 
     def list_event_received(self, offset: int, line: bytes) -> None:
-        """The list service has sent the event `line`, and the list stands at `offset` with it."""
+        """The list service has sent the event `line`, and with it the list is at `offset`."""
 
 
 LIST_SERVICE = "list service"
--- a/frostport/core/server_liveness.py
+++ b/frostport/core/server_liveness.py
@@ -17,7 +17,7 @@
 
 CHECK_PERIOD_MS = 500.0  # how often each server is evaluated
 QUIET_AFTER_MS = 2000.0  # a server with established calls is checked after this long a silence
-RECHECK_INTERVAL_MS = 1000.0  # and again at this interval
+RECHECK_INTERVAL_MS = 1000.0  # and again at this interval, until it is heard
 CHECK_TIMEOUT_MS = 1000.0  # a server that has not answered a check by then is suspected
 # Calls are lost after this long a silence: 8 s, less one period, and less 0.5 s for a busy machine and the
 # caller's connection.
--- a/frostport/core/shutdown.py
+++ b/frostport/core/shutdown.py
@@ -28,6 +28,6 @@
 
 def schedule(deadlines_ms: Iterable[float], most_ms: float = MAX_RESTART_DEADLINE_MS) -> Schedule:
     """Returns the limits for the deadlines of all classes, which count up to `most_ms`."""
-    kill = min(max(deadlines_ms, default=most_ms), most_ms) + KILL_MARGIN_MS
-    answer = kill - ANSWER_BEFORE_KILL_MS
-    return Schedule(min(ACCEPT_MS, answer), answer, kill - EXIT_BEFORE_KILL_MS)
+    kill_at = min(max(deadlines_ms, default=most_ms), most_ms) + KILL_MARGIN_MS
+    answer_by = kill_at - ANSWER_BEFORE_KILL_MS
+    return Schedule(min(ACCEPT_MS, answer_by), answer_by, kill_at - EXIT_BEFORE_KILL_MS)
--- a/frostport/deadline_runner.py
+++ b/frostport/deadline_runner.py
@@ -10,7 +10,7 @@
 
 log = logging.getLogger("frostport.agent")
 
-PROCESS_PAUSE_MS = 250.0  # a deadline run later than this was delayed by a pause of the process
+LATE_AFTER_MS = 250.0  # a deadline run later than this was delayed by a pause of the process
 READ_TURNS = 3  # turns of the reactor that read pending input before late deadlines run
 
 
@@ -34,7 +34,7 @@
 
         An answer that is still unread in a socket would otherwise count as a time-out."""
         at = self.deadlines.next_ms()
-        if at is not None and read_turns and self.clock.now() > at + PROCESS_PAUSE_MS:
+        if at is not None and read_turns and self.clock.now() > at + LATE_AFTER_MS:
             self._call = self.reactor.callLater(0.0, self.run, read_turns - 1)
             return
         try:
--- a/frostport/diameter_side.py
+++ b/frostport/diameter_side.py
@@ -24,21 +24,21 @@
     """Diameter to clients and servers, with the peers from the configuration."""
 
     def __init__(self, agent: AgentParts) -> None:
-        config, wanted = agent.config, agent.config.diameter
-        assert wanted is not None
+        config, settings = agent.config, agent.config.diameter
+        assert settings is not None
         identity = self.identity = Identity(
-            wanted.host, wanted.realm, int(agent.clock.now() / 1000.0), split(config.listen)[0]
+            settings.host, settings.realm, int(agent.clock.now() / 1000.0), split(config.listen)[0]
         )
-        chance = random.Random(config.seed)
-        numbers = {server.host: server.number for server in wanted.servers}
+        rng = random.Random(config.seed)
+        numbers = {server.host: server.number for server in settings.servers}
         self.front = DiameterFront(
             agent.broker,
             agent.lifecycle,
             identity,
-            wanted.clients,
+            settings.clients,
             numbers,
-            wanted.watchdog_ms,
-            chance,
+            settings.watchdog_ms,
+            rng,
             agent.gate,
             liveness.closed,
         )
@@ -46,10 +46,10 @@
             agent.broker,
             self.front,
             identity,
-            wanted.servers,
-            wanted.watchdog_ms,
-            wanted.sessions_lost_ms,
-            chance,
+            settings.servers,
+            settings.watchdog_ms,
+            settings.sessions_lost_ms,
+            rng,
             agent.connect,
         )
         agent.broker.route = self.route
@@ -78,10 +78,10 @@
 
     def _restore_ended_sessions(self, restored: Restored) -> None:
         """Restores the sessions of ended calls, so that repeated requests get the same answer."""
-        for call, over in restored.over.items():
-            if over.answer != "gone" and call not in self.front.sessions:
+        for call, ended in restored.over.items():
+            if ended.answer != "gone" and call not in self.front.sessions:
                 self.front.resume_session(
-                    call, over.client, "", over.answer, over.body, over.ended_by, over.at
+                    call, ended.client, "", ended.answer, ended.body, ended.ended_by, ended.at
                 )
 
     def restore_from_predecessor(self, restored: Restored) -> None:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -30,7 +30,7 @@
 
 from frostport import config
 from frostport.agent import Agent
-from frostport.core.clock import SetClock
+from frostport.core.clock import ManualClock
 from frostport.core.lifecycle import Phase
 from frostport.net import jsonl
 from frostport.net.operator import Door
@@ -284,7 +284,7 @@
     def __init__(self, record: dict[str, Any]) -> None:
         self.dials = 0
         self.held_dials: dict[str, list[Callable[[], Any]]] = {}
-        self.record, self.clock = record, SetClock(START_MS)
+        self.record, self.clock = record, ManualClock(START_MS)
         self.later: list[Callable[[], Any]] = []
         self.actors = {name: self.actor(self, name) for name in ("c1", "c2", "s0", "s1", "bus", "bus2", "p1")}
         self.reactor = self.reactor_kind(self)
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -70,10 +70,10 @@
 
 def test_a_budget_counts_for_each_team_and_fills_up_again() -> None:
     budgets = Budgets(contracts.read(async_api()))
-    assert [budgets.wait_ms("a", "race", 0.0) for _ in range(3)] == [0.0, 0.0, 500.0]
-    assert budgets.wait_ms("b", "race", 0.0) == 0.0 and budgets.wait_ms("a", "other", 0.0) == 0.0
-    assert budgets.wait_ms("a", "race", 499.0) > 0.0
-    assert budgets.wait_ms("a", "race", 500.0) == 0.0
+    assert [budgets.take_token("a", "race", 0.0) for _ in range(3)] == [0.0, 0.0, 500.0]
+    assert budgets.take_token("b", "race", 0.0) == 0.0 and budgets.take_token("a", "other", 0.0) == 0.0
+    assert budgets.take_token("a", "race", 499.0) > 0.0
+    assert budgets.take_token("a", "race", 500.0) == 0.0
 
 
 def under_contract(tmp_path: pathlib.Path, record: dict[str, Any]) -> dict[str, Any]:
@@ -85,7 +85,7 @@
     budgets = Budgets((contracts.Contract("race", 1000.0, 2000.0, 4, 10.0),))
 
     def a_second(now: float) -> int:
-        return sum(budgets.wait_ms(f"team-{now}", "race", now) == 0.0 for _ in range(100))
+        return sum(budgets.take_token(f"team-{now}", "race", now) == 0.0 for _ in range(100))
 
     assert a_second(0.0) == 10
     scales = []
--- a/tests/test_gossip_wire.py
+++ b/tests/test_gossip_wire.py
@@ -20,7 +20,7 @@
 
 from frostport import config
 from frostport.config import ConfigError
-from frostport.core.clock import SetClock
+from frostport.core.clock import ManualClock
 from frostport.core.deadlines import Deadlines
 from frostport.maintenance.words import Limits
 from frostport.membership import messages
@@ -145,8 +145,8 @@
         pass
 
 
-def made(name: str, known: str = "ab") -> tuple[Link, SetClock, Deadlines, list[tuple[str, str, bytes]]]:
-    clock, deadlines, heard = SetClock(1000.0), Deadlines(), list[tuple[str, str, bytes]]()
+def made(name: str, known: str = "ab") -> tuple[Link, ManualClock, Deadlines, list[tuple[str, str, bytes]]]:
+    clock, deadlines, heard = ManualClock(1000.0), Deadlines(), list[tuple[str, str, bytes]]()
     agents = Link(
         "coastline",
         name,
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -10,7 +10,7 @@
 import pytest
 
 from frostport import cli, config
-from frostport.core.clock import SetClock
+from frostport.core.clock import ManualClock
 from frostport.core.deadlines import Deadlines
 from frostport.net import operator
 from frostport.net.operator import LONGEST_LINE, MOST_OPEN, SAY_WITHIN_MS, Door, Operation, OperatorError
@@ -227,8 +227,8 @@
     world.held.close()
 
 
-def door() -> tuple[Door, SetClock, Deadlines]:
-    clock, deadlines = SetClock(0.0), Deadlines()
+def door() -> tuple[Door, ManualClock, Deadlines]:
+    clock, deadlines = ManualClock(0.0), Deadlines()
     calls: dict[str, Operation] = {
         "ready": lambda rest: ["OK yes"],
         "disable-server": lambda rest: [f"OK {operator.argument(rest)}"],
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_each_call_gets_one_answer_in_time_one_pending_attempt_and_the_release_guard(seed: int) -> None:
     """Random outcomes, checked against rules 1, 2 and 5 from outside the module."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     proxy = Proxy(3, seed=seed)
     deadline_at: dict[str, float] = {}
     pending: dict[str, str] = {}
@@ -44,14 +44,14 @@
         proxy.log.clear()
 
     for step in range(1500):
-        if step < 1000 and chance.random() < 0.5:
-            budget = chance.choice([10.0, 400.0, 3000.0])
+        if step < 1000 and rng.random() < 0.5:
+            budget = rng.choice([10.0, 400.0, 3000.0])
             proxy.calls += 1
             name = f"call-{proxy.calls}"
             deadline_at[name] = proxy.now + budget
             proxy.give(
                 api.CallArrived(
-                    name, chance.choice(["plain", "dear"]), "", budget, chance.randrange(3), proxy.calls
+                    name, rng.choice(["plain", "dear"]), "", budget, rng.randrange(3), proxy.calls
                 )
             )
             check_actions()
@@ -59,11 +59,11 @@
         check_actions()
         for call, address in list(pending.items()):
             overdue = proxy.now >= deadline_at[call]
-            if not overdue and chance.random() > 0.05:
+            if not overdue and rng.random() > 0.05:
                 continue
-            outcome = api.Outcome.TIMEOUT if overdue else chance.choice(OUTCOMES)
+            outcome = api.Outcome.TIMEOUT if overdue else rng.choice(OUTCOMES)
             del pending[call]
-            if chance.random() < 0.2 and not overdue:
+            if rng.random() < 0.2 and not overdue:
                 answered[call] = proxy.now
                 proxy.give(api.CallStands(call, proxy.attempts[call], address, 60.0))
                 check_actions()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from frostport.core.clock import SetClock
+from frostport.core.clock import ManualClock
 from frostport.core.deadlines import Deadlines
 from frostport.store import committer, frames, mark, recovery, tools
 from frostport.store.engine import CLEAN, SPACE, Engine, Limits
@@ -375,7 +375,7 @@
     chance = random.Random(seed)
     folder, worker, revived = MemoryFolder(chance=chance), Turns(), 0
     limits = Limits(segment_bytes=2048, record_bytes=256, store_bytes=64 * 1024, checkpoint_records=20)
-    clock, deadlines = SetClock(), Deadlines()
+    clock, deadlines = ManualClock(), Deadlines()
     at = committer.Committer(Engine.open(folder, limits), worker, clock, deadlines, how)
     model, promised = Model(), Model()
     for _ in range(300):
@@ -418,7 +418,7 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(committer, "KEPT_MOST", 5)
-    folder, worker, clock, deadlines = MemoryFolder(), Turns(), SetClock(), Deadlines()
+    folder, worker, clock, deadlines = MemoryFolder(), Turns(), ManualClock(), Deadlines()
     at = committer.Committer(Engine.open(folder, SMALL), worker, clock, deadlines)
     folder.fail(1, lambda: OSError(28, "no space"), lasting=True)
     for number in range(8):
