--- a/frostport/core/contracts.py
+++ b/frostport/core/contracts.py
@@ -1,7 +1,7 @@
-"""Contracts and budgets: what each service was promised, and what each team may ask of it a second.
+"""Contracts and budgets: the service levels of each service, and the rate that each team may ask of it.
 
-A contract stands in the description of a service, OpenAPI 3 or AsyncAPI 3, as the extension
-`x-frostport-contract` of an operation. This module reads the description once it is decoded.
+A contract is the extension `x-frostport-contract` of an operation in a service's OpenAPI 3 or AsyncAPI 3
+description. This module reads the decoded description.
 """
 
 from __future__ import annotations
@@ -16,20 +16,21 @@
 from frostport.core.recorder import Recorder
 
 EXTENSION = "x-frostport-contract"
-METHODS = ("get", "put", "post", "delete", "options", "head", "patch", "trace")
+HTTP_METHODS = ("get", "put", "post", "delete", "options", "head", "patch", "trace")
 FIELDS = ("class", "aim_ms", "deadline_ms", "attempts", "set_ups_per_second")
-BUCKETS_MOST = 1000  # more than so many are looked through for those that may go
-BURST_S = 1.0  # a team may spend so many seconds' budget at once
-SCALE_STEP, SCALE_MOST = 0.1, 2.0  # of what agents that are out leave to the others: a second, and in all
+MAX_BUCKETS = 1000  # above this number, full buckets are removed
+BURST_SECONDS = 1.0  # a team may spend the budget of this many seconds at once
+# The share of agents that are out of service goes to the others, up to MAX_SCALE times their own.
+SCALE_STEP_PER_SECOND, MAX_SCALE = 0.1, 2.0
 
 
 class ContractError(ValueError):
-    """A contract that can't be kept as it is written; the message names the place and the field."""
+    """An invalid contract; the message names the place in the document and the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """One service's contract; the budget counts for each team by itself."""
+    """One service's contract; each team has a budget of its own."""
 
     service: str
     aim_ms: float
@@ -39,12 +40,12 @@
 
 
 def read(document: object) -> list[Contract]:
-    """The contracts of a description; one for each class at most."""
+    """Returns the contracts of a description, at most one for each class. Raises ContractError."""
     if not isinstance(document, dict):
         raise ContractError("document: not an object")
     contracts: dict[str, Contract] = {}
-    for place, written in extensions(document):
-        contract = read_one(place, written)
+    for place, written in find_extensions(document):
+        contract = parse_contract(place, written)
         if contract.service in contracts:
             raise ContractError(f"{place}.class: a second contract for {contract.service}")
         contracts[contract.service] = contract
@@ -53,34 +54,37 @@
     return list(contracts.values())
 
 
-def extensions(document: Mapping[str, Any]) -> Iterator[tuple[str, object]]:
-    """The places of all contracts, by the description's kind."""
+def find_extensions(document: Mapping[str, Any]) -> Iterator[tuple[str, object]]:
+    """Yields the place and the undecoded content of each contract. Raises ContractError."""
     if str(document.get("openapi", "")).startswith("3."):
-        for path, item in section(document, "paths").items():
-            for method in METHODS:
+        for path, item in object_member(document, "paths").items():
+            for method in HTTP_METHODS:
                 if isinstance(item, dict) and isinstance(item.get(method), dict):
-                    yield from extension(f"paths.{path}.{method}", item[method])
+                    yield from operation_extension(f"paths.{path}.{method}", item[method])
     elif str(document.get("asyncapi", "")).startswith("3."):
-        for name, operation in section(document, "operations").items():
+        for name, operation in object_member(document, "operations").items():
             if isinstance(operation, dict):
-                yield from extension(f"operations.{name}", operation)
+                yield from operation_extension(f"operations.{name}", operation)
     else:
         raise ContractError("document: neither openapi 3 nor asyncapi 3")
 
 
-def section(document: Mapping[str, Any], name: str) -> Mapping[str, Any]:
+def object_member(document: Mapping[str, Any], name: str) -> Mapping[str, Any]:
+    """Returns a member of the document that must be an object; an empty one if it is missing."""
     found = document.get(name, {})
     if not isinstance(found, dict):
         raise ContractError(f"{name}: not an object")
     return found
 
 
-def extension(place: str, operation: Mapping[str, Any]) -> Iterator[tuple[str, object]]:
+def operation_extension(place: str, operation: Mapping[str, Any]) -> Iterator[tuple[str, object]]:
+    """Yields the place and the undecoded content of the operation's contract, if it has one."""
     if EXTENSION in operation:
         yield f"{place}.{EXTENSION}", operation[EXTENSION]
 
 
-def read_one(place: str, written: object) -> Contract:
+def parse_contract(place: str, written: object) -> Contract:
+    """Checks and converts the content of a contract. Raises ContractError."""
     if not isinstance(written, dict):
         raise ContractError(f"{place}: not an object")
     for name in written:
@@ -89,28 +93,29 @@
     service = written.get("class")
     if not isinstance(service, str) or not service:
         raise ContractError(f"{place}.class: no name")
-    figures = {name: figure(f"{place}.{name}", written.get(name)) for name in FIELDS[1:]}
-    if figures["attempts"] != int(figures["attempts"]):
+    numbers = {name: positive_number(f"{place}.{name}", written.get(name)) for name in FIELDS[1:]}
+    if numbers["attempts"] != int(numbers["attempts"]):
         raise ContractError(f"{place}.attempts: not a whole number")
-    if figures["aim_ms"] > figures["deadline_ms"]:
+    if numbers["aim_ms"] > numbers["deadline_ms"]:
         raise ContractError(f"{place}.aim_ms: past deadline_ms")
     return Contract(
         service,
-        figures["aim_ms"],
-        figures["deadline_ms"],
-        int(figures["attempts"]),
-        figures["set_ups_per_second"],
+        numbers["aim_ms"],
+        numbers["deadline_ms"],
+        int(numbers["attempts"]),
+        numbers["set_ups_per_second"],
     )
 
 
-def figure(place: str, value: object) -> float:
+def positive_number(place: str, value: object) -> float:
+    """Raises ContractError unless the value is a finite number above 0."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 < value < math.inf:
         raise ContractError(f"{place}: not a number above 0")
     return float(value)
 
 
-def applied(settings: api.Settings, contracts: Iterable[Contract]) -> api.Settings:
-    """The settings with each contract's aim and deadline; a class that only a contract names joins them."""
+def with_contracts(settings: api.Settings, contracts: Iterable[Contract]) -> api.Settings:
+    """Returns the settings with each contract's aim and deadline, and with the classes that only it names."""
     classes = {cls.name: cls for cls in settings.classes}
     for contract in contracts:
         known = classes.get(contract.service) or api.CallClass(contract.service, 0.0, 0.0)
@@ -121,71 +126,79 @@
 
 
 class Budgets:
-    """One token bucket for each team and service under contract; whoever has no contract has no limit."""
+    """One token bucket for each team and service under contract; a service without contract has no limit."""
 
     def __init__(self, contracts: Iterable[Contract] = ()) -> None:
         self.recorder = Recorder()
         self.contracts = {contract.service: contract for contract in contracts}
-        self._buckets: dict[tuple[str, str], tuple[float, float]] = {}  # tokens, and when they were counted
-        self.scale, self._scaled_at = 1.0, -math.inf  # times what the contracts say, and since when
+        self._buckets: dict[tuple[str, str], tuple[float, float]] = {}  # tokens at a time, ms
+        self.scale, self._scaled_at = 1.0, -math.inf  # multiple of the contracts' rates, and when it was set
 
-    def wait_ms(self, team: str, service: str, now: float) -> float:
-        """0 where the set-up is within budget, and counted; else how long until it would be."""
+    def take_token(self, team: str, service: str, now: float) -> float:
+        """Spends a token for a set-up and returns 0; without a token, returns how long until there is one."""
         contract = self.contracts.get(service)
         if contract is None:
             return 0.0
         rate = contract.set_ups_per_second * self.scale
-        most = max(1.0, rate * BURST_S)
-        tokens, at = self._buckets.get((team, service), (most, now))
-        tokens = min(most, tokens + (now - at) / 1000.0 * rate)
-        if len(self._buckets) >= BUCKETS_MOST:
+        capacity = max(1.0, rate * BURST_SECONDS)
+        tokens, at = self._buckets.get((team, service), (capacity, now))
+        tokens = min(capacity, tokens + (now - at) / 1000.0 * rate)
+        if len(self._buckets) >= MAX_BUCKETS:
             self._prune(now)
         if tokens >= 1.0:
             self._buckets[team, service] = (tokens - 1.0, now)
-            self.recorder.spent(team, service, tokens - 1.0, now)
+            self.recorder.record_budget(team, service, tokens - 1.0, now)
             return 0.0
         self._buckets[team, service] = (tokens, now)
         return (1.0 - tokens) / rate * 1000.0
 
-    def share(self, wanted: float, now: float) -> None:
-        """This agent's part of the teams' budgets is to be so many times the configured one: `SCALE_MOST` at
-        most, reached in steps of `SCALE_STEP` a second."""
-        room = SCALE_STEP * max(0.0, now - self._scaled_at) / 1000.0 if self._scaled_at > -math.inf else 0.0
+    def set_scale(self, wanted: float, now: float) -> None:
+        """Moves this agent's share of the budgets towards `wanted` times the configured one.
+
+        The scale is at most `MAX_SCALE`, and changes by at most `SCALE_STEP_PER_SECOND`."""
+        room = (
+            SCALE_STEP_PER_SECOND * max(0.0, now - self._scaled_at) / 1000.0
+            if self._scaled_at > -math.inf
+            else 0.0
+        )
         self._scaled_at = now
-        wanted = min(SCALE_MOST, max(1.0, wanted))
+        wanted = min(MAX_SCALE, max(1.0, wanted))
         self.scale += max(-room, min(room, wanted - self.scale))
 
     def _prune(self, now: float) -> None:
-        """Guards against team names without end: a bucket that is full again is as good as none."""
+        """Removes buckets that are full again, as clients can make up any number of team names."""
         rates = {service: contract.set_ups_per_second for service, contract in self.contracts.items()}
-        self._keep(
+        self._replace_buckets(
             {
                 key: (tokens, at)
                 for key, (tokens, at) in self._buckets.items()
-                if tokens + (now - at) / 1000.0 * rates[key[1]] < max(1.0, rates[key[1]] * BURST_S)
+                if tokens + (now - at) / 1000.0 * rates[key[1]] < max(1.0, rates[key[1]] * BURST_SECONDS)
             }
         )
 
-    def _keep(self, buckets: dict[tuple[str, str], tuple[float, float]]) -> None:
+    def _replace_buckets(self, buckets: dict[tuple[str, str], tuple[float, float]]) -> None:
         for team, service in self._buckets.keys() - buckets.keys():
-            self.recorder.unspent(team, service)
+            self.recorder.clear_budget(team, service)
         self._buckets = buckets
 
-    def resume(self, buckets: Mapping[tuple[str, str], tuple[float, float]]) -> None:
-        """What was spent before a restart stays spent: tokens, and when they were counted."""
+    def restore(self, buckets: Mapping[tuple[str, str], tuple[float, float]]) -> None:
+        """Restores the buckets from before a restart: tokens at a time, by team and service."""
         self._buckets = dict(buckets)
-        self._keep({key: bucket for key, bucket in buckets.items() if key[1] in self.contracts})
+        self._replace_buckets({key: bucket for key, bucket in buckets.items() if key[1] in self.contracts})
 
-    def replace(self, contracts: Iterable[Contract]) -> None:
-        """Other contracts from now on; what was spent stays spent."""
+    def replace_contracts(self, contracts: Iterable[Contract]) -> None:
+        """Replaces the contracts; the buckets of services that keep a contract stay as they are."""
         self.contracts = {contract.service: contract for contract in contracts}
-        self._keep({key: bucket for key, bucket in self._buckets.items() if key[1] in self.contracts})
+        self._replace_buckets(
+            {key: bucket for key, bucket in self._buckets.items() if key[1] in self.contracts}
+        )
 
     def deadline_ms(self, service: str, left_ms: float) -> float:
+        """Returns the time that a call may take: `left_ms`, limited by its contract."""
         contract = self.contracts.get(service)
         return left_ms if contract is None else min(left_ms, contract.deadline_ms)
 
-    def spent(self, service: str, attempts: int) -> bool:
-        """Whether a call has used up the attempts of its contract."""
+    def attempts_exhausted(self, service: str, attempts: int) -> bool:
+        """Whether a call that has made `attempts` has used up those of its contract."""
         contract = self.contracts.get(service)
         return contract is not None and attempts >= contract.attempts
--- a/frostport/core/liveness_sweep.py
+++ b/frostport/core/liveness_sweep.py
@@ -1,4 +1,4 @@
-"""The timer of the servers' failure detectors: looks at each of them at a fixed period."""
+"""The timer of the servers' failure detectors: evaluates each of them periodically."""
 
 from __future__ import annotations
 
@@ -8,51 +8,51 @@
 
 from frostport.core.clock import Clock
 from frostport.core.deadlines import Deadlines
-from frostport.core.server_liveness import PAUSE_MS, PERIOD_MS, ServerLiveness
+from frostport.core.server_liveness import CHECK_PERIOD_MS, PROCESS_PAUSE_MS, ServerLiveness
 
 log = logging.getLogger("frostport.liveness")
 
 
-class Watched(Protocol):
+class MonitoredServer(Protocol):
     """A server with a failure detector."""
 
     liveness: ServerLiveness
 
 
-Server = TypeVar("Server", bound=Watched)
+Server = TypeVar("Server", bound=MonitoredServer)
 
 
 class LivenessSweep(Generic[Server]):
-    """Looks at all servers every PERIOD_MS, and tells their detectors of pauses of this process."""
+    """Checks all servers every CHECK_PERIOD_MS, and tells their detectors of pauses of this process."""
 
     def __init__(
         self,
         clock: Clock,
         deadlines: Deadlines,
         servers: Callable[[], Iterable[Server]],
-        look: Callable[[Server, float], None],
+        check_server: Callable[[Server, float], None],
     ) -> None:
-        """`look` is called with a server and the time, in ms."""
+        """`check_server` is called with a server and the time, in ms."""
         self._clock, self._deadlines = clock, deadlines
-        self._servers, self._look_at = servers, look
-        self._looked_at_ms = 0.0
+        self._servers, self._check_server = servers, check_server
+        self._last_sweep_ms = 0.0
 
     def start(self) -> None:
-        """Looks for the first time one period from now."""
-        self._set(self._clock.now())
+        """Schedules the first sweep one period from now."""
+        self._schedule_next(self._clock.now())
 
-    def _set(self, now_ms: float) -> None:
-        self._looked_at_ms = now_ms
-        self._deadlines.set(now_ms + PERIOD_MS, self.look)
+    def _schedule_next(self, now_ms: float) -> None:
+        self._last_sweep_ms = now_ms
+        self._deadlines.set(now_ms + CHECK_PERIOD_MS, self.sweep)
 
-    def look(self) -> None:
-        """Looks at every server now."""
+    def sweep(self) -> None:
+        """Checks every server now, and schedules the next sweep."""
         now = self._clock.now()
-        paused = now - self._looked_at_ms > PAUSE_MS
+        paused = now - self._last_sweep_ms > PROCESS_PAUSE_MS
         if paused:
             log.warning("this process was paused: servers get time to be heard")
         for server in list(self._servers()):
             if paused:
-                server.liveness.paused(now)
-            self._look_at(server, now)
-        self._set(now)
+                server.liveness.process_paused(now)
+            self._check_server(server, now)
+        self._schedule_next(now)
--- /dev/null
+++ b/frostport/diameter_side.py
@@ -0,0 +1,105 @@
+"""Composes Diameter on both sides of a call agent; imported only if the configuration has `diameter`."""
+
+from __future__ import annotations
+
+import random
+from typing import TYPE_CHECKING
+
+from twisted.internet.protocol import Factory
+
+from frostport.config import Config
+from frostport.diameter.front import DiameterFront
+from frostport.diameter.peer import Identity
+from frostport.diameter.route import DiameterRoute
+from frostport.net import peer_close
+from frostport.net.peers import split
+from frostport.platform_side import AgentParts, FrontFactory
+
+if TYPE_CHECKING:  # loaded only where a store is set
+    from frostport.state.records import Standing
+    from frostport.state.recovery import Restored
+
+
+class DiameterSide:
+    """Diameter to clients and servers, with the peers from the configuration."""
+
+    def __init__(self, agent: AgentParts) -> None:
+        config, settings = agent.config, agent.config.diameter
+        assert settings is not None
+        identity = self.identity = Identity(
+            settings.host, settings.realm, int(agent.clock.now() / 1000.0), split(config.listen)[0]
+        )
+        rng = random.Random(config.seed)
+        numbers = {server.host: server.number for server in settings.servers}
+        self.front = DiameterFront(
+            agent.broker,
+            agent.lifecycle,
+            identity,
+            settings.clients,
+            numbers,
+            settings.watchdog_ms,
+            rng,
+            agent.gate,
+            peer_close.closed_by_peer,
+        )
+        self.route = DiameterRoute(
+            agent.broker,
+            self.front,
+            identity,
+            settings.servers,
+            settings.watchdog_ms,
+            settings.sessions_lost_ms,
+            rng,
+            agent.connect,
+        )
+        agent.broker.route = self.route
+
+    def factory(self) -> Factory:
+        return FrontFactory(self.front.build)
+
+    def start(self) -> None:
+        self.route.start()
+
+    def reload(self, config: Config) -> None:
+        """Does nothing: no setting of Diameter is reloaded."""
+
+    def restore(self, restored: Restored) -> None:
+        """Restores the Origin-State-Id, the sessions, and the releases due to clients."""
+        if restored.state_id is not None:
+            self.identity.state_id = restored.state_id
+        for call, standing in restored.standing.items():
+            self.adopt_call(call, standing)
+        self._restore_ended_sessions(restored)
+        self.front.resume(restored.owed, restored.given)
+
+    def adopt_call(self, call: str, standing: Standing) -> None:
+        """Takes over an established call: restores its session."""
+        self.front.resume_session(call, standing.client, standing.team, "stands", standing.answer)
+
+    def _restore_ended_sessions(self, restored: Restored) -> None:
+        """Restores the sessions of ended calls, so that repeated requests get the same answer."""
+        for call, ended in restored.over.items():
+            if ended.answer != "gone" and call not in self.front.sessions:
+                self.front.resume_session(
+                    call, ended.client, "", ended.answer, ended.body, ended.ended_by, ended.at
+                )
+
+    def restore_from_predecessor(self, restored: Restored) -> None:
+        """Takes over what the previous process has left; called while serving."""
+        self._restore_ended_sessions(restored)
+        self.front.resume(restored.owed, restored.given)
+        self.route.resume({}, restored.releases)
+
+    def restore_owed_releases(self, restored: Restored) -> None:
+        """Restores the peers and the releases due to servers; called once the servers are known."""
+        self.route.resume(restored.peers, restored.releases)
+
+    def knows_server(self, server: str) -> bool:
+        """Whether this server is known, so that calls may be established there."""
+        return server in self.route.servers
+
+    def disconnect(self) -> None:
+        """Disconnects from all peers; the route opens no further connection."""
+        self.route.ending = True
+        self.front.disconnect()
+        self.route.disconnect()
--- a/frostport/net/bus.py
+++ b/frostport/net/bus.py
@@ -20,7 +20,7 @@
 from frostport import interface as api
 from frostport.core.broker import Broker
 from frostport.core.deadlines import Deadline
-from frostport.core.dialing import EAGER, LIST, Dialing
+from frostport.core.dial_policy import DIAL_AT_ONCE, LIST_SERVICE, DialPolicy
 from frostport.net.jsonl import BadLineError, LineConnection
 from frostport.net.upstream_pool import UpstreamPool
 
@@ -59,7 +59,7 @@
             self.offset = offset
         listed = [entry for entry in self.entries.values() if entry[0].state is not api.Lifecycle.GONE]
         self._apply(api.ListKind.PERSISTED, self.version, listed)
-        self.broker.recorder.bus(self.offset, self.version)
+        self.broker.recorder.record_bus_position(self.offset, self.version)
 
     def resume(self, offset: int, version: int, entries: Iterable[tuple[api.Server, str]]) -> None:
         """Restores the list on record: servers with their dial addresses."""
@@ -92,7 +92,7 @@
 
     def _advance(self, offset: int) -> None:
         self.offset = offset
-        self.broker.recorder.bus(offset, self.version)
+        self.broker.recorder.record_bus_position(offset, self.version)
 
     def _apply(self, kind: api.ListKind, version: int, entries: list[tuple[api.Server, str]]) -> None:
         log.info(
@@ -106,7 +106,7 @@
             if server.state is not api.Lifecycle.GONE:
                 self.servers.add(server.address, dial, server.started_ms)
         dials = {server.address: dial for server, dial in entries}
-        for host in self.broker.listed(kind, version, [server for server, _ in entries], dials):
+        for host in self.broker.update_server_list(kind, version, [server for server, _ in entries], dials):
             self.entries.pop(host, None)
             self.servers.remove(host)
 
@@ -159,11 +159,11 @@
             raise BadLineError("not JSON") from None
         if isinstance(record, dict):
             self.bus.server_list.apply_event(record)
-            self.bus.dialing.told(self.bus.server_list.offset, line)
+            self.bus.dialing.list_event_received(self.bus.server_list.offset, line)
         elif isinstance(record, bool) or not isinstance(record, int):
             raise BadLineError("neither an event nor an integer")
         else:
-            self.bus.dialing.heard()
+            self.bus.dialing.list_unchanged()
 
     def on_malformed(self, problem: BadLineError) -> None:
         # Guards against losing the event: later ones would be applied, and it would never be sent again.
@@ -189,13 +189,13 @@
         self.connection: BusConnection | None = None
         # Has not answered the request yet and stays open, as it may still do so.
         self.earlier_connection: BusConnection | None = None
-        self.dialing: Dialing = EAGER
+        self.dialing: DialPolicy = DIAL_AT_ONCE
         self.pending_dial: defer.Deferred[object] | None = None
         self._timer: Deadline | None = None  # for the next dial, or for silence
 
     def start(self) -> None:
         """Dials when `dialing` allows; with an infinite wait, `start_in` is called later."""
-        wait = self.dialing.first(LIST)
+        wait = self.dialing.first_delay_ms(LIST_SERVICE)
         if wait <= 0.0:
             self._dial()
         elif wait < math.inf:
@@ -214,14 +214,14 @@
 
         def failed(failure: Failure) -> None:
             if self.connection is connection:
-                self.dialing.failed(LIST)
+                self.dialing.dial_failed(LIST_SERVICE)
                 self._redial()
 
         dialing.addErrback(failed)
 
     def _redial(self) -> None:
         pause_ms = REDIAL_MS * self.rng.uniform(0.5, 1.0)
-        self._set_timer(self.dialing.again(LIST, pause_ms), self._dial)
+        self._set_timer(self.dialing.redial_delay_ms(LIST_SERVICE, pause_ms), self._dial)
 
     def disconnect(self) -> None:
         """Drops the connections and any dial in progress, until it is started again."""
@@ -257,7 +257,7 @@
             connection.drop()  # its dial had been given up
             return
         connection.write(b"from %d\n" % self.server_list.offset)
-        self.dialing.up(LIST)
+        self.dialing.connected(LIST_SERVICE)
         self.on_line_received(connection)
 
     def on_line_received(self, connection: BusConnection) -> None:
@@ -303,5 +303,5 @@
             self.earlier_connection = None
         if connection is self.connection:
             log.warning("event bus: connection lost, continuing from event %d", self.server_list.offset)
-            self.dialing.lost(LIST)
+            self.dialing.connection_lost(LIST_SERVICE)
             self._redial()
--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -15,7 +15,7 @@
 from frostport import interface as api
 from frostport.admission.gate import Admission, Gate
 from frostport.core.broker import Broker
-from frostport.core.calls import Body, Given, Request, State, held_until
+from frostport.core.calls import Body, RecordedAnswer, Request, State, held_until
 from frostport.core.deadlines import Deadline
 from frostport.core.lifecycle import Lifecycle
 from frostport.core.slots import Slots
@@ -51,7 +51,9 @@
     slot: int  # the connection that it was last sent on; -1: none
     host: str  # the address of the client that set the call up
     sent_at_ms: float = 0.0
-    answer: Given | None = None  # the recorded answer to the set-up, if the client may have missed it
+    answer: RecordedAnswer | None = (
+        None  # the recorded answer to the set-up, if the client may have missed it
+    )
     hold_until_ms: float = (
         0.0  # not sent before; a repeated set-up meanwhile gets the answer, then the release
     )
@@ -211,7 +213,7 @@
         self.malformed_count += 1
         self.front.record_offence(self)
         named = problem.is_start and problem.tag is not None
-        if named and self.front.broker.find(problem.tag or "") is None:
+        if named and self.front.broker.find_request(problem.tag or "") is None:
             self.send_message(Message("FINISH", problem.tag or "", rc=jsonl.OVERLOADED))
         if not named or self.splitter.overflowed or self.malformed_count >= MAX_MALFORMED_LINES:
             self.close_gracefully()
@@ -233,7 +235,7 @@
             and not self.carries_calls()
             and not self.splitter.partial
             and not self._pending_lines
-            and self.front.lifecycle.emptying()
+            and self.front.lifecycle.closes_idle_connections()
         ):
             self.close_gracefully()
 
@@ -286,9 +288,9 @@
     return found
 
 
-def is_repeat(message: Message, given: Given, connection: ClientConnection) -> bool:
+def is_repeat(message: Message, given: RecordedAnswer, connection: ClientConnection) -> bool:
     """Whether a set-up is identical to the one that `given` answered."""
-    return message.blob is not None and given.repeats(
+    return message.blob is not None and given.matches(
         message.opts.get("class", ""), connection.host, message.blob.encode()
     )
 
@@ -309,7 +311,7 @@
         self.longest_deadline_ms = max((cls.deadline_ms for cls in settings.classes), default=0.0)
 
     def serving(self) -> bool:
-        return self.lifecycle.ready()
+        return self.lifecycle.is_ready()
 
     def empty(self) -> None:
         """Closes idle connections while the agent empties; the others close once they are idle."""
@@ -346,7 +348,7 @@
     def record_offence(self, connection: ClientConnection) -> None:
         now = self.broker.clock.now()
         if self.gate.is_known(connection.host, now):
-            connection.complaints.say(
+            connection.complaints.warn(
                 now, connection.peer, f"malformed line from a known client, {connection.host}"
             )
         self.gate.penalize(connection.host, now)
@@ -358,16 +360,16 @@
         process that hands over to this one."""
         broker = self.broker
         return (
-            broker.find(call) is None
+            broker.find_request(call) is None
             and call not in broker.ending
             and call not in self.pending_releases
-            and not broker.recorder.elsewhere(call)
+            and not broker.recorder.pending_elsewhere(call)
         )
 
     def handle_start(self, connection: ClientConnection, message: Message) -> None:
         broker, tag, opts = self.broker, message.tag, message.opts
-        broker.recorder.look()
-        if (known := broker.find(tag) or broker.ending.get(tag)) is not None:
+        broker.recorder.refresh()
+        if (known := broker.find_request(tag) or broker.ending.get(tag)) is not None:
             if not self.repeat_answer(connection, known, message):
                 self.reject_duplicate(connection, known)
             return
@@ -378,7 +380,7 @@
             return
         name, key = opts.get("class", ""), opts.get("key", "")
         left = jsonl.parse_numbers(f"left:{opts.get('left', '')}").get("left", math.nan)
-        if name not in broker.rules.pools:
+        if name not in broker.rules.pools_by_class:
             raise BadLineError(f"opts.class: unknown: {name[:40]!r}")
         if not 0.0 < left <= self.longest_deadline_ms * 2.0:
             raise BadLineError("opts.left: not a positive time in ms, or over twice the longest deadline")
@@ -386,18 +388,18 @@
             raise BadLineError("opts.key: not 16 hex digits")
         if message.blob is None or len(message.blob.encode()) + len(name) > MAX_DESCRIPTION_BYTES:
             raise BadLineError("blob: no description, or one too long to forward")
-        extras = parse_extras(opts.get("extras", ""), broker.rules.pools[name])
+        extras = parse_extras(opts.get("extras", ""), broker.rules.pools_by_class[name])
         if (
-            not self.lifecycle.takes()
+            not self.lifecycle.accepts_requests()
             or len(connection.open_set_ups) >= MAX_OPEN_SET_UPS
-            or (self.lifecycle.drains() and connection.carries_calls())
+            or (self.lifecycle.is_draining() and connection.carries_calls())
         ):
-            broker.tally.deferred(name)
+            broker.metrics.deferred(name)
             connection.send_message(Message("FINISH", tag, rc=jsonl.OVERLOADED))
             return
         team = opts.get("tenant", "-")
         if self.gate.limits.by_team and self.gate.mark_identified(connection.admission, team) is not None:
-            broker.tally.deferred(name)
+            broker.metrics.deferred(name)
             connection.send_message(Message("FINISH", tag, rc=jsonl.OVERLOADED))
             connection.close_gracefully()
             return
@@ -414,7 +416,7 @@
         )
         connection.open_set_ups[tag] = request
         connection.update_seat()
-        broker.arrive(
+        broker.request_arrived(
             request,
             api.CallArrived(
                 tag,
@@ -432,10 +434,10 @@
         """Refuses a set-up whose id is in use: nobody could tell which of the two an answer is for.
 
         Repeated on its own connection, the open set-up itself fails. The connection is closed."""
-        connection.complaints.say(
+        connection.complaints.warn(
             self.broker.clock.now(), connection.peer, f"set-up {known.id}: id already in use"
         )
-        if known.front is not self or known.place != connection.slot:
+        if known.front is not self or known.connection_id != connection.slot:
             connection.send_message(Message("FINISH", known.id, rc=jsonl.OVERLOADED))
         elif known.state is State.OPEN:
             self.broker.fail(known)
@@ -447,18 +449,18 @@
         Returns False, and sends nothing, if this is a different set-up or the connection on which the answer
         was sent is still open."""
         if (
-            known.given is None
-            or known.id in getattr(self.connections.get(known.place), "standing", ())
+            known.recorded_answer is None
+            or known.id in getattr(self.connections.get(known.connection_id), "standing", ())
             or known.state is State.OPEN
-            or not is_repeat(message, known.given, connection)
+            or not is_repeat(message, known.recorded_answer, connection)
         ):
             return False
-        known.place = connection.slot
+        known.connection_id = connection.slot
         connection.standing.add(known.id)
-        self._send_answer(connection, known.id, known.given)
+        self._send_answer(connection, known.id, known.recorded_answer)
         return True
 
-    def _send_answer(self, connection: ClientConnection, call: str, given: Given) -> None:
+    def _send_answer(self, connection: ClientConnection, call: str, given: RecordedAnswer) -> None:
         connection.trusted = True
         connection.send_message(Message("STARTED", call, blob=str(given.answer)))
 
@@ -482,8 +484,8 @@
 
     def handle_finish(self, connection: ClientConnection, message: Message) -> None:
         """Handles a give-up before the answer or the release of an established call, on any connection."""
-        self.broker.recorder.look()
-        request, answered_on = self.broker.find(message.tag), None
+        self.broker.recorder.refresh()
+        request, answered_on = self.broker.find_request(message.tag), None
         if request is None:
             # Also a give-up that crosses the final answer: the broker still knows the id and does nothing.
             connection.open_set_ups.pop(message.tag, None)
@@ -495,7 +497,7 @@
             if request.state is State.OPEN:
                 self.broker.gone(request)
             else:
-                answered_on = self._remove_standing(request.id, request.place)
+                answered_on = self._remove_standing(request.id, request.connection_id)
                 self.broker.release(request)
         self.broker.recorder.barrier(lambda: self._confirm_finish(connection, message.tag, answered_on))
 
@@ -529,7 +531,7 @@
             while next(iter(self.failed_ids.values())) < now - UNSENT_RELEASE_KEEP_MS:
                 del self.failed_ids[next(iter(self.failed_ids))]
         self._assign_release(tag, release, -1)
-        self.broker.recorder.settled(tag)
+        self.broker.recorder.clear_owed_end(tag)
         return True
 
     def connection_lost(self, connection: ClientConnection) -> None:
@@ -552,8 +554,8 @@
 
     # From the broker
 
-    def waits(self, request: Request) -> bool:
-        connection = self.connections.get(request.place)
+    def is_waiting(self, request: Request) -> bool:
+        connection = self.connections.get(request.connection_id)
         return (
             connection is not None
             and connection.open_set_ups.get(request.id) is request
@@ -564,7 +566,7 @@
         """Removes a set-up from the connection that waits for its answer; None if that one is closed.
 
         Guards against a later connection in the same slot: the answer may have waited to be recorded."""
-        connection = self.connections.get(request.place)
+        connection = self.connections.get(request.connection_id)
         if connection is None or connection.open_set_ups.get(request.id) is not request:
             return None
         del connection.open_set_ups[request.id]
@@ -581,17 +583,19 @@
             connection.send_message(message)
             connection.close_if_idle()
 
-    def stands(self, request: Request, description: Body) -> None:
+    def call_established(self, request: Request, description: Body) -> None:
         self._send_final(request, Message("STARTED", request.id, blob=str(description)))
 
-    def refused(self, request: Request, stay_away_ms: float) -> None:
+    def call_refused(self, request: Request, stay_away_ms: float) -> None:
         # The platform's refusal has no field for `stay_away_ms`.
         self._send_final(request, Message("FINISH", request.id, rc=jsonl.OVERLOADED))
 
-    def failed(self, request: Request) -> None:
+    def call_failed(self, request: Request) -> None:
         self._send_final(request, Message("FINISH", request.id, rc=jsonl.BROKEN))
 
-    def over(self, call: str, place: int, outcome: Outcome, given: Given | None = None) -> None:
+    def call_ended(
+        self, call: str, place: int, outcome: Outcome, given: RecordedAnswer | None = None
+    ) -> None:
         connection, now = self.connections.get(place), self.broker.clock.now()
         answered_on = self._remove_standing(call, place)
         host = connection.host if connection is not None else ""
@@ -608,17 +612,21 @@
             answered_on.close_if_idle()
         self._schedule_retry()
 
-    def _hold_release(self, release: PendingRelease, given: Given, now: float, restarted: bool) -> None:
+    def _hold_release(
+        self, release: PendingRelease, given: RecordedAnswer, now: float, restarted: bool
+    ) -> None:
         """Delays a release whose client may have missed the answer, so that it doesn't get the release first.
 
         Without a restart since the answer, the release is sent at once and is the final answer."""
         release.answer = given
-        until = held_until(given.at, now, self.longest_deadline_ms)
+        until = held_until(given.recorded_at_ms, now, self.longest_deadline_ms)
         if restarted and until > now:
             release.host, release.hold_until_ms = given.client, until
 
     def resume(
-        self, releases: Mapping[str, tuple[str, Outcome, float]], given: Callable[[str], Given | None]
+        self,
+        releases: Mapping[str, tuple[str, Outcome, float]],
+        given: Callable[[str], RecordedAnswer | None],
     ) -> None:
         """Takes over releases from before a restart or handover: call -> (client, outcome, since ms).
 
--- a/frostport/net/link.py
+++ b/frostport/net/link.py
@@ -22,8 +22,8 @@
 from twisted.python.failure import Failure
 
 from frostport.core.clock import Clock
-from frostport.core.complaints import Complaints
 from frostport.core.deadlines import Deadline, Deadlines
+from frostport.core.rate_limited_log import RateLimitedLog
 
 log = logging.getLogger("frostport.link")
 
@@ -149,7 +149,7 @@
                 else:
                     self._on_hello(decode(_hello_decoder, body))
         except BadFrameError as problem:
-            self.link.complaints.say(self.heard_at, self.name or "unidentified agent", f"closed: {problem}")
+            self.link.complaints.warn(self.heard_at, self.name or "unidentified agent", f"closed: {problem}")
             self.drop()
 
     def _on_hello(self, hello: Hello) -> None:
@@ -239,7 +239,7 @@
         self.connections: dict[str, Connection] = {}
         self.dials: dict[str, PendingDial] = {}
         self.unidentified: set[Connection] = set()
-        self.complaints = Complaints(log)
+        self.complaints = RateLimitedLog(log)
         self.stopping = False
         self.sent_bytes = self.refused = 0
         self.deadlines.set(self.clock.now() + HEARTBEAT_MS, self._send_heartbeats)
@@ -352,7 +352,7 @@
         now = self.clock.now()
         for connection in list(self.connections.values()):
             if now - connection.heard_at > SILENCE_TIMEOUT_MS:
-                self.complaints.say(now, connection.name, "closed: silent for too long")
+                self.complaints.warn(now, connection.name, "closed: silent for too long")
                 connection.drop()
             else:
                 connection.send(encode_frame(HEARTBEAT))
--- a/frostport/net/upstream.py
+++ b/frostport/net/upstream.py
@@ -18,7 +18,7 @@
 
 from frostport.core.calls import Attempt, State
 from frostport.core.deadlines import Deadline
-from frostport.core.server_liveness import AskForLife, CallsLost, ServerLiveness, Suspected
+from frostport.core.server_liveness import CallsLost, CheckLiveness, ServerLiveness, Suspected
 from frostport.interface import (
     NOTE_NO_LINE,
     NOTE_NUMBER_BUSY,
@@ -137,7 +137,7 @@
 
     def request_connection(self) -> float:
         """Dials for a call, a release or a probe; returns how long the dial waits, in ms."""
-        wait = self.pool.dialing.needed(self.host)
+        wait = self.pool.dialing.on_demand_delay_ms(self.host)
         self.schedule_dial(wait)
         return wait
 
@@ -145,8 +145,8 @@
         """Handles a failed dial. A refusal proves that the process is dead; a timeout proves nothing."""
         refused = isinstance(failure.value, ConnectionRefusedError)
         log.info("%s: no connection: %s", self.host, failure.type.__name__ if failure.type else failure.value)
-        self.broker.tally.avoided(self.host, "connection", True)
-        self.pool.dialing.failed(self.host)
+        self.broker.metrics.set_avoided(self.host, "connection", True)
+        self.pool.dialing.dial_failed(self.host)
         waiting, self.waiting_attempts = self.waiting_attempts, []
         probes, self.waiting_probes = self.waiting_probes, []
         if self.connections:
@@ -159,9 +159,9 @@
             refused_at = self.pool.clock.now()
             self.pool.deadlines.set(refused_at + CUT_DELAY_MS, lambda: self._process_died(refused_at))
         for attempt in waiting:
-            self.broker.ended(attempt, Outcome.CONNECT_FAILED)
+            self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
         for number in probes:
-            self.broker.probed(number, Outcome.CONNECT_FAILED)
+            self.broker.probe_ended(number, Outcome.CONNECT_FAILED)
         if not self.connections:
             self._redial(REDIAL_MS)
         elif self.replacing:
@@ -170,12 +170,12 @@
             self.redial_pause_ms = min(2.0 * self.redial_pause_ms, MAX_REDIAL_MS)
 
     def _process_died(self, refused_at: float) -> None:
-        self.broker.cut(self.host, refused_at, "its process is dead")
+        self.broker.end_established_calls(self.host, refused_at, "its process is dead")
         if self.retired is not None and self.retired.opened_at <= refused_at:
             self._drop_retired()
 
     def _redial(self, pause_ms: float) -> None:
-        self.schedule_dial(self.pool.dialing.again(self.host, pause_ms))
+        self.schedule_dial(self.pool.dialing.redial_delay_ms(self.host, pause_ms))
 
     def connection_opened(self, connection: ServerConnection) -> None:
         """Puts a new connection into use and sends on it what has waited."""
@@ -183,8 +183,8 @@
             connection.drop()
             return
         log.info("%s: connected", self.host)
-        self.broker.tally.avoided(self.host, "connection", False)
-        self.pool.dialing.up(self.host)
+        self.broker.metrics.set_avoided(self.host, "connection", False)
+        self.pool.dialing.connected(self.host)
         connection.opened_at = connection.heard_at = connection.reported_at = self.pool.clock.now()
         connection.slot = self.pool.connections.add(connection)
         self.connections.append(connection)
@@ -194,7 +194,7 @@
         self.send_pending_releases(connection)
         waiting, self.waiting_attempts = self.waiting_attempts, []
         for attempt in waiting:
-            if self.broker.wanted(attempt):
+            if self.broker.may_still_leave(attempt):
                 self.send(attempt)
         probes, self.waiting_probes = self.waiting_probes, []
         for number in probes:
@@ -204,8 +204,8 @@
         """Sends the queued releases, except of calls that have been set up at this server again."""
         pending, self.pending_releases = self.pending_releases, {}
         for tag, cause in pending.items():
-            self.broker.recorder.release_paid(self.host, tag)
-            request = self.broker.find(tag)
+            self.broker.recorder.clear_owed_release(self.host, tag)
+            request = self.broker.find_request(tag)
             if request is None or request.attempt is None or request.attempt.server != self.host:
                 connection.send_release(tag, cause)
 
@@ -234,7 +234,7 @@
         if (
             connection not in self.connections
             or connection.heard_at < last_heard
-            or not self.broker.calls_stand(self.host)
+            or not self.broker.has_established_calls(self.host)
         ):
             connection.abandon()
             return
@@ -262,7 +262,7 @@
 
     def _reset(self, attempts: dict[str, Attempt]) -> None:
         for attempt in attempts.values():
-            self.broker.ended(attempt, Outcome.RESET)
+            self.broker.attempt_ended(attempt, Outcome.RESET)
 
     def _requeue_releases(self, connection: ServerConnection) -> None:
         """Queues the unconfirmed releases of a lost connection for the next one, except those too old."""
@@ -276,13 +276,13 @@
 
     def _queue_release(self, tag: str, cause: int) -> None:
         self.pending_releases[tag] = cause
-        self.broker.recorder.release_owed(self.host, tag)
+        self.broker.recorder.record_owed_release(self.host, tag)
 
     def _replace_connection(self, connection: ServerConnection) -> None:
         """Dials again after a loss, even if other connections are open.
 
         The server repeats what was lost with the connection on its next new connection."""
-        self.pool.dialing.lost(self.host)
+        self.pool.dialing.connection_lost(self.host)
         self.replacing = True
         # Guards against a tight dial loop with a server that closes each new connection at once.
         lasted = self.pool.clock.now() >= connection.opened_at + REDIAL_MS
@@ -306,14 +306,14 @@
 
     def check_liveness(self, now_ms: float) -> None:
         """Runs the failure detector: ends the established calls of a server that has vanished."""
-        if not self.liveness.quiet(now_ms):
+        if not self.liveness.is_quiet(now_ms):
             if self.retired is not None and self.liveness.heard_after(self.retired.heard_at):
                 self._drop_retired()
             return
-        calls_stand = self.broker.calls_stand(self.host)
+        calls_stand = self.broker.has_established_calls(self.host)
         if not calls_stand:
             self._drop_retired()
-        for action in self.liveness.look(now_ms, calls_stand):
+        for action in self.liveness.evaluate(now_ms, calls_stand):
             match action:
                 case Suspected(since_ms):
                     log.warning(
@@ -322,8 +322,8 @@
                         now_ms - since_ms,
                         self.open_connections(),
                     )
-                    self.broker.tally.suspected(self.host)
-                case AskForLife(since_ms):
+                    self.broker.metrics.server_suspected(self.host)
+                case CheckLiveness(since_ms):
                     self.request_sign_of_life(since_ms)
                 case CallsLost(since_ms, stood_by_ms):
                     self.on_calls_lost(since_ms, stood_by_ms)
@@ -365,7 +365,7 @@
         opened after its silence began, now or later."""
         silent_ms = self.pool.clock.now() - since_ms
         log.warning("%s: liveness: suspected -> lost, silent for %.0f ms", self.host, silent_ms)
-        over = self.broker.cut(self.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
+        over = self.broker.end_established_calls(self.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
         old = [at for at in self.connections if at.opened_at <= since_ms]
         for connection in old if self.retired is None else [*old, self.retired]:
             connection.abandon()
@@ -378,7 +378,7 @@
         """Ends everything at a server that has been taken off the list."""
         self.listed = False
         for tag in self.pending_releases:
-            self.broker.recorder.release_paid(self.host, tag)
+            self.broker.recorder.clear_owed_release(self.host, tag)
         self.lag.stop()
         if self.redial_timer is not None:
             self.redial_timer.cancel()
@@ -387,11 +387,11 @@
             self.dialing.cancel()
         waiting, self.waiting_attempts = self.waiting_attempts, []
         for attempt in waiting:  # nothing will be dialed for them
-            self.broker.ended(attempt, Outcome.CONNECT_FAILED)
+            self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
 
     def reset(self, before_ms: float, why: str) -> None:
         """Ends the connections, set-ups and calls of the process that ran until `before_ms`."""
-        self.broker.cut(self.host, before_ms, why)
+        self.broker.end_established_calls(self.host, before_ms, why)
         for connection in [at for at in self.connections if at.opened_at <= before_ms]:
             connection.abandon()
         if self.retired is not None and self.retired.opened_at <= before_ms:
@@ -401,12 +401,12 @@
 
     def send(self, attempt: Attempt) -> None:
         """Sends an attempt on the least used connection, or queues it until one opens."""
-        request, link = attempt.request, attempt.request.last_link
+        request, link = attempt.request, attempt.request.last_connection_id
         if not self.connections:
             self.waiting_attempts.append(attempt)
             if self.request_connection() > self.pool.connect_timeout_ms and attempt in self.waiting_attempts:
                 self.waiting_attempts.remove(attempt)  # the dial would come too late: try another server
-                self.broker.ended(attempt, Outcome.CONNECT_FAILED)
+                self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
             return
         # Avoids the last attempt's connection: a second copy of its answer may arrive there.
         chosen = min(
@@ -418,15 +418,15 @@
             and attempt.sent_at >= self.no_dial_before
         ):
             self.request_connection()  # fewer set-ups per connection are lost with it
-        left = max(1, round(attempt.end_at - self.pool.clock.now()))
+        left = max(1, round(attempt.deadline_at_ms - self.pool.clock.now()))
         opts = {"class": request.call_class, "left": str(left)}
         if request.key:
             opts["key"] = request.key
-        request.last_link = chosen.slot
+        request.last_connection_id = chosen.slot
         if chosen.send_set_up(
             attempt, Message("START", request.id, opts, blob=str(request.description)).encode()
         ):
-            self.broker.tally.sent(request.call_class)
+            self.broker.metrics.sent(request.call_class)
 
     def give_up(self, attempt: Attempt) -> None:
         """Withdraws an attempt; retires its connection if that was silent all the while."""
@@ -477,10 +477,10 @@
                 self.lag.on_report(connection)
                 # It arrives on each connection; the module must see it once.
                 if (report := self.report_values(message)) and connection is self.connections[0]:
-                    self.broker.reported(self.host, report)
+                    self.broker.report_received(self.host, report)
             case "ECHOED":
                 outcome = Outcome.OK if message.rc == 1 else Outcome.FULL
-                self.broker.probed(int(message.tag, 16), outcome, self.report_values(message))
+                self.broker.probe_ended(int(message.tag, 16), outcome, self.report_values(message))
             case "ECHO":
                 connection.send_message(Message("ECHOED", message.tag, rc=1))
             case "FINISHED":
@@ -497,9 +497,9 @@
         ):
             return
         if attempt is not None:
-            self.broker.stood(attempt, message.blob or "")
+            self.broker.call_established(attempt, message.blob or "")
         elif (
-            (request := self.broker.find(message.tag)) is None
+            (request := self.broker.find_request(message.tag)) is None
             or request.attempt is None
             or request.attempt.server != self.host
         ):
@@ -517,27 +517,27 @@
         def confirm() -> None:
             connection.send_message(Message("FINISHED", message.tag))
 
-        request = self.broker.find(message.tag)
+        request = self.broker.find_request(message.tag)
         if attempt is not None and message.rc == jsonl.NORMAL:
-            self.broker.over_unheard(attempt, self.report_values(message))
+            self.broker.ended_unanswered(attempt, self.report_values(message))
         elif attempt is not None:
             note = NOTE_BY_NAME.get(message.opts.get("note", ""), 0)
             outcome = OUTCOME_BY_CAUSE.get(message.rc or 0, Outcome.ERROR)
-            self.broker.ended(attempt, outcome, note, report=self.report_values(message))
+            self.broker.attempt_ended(attempt, outcome, note, report=self.report_values(message))
         elif request is None:
             over = Outcome.OK if message.rc == jsonl.NORMAL else Outcome.RESET
-            self.broker.over_unknown(message.tag, self.pool.front, over)
+            self.broker.unknown_call_ended(message.tag, self.pool.front, over)
         elif request.attempt is not None and request.attempt.server == self.host:
-            if request.state is State.STANDING and message.rc in END_CAUSES:
+            if request.state is State.ESTABLISHED and message.rc in END_CAUSES:
                 over = Outcome.OK if message.rc == jsonl.NORMAL else Outcome.RESET
-                self.broker.ended(request.attempt, over, report=self.report_values(message))
+                self.broker.attempt_ended(request.attempt, over, report=self.report_values(message))
             elif (
-                request.attempt.out
-                and request.attempt.link not in (None, connection.slot)
+                request.attempt.pending
+                and request.attempt.route_ref not in (None, connection.slot)
                 and message.rc == jsonl.NORMAL
             ):
                 # A server also tells the end on its next new connection, where it may be read before the
                 # answer. On the answer's own connection it can't be: there it ends an earlier attempt.
-                self.broker.over_early(request.attempt, confirm)
+                self.broker.ended_before_answer(request.attempt, confirm)
                 return
         self.broker.recorder.barrier(confirm)
--- a/frostport/net/upstream_connection.py
+++ b/frostport/net/upstream_connection.py
@@ -50,7 +50,7 @@
             self.heard_at = self.clock.now()
             self.server.sign_of_life(self)  # an orderly close is one
         elif self.alive:
-            self.server.liveness.reset(self.clock.now())
+            self.server.liveness.connection_reset(self.clock.now())
         super().connectionLost(reason)
 
     def on_close(self) -> None:
@@ -87,7 +87,7 @@
 
     def send_set_up(self, attempt: Attempt, line: bytes) -> bool:
         """Writes the set-up of an attempt; False if the connection is closed."""
-        attempt.link = self.slot
+        attempt.route_ref = self.slot
         self.open_attempts[attempt.request.id] = attempt
         self.sent_at_read[attempt.request.id] = self.read_count
         return self.write(line)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -33,7 +33,7 @@
 
 from frostport import config
 from frostport.agent import Agent
-from frostport.core.clock import SetClock
+from frostport.core.clock import ManualClock
 from frostport.core.lifecycle import Phase
 from frostport.net import jsonl
 from frostport.net.operator import OperatorPort
@@ -288,7 +288,7 @@
     def __init__(self, record: dict[str, Any]) -> None:
         self.dials = 0
         self.held_dials: dict[str, list[Callable[[], Any]]] = {}
-        self.record, self.clock = record, SetClock(START_MS)
+        self.record, self.clock = record, ManualClock(START_MS)
         self.later: list[Callable[[], Any]] = []
         self.actors = {name: self.actor(self, name) for name in ("c1", "c2", "s0", "s1", "bus", "bus2", "p1")}
         self.reactor = self.reactor_kind(self)
@@ -386,8 +386,8 @@
                 told = {
                     "exit": self.agent.lifecycle.phase is Phase.STOPPED and self.reactor.stopped,
                     f"phase {self.agent.lifecycle.phase.value}": True,
-                    f"stopped {self.agent.rules.stopped.total()}": True,
-                    f"open {self.agent.broker.open}": True,
+                    f"stopped {self.agent.rules.violations.total()}": True,
+                    f"open {self.agent.broker.open_count}": True,
                     f"dials {self.dials}": True,
                 }
                 assert told.get(rest), f"agent is in {told}"
@@ -420,9 +420,9 @@
         except AssertionError as problem:
             raise AssertionError(f"step {number}: {line}: {problem}") from None
     if "expect agent stopped" not in script:
-        assert played.agent.rules.stopped.total() == 0
+        assert played.agent.rules.violations.total() == 0
     slots = {request.slot for request in played.agent.broker.requests}
-    assert slots == set(played.agent.broker.by_id.values())
+    assert slots == set(played.agent.broker.slots_by_id.values())
     return played
 
 
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -70,10 +70,10 @@
 
 def test_a_budget_counts_for_each_team_and_fills_up_again() -> None:
     budgets = Budgets(contracts.read(async_api()))
-    assert [budgets.wait_ms("a", "race", 0.0) for _ in range(3)] == [0.0, 0.0, 500.0]
-    assert budgets.wait_ms("b", "race", 0.0) == 0.0 and budgets.wait_ms("a", "other", 0.0) == 0.0
-    assert budgets.wait_ms("a", "race", 499.0) > 0.0
-    assert budgets.wait_ms("a", "race", 500.0) == 0.0
+    assert [budgets.take_token("a", "race", 0.0) for _ in range(3)] == [0.0, 0.0, 500.0]
+    assert budgets.take_token("b", "race", 0.0) == 0.0 and budgets.take_token("a", "other", 0.0) == 0.0
+    assert budgets.take_token("a", "race", 499.0) > 0.0
+    assert budgets.take_token("a", "race", 500.0) == 0.0
 
 
 def under_contract(tmp_path: pathlib.Path, record: dict[str, Any]) -> dict[str, Any]:
@@ -85,18 +85,18 @@
     budgets = Budgets((contracts.Contract("race", 1000.0, 2000.0, 4, 10.0),))
 
     def admitted_in_a_second(now: float) -> int:
-        return sum(budgets.wait_ms(f"team-{now}", "race", now) == 0.0 for _ in range(100))
+        return sum(budgets.take_token(f"team-{now}", "race", now) == 0.0 for _ in range(100))
 
     assert admitted_in_a_second(0.0) == 10
     scales = []
     for number in range(40):
-        budgets.share(1.5 if number < 20 else 1.0, number * 250.0)
+        budgets.set_scale(1.5 if number < 20 else 1.0, number * 250.0)
         scales.append(budgets.scale)
     assert max(abs(one - other) for one, other in itertools.pairwise(scales)) <= 0.0250001
     assert scales[19] == pytest.approx(1.475) and scales[39] < 1.01
-    budgets.share(9.0, 1e9)
+    budgets.set_scale(9.0, 1e9)
     assert budgets.scale == 2.0 and admitted_in_a_second(1e9) == 20  # at most doubled
-    budgets.share(0.1, 2e9)
+    budgets.set_scale(0.1, 2e9)
     assert budgets.scale == 1.0
 
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -10,7 +10,7 @@
 import pytest
 
 from frostport import cli, config
-from frostport.core.clock import SetClock
+from frostport.core.clock import ManualClock
 from frostport.core.deadlines import Deadlines
 from frostport.net import operator
 from frostport.net.operator import (
@@ -236,8 +236,8 @@
     world.held.close()
 
 
-def operator_port() -> tuple[OperatorPort, SetClock, Deadlines]:
-    clock, deadlines = SetClock(0.0), Deadlines()
+def operator_port() -> tuple[OperatorPort, ManualClock, Deadlines]:
+    clock, deadlines = ManualClock(0.0), Deadlines()
     calls: dict[str, Operation] = {
         "ready": lambda rest: ["OK yes"],
         "disable-server": lambda rest: [f"OK {operator.parse_argument(rest)}"],
@@ -407,9 +407,9 @@
 
 
 def test_a_server_out_of_rotation_is_unhealthy() -> None:
-    from tests.test_figures import figures, played
+    from tests.test_figures import metrics, world_after
 
-    world = played("door disable-server h1 => OK")
-    assert figures(world)["cluster_unhealthy"] == 1
+    world = world_after("door disable-server h1 => OK")
+    assert metrics(world)["cluster_unhealthy"] == 1
     world.step("door enable-server h1 => OK")
-    assert figures(world)["cluster_unhealthy"] == 0
+    assert metrics(world)["cluster_unhealthy"] == 0
