--- a/frostport/agreement/__init__.py
+++ b/frostport/agreement/__init__.py
@@ -1,1 +1,1 @@
-"""What agents settle among themselves: a replicated log, after the Raft thesis (Ongaro 2014)."""
+"""The agreed log: a log replicated among the agents of a fleet, after the Raft thesis (Ongaro 2014)."""
--- a/frostport/agreement/events.py
+++ b/frostport/agreement/events.py
@@ -1,36 +1,36 @@
-"""What happens to an agent's copy of the agreed log, and what it asks for."""
+"""Input events and outputs of the Raft state machine."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from enum import Enum
 
-from frostport.agreement.messages import Base, Entry, Message
+from frostport.agreement.messages import Entry, Message, SnapshotMeta
 
 
 class Role(Enum):
-    """Thesis, figure 3.3; `FOLLOWER` also without a vote."""
+    """Thesis, figure 3.3. A learner is a `FOLLOWER` too."""
 
     FOLLOWER = "follower"
-    ASKING = "asking"  # for pre-votes
+    PRE_CANDIDATE = "asking"  # asks for pre-votes
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """`next_ms` has come."""
+    """The time given by `Raft.next_ms` has come."""
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class Received:
     sender: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """A command; `id` is this agent's own, and never used twice for another one."""
+    """A command for the log. `id` is unique among all agents and never used for another command."""
 
     id: str
     kind: str
@@ -40,36 +40,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """A read that may not be stale."""
+    """Asks for a linearizable read (ReadIndex); its id comes back in `RaftOutput.ready_reads`."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Compact:
-    """The machine's state after `index`, which has been applied."""
+    """A snapshot of the state machine after `index`, which is applied. The log drops what it covers."""
 
     index: int
     snapshot: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Members:
-    """Who is up, by the membership: followers are fed in a tree over these."""
+class MembersChanged:
+    """The live members of the fleet. The tree that feeds the learners is built over them."""
 
     names: tuple[str, ...]
 
 
-Event = Tick | Heard | Propose | Read | Compact | Members
+Event = Tick | Received | Propose | Read | Compact | MembersChanged
 
 
 @dataclass(slots=True)
-class Output:
-    """What follows, in this order: `save` is made durable, `send` goes out, then `install` and `apply`."""
-
-    save: list[tuple[str, bytes | None]] = field(default_factory=list)
-    send: list[tuple[str, Message]] = field(default_factory=list)
-    install: tuple[Base, bytes] | None = None
-    apply: list[Entry] = field(default_factory=list)
-    reads: list[str] = field(default_factory=list)  # may be answered from what is applied now
-    notes: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # for the record
+class RaftOutput:
+    """What the caller must do, in this order: make `writes` durable, send `messages`, install the snapshot,
+    apply the committed entries."""
+
+    writes: list[tuple[str, bytes | None]] = field(default_factory=list)
+    messages: list[tuple[str, Message]] = field(default_factory=list)
+    installed_snapshot: tuple[SnapshotMeta, bytes] | None = None
+    committed: list[Entry] = field(default_factory=list)
+    ready_reads: list[str] = field(default_factory=list)  # to be answered once `committed` is applied
+    record_events: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # name, fields
--- a/frostport/agreement/log.py
+++ b/frostport/agreement/log.py
@@ -1,7 +1,7 @@
-"""The log of one agent: entries after a snapshot, and the records that make them durable.
+"""The log of one agent: a snapshot, the entries after it, and the records that make both durable.
 
-Every method that changes something returns the records to write, which the caller makes durable before
-anything that rests on them is said.
+Each method that changes the log returns the records to write. The caller makes them durable before it sends a
+message that depends on them.
 """
 
 from __future__ import annotations
@@ -11,115 +11,139 @@
 import google_crc32c
 import msgspec
 
-from frostport.agreement.messages import Base, Entry, Voters
+from frostport.agreement.messages import Entry, SnapshotMeta, Voters
 
-Change = tuple[str, bytes | None]
+Write = tuple[str, bytes | None]
 
-META, BASE, ENTRY, SNAPSHOT = "raft/meta", "raft/base", "raft/log/", "raft/snapshot/"
-CHUNK = 64 * 1024  # bytes of a snapshot in one record
-VOTERS = "voters"
+META_KEY, BASE_KEY, ENTRY_PREFIX, SNAPSHOT_PREFIX = "raft/meta", "raft/base", "raft/log/", "raft/snapshot/"
+SNAPSHOT_RECORD_BYTES = 64 * 1024  # a snapshot is stored in records of this size
+VOTERS_KIND = "voters"  # kind of the entries that set the voters
 
 _encoder = msgspec.msgpack.Encoder()
-_entry = msgspec.msgpack.Decoder(Entry)
-_base = msgspec.msgpack.Decoder(Base)
-_voters = msgspec.msgpack.Decoder(Voters)
+_entry_decoder = msgspec.msgpack.Decoder(Entry)
+_base_decoder = msgspec.msgpack.Decoder(SnapshotMeta)
+_voters_decoder = msgspec.msgpack.Decoder(Voters)
 
 
 class BadLogError(ValueError):
-    """The records of a log don't fit together: it may not be used."""
+    """The recovered records are not a consistent log, which must not be used."""
 
 
-def check(data: bytes) -> int:
+def crc32c(data: bytes) -> int:
     return int(google_crc32c.value(data))
 
 
 class Log:
-    """Raises BadLogError where the records found are no log."""
-
-    def __init__(self, found: Mapping[str, bytes]) -> None:
-        self.base = _base.decode(found[BASE]) if BASE in found else Base(0, 0, {}, 0, check(b""))
-        parts = sorted(key for key in found if key.startswith(SNAPSHOT))
-        self.snapshot = b"".join(found[key] for key in parts)
-        if len(self.snapshot) != self.base.size or check(self.snapshot) != self.base.check:
-            raise BadLogError("its snapshot is not whole")
-        self.entries = [_entry.decode(found[key]) for key in sorted(found) if key.startswith(ENTRY)]
-        for number, entry in enumerate(self.entries):
-            if entry.index != self.base.index + 1 + number:
-                raise BadLogError(f"entry {entry.index} stands where {self.base.index + 1 + number} should")
+    """The constructor raises BadLogError if the recovered records are not a consistent log.
+
+    Indexes count from 1; `snapshot_meta.index` is the last entry that the snapshot covers.
+    """
+
+    def __init__(self, records: Mapping[str, bytes]) -> None:
+        self.snapshot_meta = (
+            _base_decoder.decode(records[BASE_KEY])
+            if BASE_KEY in records
+            else SnapshotMeta(0, 0, {}, 0, crc32c(b""))
+        )
+        snapshot_keys = sorted(key for key in records if key.startswith(SNAPSHOT_PREFIX))
+        self.snapshot = b"".join(records[key] for key in snapshot_keys)
+        if (
+            len(self.snapshot) != self.snapshot_meta.size_bytes
+            or crc32c(self.snapshot) != self.snapshot_meta.checksum
+        ):
+            raise BadLogError(f"snapshot of {len(self.snapshot)} bytes fails its size or checksum")
+        self.entries = [
+            _entry_decoder.decode(records[key]) for key in sorted(records) if key.startswith(ENTRY_PREFIX)
+        ]
+        for position, entry in enumerate(self.entries):
+            if entry.index != self.snapshot_meta.index + 1 + position:
+                raise BadLogError(
+                    f"found entry {entry.index}, expected {self.snapshot_meta.index + 1 + position}"
+                )
 
     @property
     def last_index(self) -> int:
-        return self.base.index + len(self.entries)
+        return self.snapshot_meta.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        return self.entries[-1].term if self.entries else self.base.term
+        return self.entries[-1].term if self.entries else self.snapshot_meta.term
 
     def term_at(self, index: int) -> int | None:
-        """None where the log does not (or no longer) tell."""
-        if index == self.base.index:
-            return self.base.term
-        if self.base.index < index <= self.last_index:
-            return self.entries[index - self.base.index - 1].term
+        """The term of an entry; None if it is not in the log, or no longer in it."""
+        if index == self.snapshot_meta.index:
+            return self.snapshot_meta.term
+        if self.snapshot_meta.index < index <= self.last_index:
+            return self.entries[index - self.snapshot_meta.index - 1].term
         return None
 
-    def after(self, index: int, upto: int, most_bytes: int) -> tuple[Entry, ...]:
-        """Entries after an index, at least one if there is any, up to about so many bytes."""
-        found: list[Entry] = []
-        for entry in self.entries[index - self.base.index : upto - self.base.index]:
-            if found and most_bytes < len(entry.data) + 64:
+    def entries_after(self, index: int, last_index: int, max_bytes: int) -> tuple[Entry, ...]:
+        """Entries after `index` up to `last_index`, about `max_bytes` at most but one at least, if any."""
+        selected: list[Entry] = []
+        for entry in self.entries[index - self.snapshot_meta.index : last_index - self.snapshot_meta.index]:
+            if selected and max_bytes < len(entry.data) + 64:
                 break
-            most_bytes -= len(entry.data) + 64
-            found.append(entry)
-        return tuple(found)
+            max_bytes -= len(entry.data) + 64
+            selected.append(entry)
+        return tuple(selected)
 
-    def voters(self, upto: int | None = None) -> tuple[Voters, int]:
-        """The latest voters in the log, committed or not (thesis, 4.1), and their entry's index."""
+    def latest_voters(self, last_index: int | None = None) -> tuple[Voters, int]:
+        """The latest voters in the log, committed or not (thesis, 4.1), and the index of their entry."""
         for entry in reversed(self.entries):
-            if entry.kind == VOTERS and (upto is None or entry.index <= upto):
-                return _voters.decode(entry.data), entry.index
-        return self.base.voters, self.base.index
+            if entry.kind == VOTERS_KIND and (last_index is None or entry.index <= last_index):
+                return _voters_decoder.decode(entry.data), entry.index
+        return self.snapshot_meta.voters, self.snapshot_meta.index
 
-    # Changes
+    # Changes: each returns the records to write
 
-    def append(self, entries: Sequence[Entry]) -> list[Change]:
+    def append(self, entries: Sequence[Entry]) -> list[Write]:
         self.entries.extend(entries)
-        return [(key(entry.index), _encoder.encode(entry)) for entry in entries]
+        return [(entry_key(entry.index), _encoder.encode(entry)) for entry in entries]
 
-    def cut(self, index: int) -> list[Change]:
-        """Removes the entries from an index on."""
-        gone = self.entries[index - self.base.index - 1 :]
-        del self.entries[index - self.base.index - 1 :]
-        return [(key(entry.index), None) for entry in gone]
+    def truncate_from(self, index: int) -> list[Write]:
+        """Removes the entry at `index` and all after it."""
+        removed = self.entries[index - self.snapshot_meta.index - 1 :]
+        del self.entries[index - self.snapshot_meta.index - 1 :]
+        return [(entry_key(entry.index), None) for entry in removed]
 
-    def compact(self, index: int, snapshot: bytes) -> list[Change]:
-        """A snapshot takes the place of all up to an index, which the log still holds."""
+    def compact(self, index: int, snapshot: bytes) -> list[Write]:
+        """Replaces the entries up to `index`, which must still be in the log, by a snapshot."""
         term = self.term_at(index)
         assert term is not None
-        voters, _ = self.voters(index)
-        gone, self.entries = self.entries[: index - self.base.index], self.entries[index - self.base.index :]
-        return self._rebase(Base(index, term, voters, len(snapshot), check(snapshot)), snapshot, gone)
-
-    def install(self, base: Base, snapshot: bytes) -> list[Change]:
-        """Another's snapshot takes the place of the whole log, or of what it covers of it."""
-        agrees = self.term_at(base.index) == base.term
-        cut = base.index - self.base.index if agrees else len(self.entries)
-        gone, self.entries = self.entries[:cut], self.entries[cut:]
-        return self._rebase(base, snapshot, gone)
-
-    def _rebase(self, base: Base, snapshot: bytes, gone: Sequence[Entry]) -> list[Change]:
-        before = -(-self.base.size // CHUNK)
-        self.base, self.snapshot = base, snapshot
-        changes: list[Change] = [(key(entry.index), None) for entry in gone]
-        parts = -(-base.size // CHUNK)
-        changes += [
-            (f"{SNAPSHOT}{number:08x}", snapshot[number * CHUNK : (number + 1) * CHUNK])
-            for number in range(parts)
+        voters, _ = self.latest_voters(index)
+        removed, self.entries = (
+            self.entries[: index - self.snapshot_meta.index],
+            self.entries[index - self.snapshot_meta.index :],
+        )
+        return self._replace_snapshot(
+            SnapshotMeta(index, term, voters, len(snapshot), crc32c(snapshot)), snapshot, removed
+        )
+
+    def install(self, meta: SnapshotMeta, snapshot: bytes) -> list[Write]:
+        """Replaces what another agent's snapshot covers, or the whole log if that differs at `meta.index`."""
+        matches = self.term_at(meta.index) == meta.term
+        covered = meta.index - self.snapshot_meta.index if matches else len(self.entries)
+        removed, self.entries = self.entries[:covered], self.entries[covered:]
+        return self._replace_snapshot(meta, snapshot, removed)
+
+    def _replace_snapshot(self, meta: SnapshotMeta, snapshot: bytes, removed: Sequence[Entry]) -> list[Write]:
+        old_record_count = -(-self.snapshot_meta.size_bytes // SNAPSHOT_RECORD_BYTES)
+        self.snapshot_meta, self.snapshot = meta, snapshot
+        writes: list[Write] = [(entry_key(entry.index), None) for entry in removed]
+        record_count = -(-meta.size_bytes // SNAPSHOT_RECORD_BYTES)
+        writes += [
+            (
+                f"{SNAPSHOT_PREFIX}{number:08x}",
+                snapshot[number * SNAPSHOT_RECORD_BYTES : (number + 1) * SNAPSHOT_RECORD_BYTES],
+            )
+            for number in range(record_count)
+        ]
+        writes += [
+            (f"{SNAPSHOT_PREFIX}{number:08x}", None) for number in range(record_count, old_record_count)
         ]
-        changes += [(f"{SNAPSHOT}{number:08x}", None) for number in range(parts, before)]
-        changes.append((BASE, _encoder.encode(base)))
-        return changes
+        writes.append((BASE_KEY, _encoder.encode(meta)))
+        return writes
 
 
-def key(index: int) -> str:
-    return f"{ENTRY}{index:016x}"
+def entry_key(index: int) -> str:
+    return f"{ENTRY_PREFIX}{index:016x}"
--- a/frostport/agreement/messages.py
+++ b/frostport/agreement/messages.py
@@ -1,14 +1,17 @@
-"""What is said and kept of the agreed log, as msgpack arrays. A field is only ever added at the end."""
+"""Messages and stored records of the agreed log, encoded as msgpack arrays.
+
+Compatibility between versions depends on the order of fields: a new field may only be added at the end.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
-Voters = dict[str, int]  # each voter's name, and the number of its disk
+Voters = dict[str, int]  # by voter's name: the id of its disk
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One place of the log. `kind` "" is a leader's first, "voters" a change of the voters."""
+    """A log entry. `kind` "" is the empty entry that begins a leader's term, "voters" a membership change."""
 
     index: int
     term: int
@@ -18,42 +21,43 @@
     data: bytes
 
 
-class Meta(msgspec.Struct, array_like=True, frozen=True):
-    """What a voter may never forget."""
+class PersistentState(msgspec.Struct, array_like=True, frozen=True):
+    """What a server must have on disk before it answers: its term, its vote and the id of its disk."""
 
     term: int
-    vote: str
-    disk: int
+    voted_for: str
+    disk_id: int
 
 
-class Base(msgspec.Struct, array_like=True, frozen=True):
-    """Where the log begins: a snapshot stands for all up to `index`."""
+class SnapshotMeta(msgspec.Struct, array_like=True, frozen=True):
+    """What a snapshot covers: all entries up to `index`, the last of which is of `term`."""
 
     index: int
     term: int
     voters: Voters
-    size: int
-    check: int  # CRC-32C of the snapshot
+    size_bytes: int
+    checksum: int  # CRC-32C of the snapshot
 
 
-class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """`pre`: would you vote for me? Nothing changes by it (thesis, 9.6)."""
+class RequestVote(msgspec.Struct, array_like=True, frozen=True, tag=1):
+    """With `pre_vote`, asks for the vote without any change of state (thesis, 9.6)."""
 
     term: int
-    pre: bool
+    pre_vote: bool
     last_index: int
     last_term: int
 
 
-class VoteReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class RequestVoteReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
     term: int
-    pre: bool
+    pre_vote: bool
     granted: bool
-    disk: int
+    disk_id: int
 
 
-class Append(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """The leader's entries after `prev_index`; none: a heartbeat. `round` counts these, for reads."""
+class AppendEntries(msgspec.Struct, array_like=True, frozen=True, tag=3):
+    """The leader's entries after `prev_index`; without entries a heartbeat. `round` counts the broadcasts:
+    reads wait until a majority has acknowledged one."""
 
     term: int
     prev_index: int
@@ -63,42 +67,42 @@
     round: int
 
 
-class AppendReply(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """`match`: up to where the logs agree; where refused, where to try again."""
+class AppendEntriesReply(msgspec.Struct, array_like=True, frozen=True, tag=4):
+    """`match_index`: up to where the logs match; after a rejection, where the leader should retry."""
 
     term: int
     success: bool
-    match: int
+    match_index: int
     round: int
-    disk: int
+    disk_id: int
 
 
-class Piece(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """A part of a snapshot. `term` 0: from one that only feeds."""
+class InstallSnapshot(msgspec.Struct, array_like=True, frozen=True, tag=5):
+    """A chunk of a snapshot. `term` is 0 if the sender is a feeder rather than the leader."""
 
     term: int
-    base: Base
+    meta: SnapshotMeta
     offset: int
     data: bytes
 
 
-class PieceReply(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """The next byte that is wanted of the snapshot at `index`."""
+class InstallSnapshotReply(msgspec.Struct, array_like=True, frozen=True, tag=6):
+    """`offset`: the next byte that the receiver needs of the snapshot at `index`."""
 
     term: int
     index: int
     offset: int
-    disk: int
+    disk_id: int
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """A follower without a vote has all up to `index`, and is to be fed for a while."""
+class FeedRequest(msgspec.Struct, array_like=True, frozen=True, tag=7):
+    """A learner has all committed entries up to `index`, and asks to be fed for the time of a lease."""
 
     index: int
 
 
-class Feed(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """Committed entries alone, after `prev_index`; and who leads, as far as is known."""
+class FeedEntries(msgspec.Struct, array_like=True, frozen=True, tag=8):
+    """Committed entries after `prev_index`, and the latest leader that the feeder knows of."""
 
     term: int
     leader: str
@@ -108,8 +112,8 @@
     commit: int
 
 
-class Forward(msgspec.Struct, array_like=True, frozen=True, tag=9):
-    """A command for the leader. It counts once it comes back in the log."""
+class ForwardCommand(msgspec.Struct, array_like=True, frozen=True, tag=9):
+    """A command for the leader. There is no reply: the sender sees the command in the log."""
 
     id: str
     kind: str
@@ -117,49 +121,49 @@
     data: bytes
 
 
-class ReadRequest(msgspec.Struct, array_like=True, frozen=True, tag=10):
-    """Up to where must be applied before a read is not stale?"""
+class ReadIndexRequest(msgspec.Struct, array_like=True, frozen=True, tag=10):
+    """Asks the leader for the index that must be applied before a read is linearizable (thesis, 6.4)."""
 
     id: str
 
 
-class ReadReply(msgspec.Struct, array_like=True, frozen=True, tag=11):
+class ReadIndexReply(msgspec.Struct, array_like=True, frozen=True, tag=11):
     id: str
     index: int
 
 
-class Hello(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """A named voter whose disk is empty: it knows of no fleet yet."""
+class BootstrapHello(msgspec.Struct, array_like=True, frozen=True, tag=12):
+    """From a configured voter whose disk is empty: it knows of no voters yet."""
 
-    disk: int
+    disk_id: int
 
 
-class Found(msgspec.Struct, array_like=True, frozen=True, tag=13):
-    """The first voters, all of whom were there and empty."""
+class Bootstrap(msgspec.Struct, array_like=True, frozen=True, tag=13):
+    """The first voters, all of which were reachable with empty disks."""
 
     voters: Voters
 
 
 Message = (
-    VoteRequest
-    | VoteReply
-    | Append
-    | AppendReply
-    | Piece
-    | PieceReply
-    | Ask
-    | Feed
-    | Forward
-    | ReadRequest
-    | ReadReply
-    | Hello
-    | Found
+    RequestVote
+    | RequestVoteReply
+    | AppendEntries
+    | AppendEntriesReply
+    | InstallSnapshot
+    | InstallSnapshotReply
+    | FeedRequest
+    | FeedEntries
+    | ForwardCommand
+    | ReadIndexRequest
+    | ReadIndexReply
+    | BootstrapHello
+    | Bootstrap
 )
 
 
 class VoterChange(msgspec.Struct, array_like=True, frozen=True):
-    """A command of kind "voters" as it is asked for: one voter is added or removed."""
+    """A command of kind "voters", as proposed: one voter is added or removed."""
 
     name: str
     add: bool
-    disk: int = -1  # where known; else the leader asks
+    disk_id: int = -1  # -1: the leader learns it from the server itself
--- a/frostport/agreement/raft.py
+++ b/frostport/agreement/raft.py
@@ -1,15 +1,18 @@
-"""One agent's part in the agreed log: elections and replication, after the Raft thesis (Ongaro 2014).
-
-`handle(event, now_ms)` returns what to make durable, to send and to apply, in that order; the caller owns
-disk and network. What each part rests on:
-
-- A vote and a term are saved before they are said (3.4); entries before they are acknowledged (3.5).
-- Only entries of the leader's own term are committed by count (3.6.2); it begins with an empty one.
-- A pre-vote changes nothing, and nobody votes while it hears a leader (4.2.3, 9.6).
-- A leader that hears no majority steps down (6.2).
-- One voter is added or removed at a time, and only once the change before and an entry of this term are
-  committed (4.1, and the correction of 2015).
-- A voter is a name and a disk: one whose disk is new neither votes nor counts.
+"""The Raft state machine of one agent: elections and log replication, after the Raft thesis (Ongaro 2014).
+
+`Raft.handle(event, now_ms)` performs no I/O. It returns what to make durable, to send and to apply, in that
+order; the caller owns disk and network. Numbers in parentheses are sections of the thesis. The invariants:
+
+- The term and the vote are durable before a message mentions them (3.4), and entries are durable before they
+  are acknowledged (3.5).
+- A leader commits by counting replicas only entries of its own term (3.6.2); it appends an empty entry when
+  its term begins.
+- A pre-vote changes no state, and a server that hears a live leader grants no vote (4.2.3, 9.6).
+- A leader that does not hear from a majority steps down (6.2).
+- One voter is added or removed at a time, and only once the previous change and an entry of the current term
+  are committed (4.1, and the correction of 2015).
+- A voter is identified by its name and its disk id: after the loss of its disk it neither votes nor counts
+  towards a majority until it has been removed and added again.
 """
 
 from __future__ import annotations
@@ -19,382 +22,428 @@
 
 import msgspec
 
-from frostport.agreement.events import Compact, Event, Heard, Members, Output, Propose, Read, Role, Tick
-from frostport.agreement.leader import Asked, Leading, Pending, Progress
-from frostport.agreement.log import META, VOTERS, BadLogError, Log
+from frostport.agreement.events import (
+    Compact,
+    Event,
+    MembersChanged,
+    Propose,
+    RaftOutput,
+    Read,
+    Received,
+    Role,
+    Tick,
+)
+from frostport.agreement.leader import LeaderMixin, PendingCommand, PendingRead, Progress
+from frostport.agreement.log import META_KEY, VOTERS_KIND, BadLogError, Log
 from frostport.agreement.messages import (
-    Append,
-    AppendReply,
-    Ask,
+    AppendEntries,
+    AppendEntriesReply,
+    Bootstrap,
+    BootstrapHello,
     Entry,
-    Feed,
-    Forward,
-    Found,
-    Hello,
-    Meta,
-    Piece,
-    PieceReply,
-    ReadReply,
-    ReadRequest,
-    VoteReply,
-    VoteRequest,
+    FeedEntries,
+    FeedRequest,
+    ForwardCommand,
+    InstallSnapshot,
+    InstallSnapshotReply,
+    PersistentState,
+    ReadIndexReply,
+    ReadIndexRequest,
+    RequestVote,
+    RequestVoteReply,
     Voters,
 )
-from frostport.agreement.settings import Settings
-from frostport.agreement.snapshots import Receiving
+from frostport.agreement.settings import RaftSettings
+from frostport.agreement.snapshots import SnapshotReceiver
 
 NEVER = float("inf")
 _encoder = msgspec.msgpack.Encoder()
 
 
-class Raft(Leading):
-    """Raises BadLogError where the records found are no log."""
+class Raft(LeaderMixin):
+    """One server: voter or learner, and follower, candidate or leader.
+
+    The constructor raises BadLogError if the recovered records are not a consistent log.
+    """
 
     def __init__(
         self,
         name: str,
-        disk: int,
-        named: Iterable[str],
-        settings: Settings,
-        chance: random.Random,
-        found: Mapping[str, bytes],
+        disk_id: int,
+        founding_voters: Iterable[str],
+        settings: RaftSettings,
+        rng: random.Random,
+        records: Mapping[str, bytes],
         now_ms: float,
     ) -> None:
-        """`disk`: drawn when the store was made; `named`: the voters that the settings name, for the
-        founding; `found`: the records under `raft/`."""
-        self.name, self.disk, self.named = name, disk, tuple(sorted(named))
-        self.settings, self.chance = settings, chance
+        """`disk_id` is drawn at random when the store is created. `founding_voters`: the configured voters,
+        used only to bootstrap a new cluster. `records` are the recovered records under `raft/`."""
+        self.name, self.disk_id, self.founding_voters = name, disk_id, tuple(sorted(founding_voters))
+        self.settings, self.rng = settings, rng
         try:
-            self.log = Log(found)
-            meta = msgspec.msgpack.decode(found[META], type=Meta) if META in found else Meta(0, "", disk)
+            self.log = Log(records)
+            state = (
+                msgspec.msgpack.decode(records[META_KEY], type=PersistentState)
+                if META_KEY in records
+                else PersistentState(0, "", disk_id)
+            )
         except msgspec.MsgspecError as problem:
             raise BadLogError(str(problem)) from None
-        if meta.disk != disk:
-            raise BadLogError("another disk's records")
-        self.term, self.vote = meta.term, meta.vote
-        self.voters, self.voters_index = self.log.voters()
+        if state.disk_id != disk_id:
+            raise BadLogError("the records belong to another disk")
+        self.term, self.voted_for = state.term, state.voted_for
+        self.voters, self.voters_index = self.log.latest_voters()
         self.role, self.leader = Role.FOLLOWER, ""
-        self.commit = self.applied = self.log.base.index
-        self.leader_heard = -NEVER
-        self.granted: set[str] = set()
-        self.peers: dict[str, Progress] = {}
-        self.joining: dict[str, Progress] = {}  # fed by the leader until they can be added
-        self.join_ids: dict[str, str] = {}  # the commands that asked for them
-        self.round = 0
-        self.reads: list[Asked] = []
-        self.waiting_reads: dict[str, tuple[int, float]] = {}  # index (-1: not known), ask again at
-        self.pending: dict[str, Pending] = {}
-        self.hellos: dict[str, tuple[int, float]] = {}
-        self.receiving = Receiving()
-        self.election_at = now_ms + self._election_ms()
+        self.commit_index = self.last_applied = self.log.snapshot_meta.index
+        self.leader_heard_at = -NEVER
+        self.votes_granted: set[str] = set()
+        self.progress: dict[str, Progress] = {}
+        self.joining: dict[str, Progress] = {}  # new servers that catch up before they become voters
+        self.join_command_ids: dict[str, str] = {}  # by server: the command that asked for the addition
+        self.heartbeat_round = 0
+        self.pending_reads: list[PendingRead] = []
+        self.local_reads: dict[str, tuple[int, float]] = {}  # by id: read index (-1: unknown), when to retry
+        self.pending_commands: dict[str, PendingCommand] = {}
+        self.bootstrap_hellos: dict[str, tuple[int, float]] = {}  # by name: disk id, when heard
+        self.snapshot_receiver = SnapshotReceiver()
+        self.election_at = now_ms + self._election_timeout_ms()
         self.heartbeat_at = NEVER
         self.hello_at = now_ms
-        self.out = Output()
-        self.feeding(now_ms)
+        self.output = RaftOutput()
+        self.init_learner_state(now_ms)
 
-    # The face
+    # Interface
 
-    def handle(self, event: Event, now_ms: float) -> Output:
-        out = self.out = Output()
+    def handle(self, event: Event, now_ms: float) -> RaftOutput:
+        """Processes one event; `now_ms` is a monotonic time in milliseconds that never decreases."""
+        out = self.output = RaftOutput()
         match event:
             case Tick():
                 self._tick(now_ms)
-            case Heard():
-                self._heard(event.sender, event.message, now_ms)
+            case Received():
+                self._receive(event.sender, event.message, now_ms)
             case Propose():
                 self._propose(event, now_ms)
             case Read():
-                self._read(event.id, now_ms)
+                self._request_read_index(event.id, now_ms)
             case Compact():
-                if self.log.base.index < event.index <= self.applied:
-                    out.save += self.log.compact(event.index, event.snapshot)
-            case Members():
+                if self.log.snapshot_meta.index < event.index <= self.last_applied:
+                    out.writes += self.log.compact(event.index, event.snapshot)
+            case MembersChanged():
                 self.members = event.names
-        self._reads_ready()
+        self._release_reads()
         return out
 
     def next_ms(self) -> float:
-        """When the next `Tick` is due."""
-        at = [NEVER]
+        """When the next `Tick` is due, on the clock of `now_ms`; infinity if no timer is set."""
+        due_times = [NEVER]
         if self.role is Role.LEADER:
-            at.append(self.heartbeat_at)
-        elif self.voter():
-            at.append(self.election_at)
-        elif not self.voters and self.name in self.named:
-            at.append(self.hello_at)
-        if not self.voter() and self.role is not Role.LEADER:
-            at.append(self.ask_at)
-        at += [pending.again_at for pending in self.pending.values()]
-        at += [again for _, again in self.waiting_reads.values()]
-        return min(at)
-
-    def voter(self) -> bool:
-        """Whether it may vote, and counts: by its name and its disk."""
-        return self.voters.get(self.name) == self.disk
-
-    def snapshot(self) -> dict[str, object]:
-        """Plain data for the door and for records."""
+            due_times.append(self.heartbeat_at)
+        elif self.is_voter():
+            due_times.append(self.election_at)
+        elif not self.voters and self.name in self.founding_voters:
+            due_times.append(self.hello_at)
+        if not self.is_voter() and self.role is not Role.LEADER:
+            due_times.append(self.feed_request_at)
+        due_times += [pending.retry_at for pending in self.pending_commands.values()]
+        due_times += [retry_at for _, retry_at in self.local_reads.values()]
+        return min(due_times)
+
+    def is_voter(self) -> bool:
+        """Whether this server votes and counts towards a majority: both its name and its disk id match."""
+        return self.voters.get(self.name) == self.disk_id
+
+    def status(self) -> dict[str, object]:
+        """State as plain data, for the operators' port and for records."""
         return {
             "name": self.name,
             "role": self.role.value,
             "term": self.term,
             "leader": self.leader,
-            "voter": self.voter(),
+            "voter": self.is_voter(),
             "voters": sorted(self.voters),
-            "first": self.log.base.index + 1,
+            "first": self.log.snapshot_meta.index + 1,
             "last": self.log.last_index,
-            "commit": self.commit,
-            "applied": self.applied,
+            "commit": self.commit_index,
+            "applied": self.last_applied,
         }
 
-    # Time
+    # Timers
 
-    def _election_ms(self) -> float:
-        return self.settings.election_ms * (1.0 + self.chance.random())
+    def _election_timeout_ms(self) -> float:
+        return self.settings.election_timeout_ms * (1.0 + self.rng.random())
 
     def _tick(self, now: float) -> None:
         if self.role is Role.LEADER:
-            # First: a leader that has stood still says nothing more as one.
-            heard = sum(
-                self.peers[name].heard_at > now - self.settings.election_ms
+            # Checked before the heartbeat: a leader that was paused must not send anything as leader.
+            reachable = sum(
+                self.progress[name].last_heard_at > now - self.settings.election_timeout_ms
                 for name in self.voters
-                if name in self.peers
+                if name in self.progress
             )
-            if heard + self.voter() <= len(self.voters) // 2:
-                self._follow(self.term, "", now, "it hears no majority")
+            if reachable + self.is_voter() <= len(self.voters) // 2:
+                self._become_follower(self.term, "", now, "it hears no majority")
             elif self.heartbeat_at <= now:
                 self._broadcast(now)
-        elif self.voter() and self.election_at <= now:
-            self._ask_for_votes(now)
-        elif not self.voters and self.name in self.named and self.hello_at <= now:
-            self._hello(now)
-        if not self.voter() and self.role is not Role.LEADER and self.ask_at <= now:
-            self._ask(now)
-        for pending in self.pending.values():
-            if pending.again_at <= now:
-                self._forward(pending, now)
-        for id in [id for id, (index, again) in self.waiting_reads.items() if index < 0 and again <= now]:
-            self._read(id, now)
-
-    # The founding: the first voters, only where all of them are there and empty
-
-    def _hello(self, now: float) -> None:
-        self.hello_at = now + self.settings.heartbeat_ms
-        for name in self.named:
+        elif self.is_voter() and self.election_at <= now:
+            self._start_pre_vote(now)
+        elif not self.voters and self.name in self.founding_voters and self.hello_at <= now:
+            self._send_bootstrap_hellos(now)
+        if not self.is_voter() and self.role is not Role.LEADER and self.feed_request_at <= now:
+            self._send_feed_request(now)
+        for pending in self.pending_commands.values():
+            if pending.retry_at <= now:
+                self._forward_command(pending, now)
+        for id in [id for id, (index, retry_at) in self.local_reads.items() if index < 0 and retry_at <= now]:
+            self._request_read_index(id, now)
+
+    # Bootstrap: the first voters are set only once all of them are reachable and their logs are empty
+
+    def _send_bootstrap_hellos(self, now: float) -> None:
+        self.hello_at = now + self.settings.heartbeat_interval_ms
+        for name in self.founding_voters:
             if name != self.name:
-                self.out.send.append((name, Hello(self.disk)))
-        fresh = {
-            name: disk
-            for name, (disk, at) in self.hellos.items()
-            if at > now - 3.0 * self.settings.heartbeat_ms
+                self.output.messages.append((name, BootstrapHello(self.disk_id)))
+        present = {
+            name: disk_id
+            for name, (disk_id, heard_at) in self.bootstrap_hellos.items()
+            if heard_at > now - 3.0 * self.settings.heartbeat_interval_ms
         }
-        if self.name == self.named[0] and set(self.named) == {self.name, *fresh}:
-            self._found({**fresh, self.name: self.disk}, now)
-            for name in fresh:
-                self.out.send.append((name, Found(dict(self.voters))))
-
-    def _found(self, voters: Voters, now: float) -> None:
-        self.out.save += self._meta()
-        self.out.save += self.log.install(msgspec.structs.replace(self.log.base, voters=voters), b"")
-        self._voters_changed()
-        self.election_at = now + self._election_ms()
-        self._note("founded", voters=sorted(voters))
-
-    def _heard_hello(self, sender: str, hello: Hello, now: float) -> None:
+        if self.name == self.founding_voters[0] and set(self.founding_voters) == {self.name, *present}:
+            self._bootstrap({**present, self.name: self.disk_id}, now)
+            for name in present:
+                self.output.messages.append((name, Bootstrap(dict(self.voters))))
+
+    def _bootstrap(self, voters: Voters, now: float) -> None:
+        self.output.writes += self._persistent_state()
+        self.output.writes += self.log.install(
+            msgspec.structs.replace(self.log.snapshot_meta, voters=voters), b""
+        )
+        self._refresh_voters()
+        self.election_at = now + self._election_timeout_ms()
+        self._record("founded", voters=sorted(voters))
+
+    def _handle_bootstrap_hello(self, sender: str, hello: BootstrapHello, now: float) -> None:
         if not self.voters:
-            self.hellos[sender] = (hello.disk, now)
-        elif self.voters.get(sender) == hello.disk and self.log.base.index == 0:
-            # It was there at the founding, and has not heard of it: it has promised nothing to anyone.
-            self.out.send.append((sender, Found(dict(self.log.base.voters))))
+            self.bootstrap_hellos[sender] = (hello.disk_id, now)
+        elif self.voters.get(sender) == hello.disk_id and self.log.snapshot_meta.index == 0:
+            # The sender was part of the bootstrap and missed the message. It has not voted or acknowledged
+            # anything since, so it can still adopt the first voters.
+            self.output.messages.append((sender, Bootstrap(dict(self.log.snapshot_meta.voters))))
 
     # Elections
 
-    def _meta(self) -> list[tuple[str, bytes | None]]:
-        return [(META, _encoder.encode(Meta(self.term, self.vote, self.disk)))]
+    def _persistent_state(self) -> list[tuple[str, bytes | None]]:
+        return [(META_KEY, _encoder.encode(PersistentState(self.term, self.voted_for, self.disk_id)))]
 
     def _enter_term(self, term: int, vote: str = "") -> None:
-        self.term, self.vote = term, vote
-        self.out.save += self._meta()
-
-    def _ask_for_votes(self, now: float) -> None:
-        """The pre-vote: would a majority vote for it?"""
-        self.role, self.leader, self.granted = Role.ASKING, "", {self.name}
-        self.election_at = now + self._election_ms()
-        self._request(self.term + 1, True)
-        if now - self.leader_heard > 3.0 * self.settings.election_ms:
-            # Guards a voter that was removed while it was cut off: nobody else would ever tell it.
-            self.ask_anyone()
-        self._counted(now)
-
-    def _request(self, term: int, pre: bool) -> None:
-        request = VoteRequest(term, pre, self.log.last_index, self.log.last_term)
-        self.out.send += [(name, request) for name in self.voters if name != self.name]
-
-    def _counted(self, now: float) -> None:
-        if len(self.granted) <= len(self.voters) // 2:
+        self.term, self.voted_for = term, vote
+        self.output.writes += self._persistent_state()
+
+    def _start_pre_vote(self, now: float) -> None:
+        """Asks, without a change of term, whether a majority would vote for this server (9.6)."""
+        self.role, self.leader, self.votes_granted = Role.PRE_CANDIDATE, "", {self.name}
+        self.election_at = now + self._election_timeout_ms()
+        self._send_vote_requests(self.term + 1, True)
+        if now - self.leader_heard_at > 3.0 * self.settings.election_timeout_ms:
+            # A voter that was removed while partitioned is sent no entries by the new voters; it learns of
+            # its removal only by asking to be fed.
+            self.request_feed_from_any()
+        self._count_votes(now)
+
+    def _send_vote_requests(self, term: int, pre_vote: bool) -> None:
+        request = RequestVote(term, pre_vote, self.log.last_index, self.log.last_term)
+        self.output.messages += [(name, request) for name in self.voters if name != self.name]
+
+    def _count_votes(self, now: float) -> None:
+        if len(self.votes_granted) <= len(self.voters) // 2:
             return
-        if self.role is Role.ASKING:
-            self.role, self.granted = Role.CANDIDATE, {self.name}
+        if self.role is Role.PRE_CANDIDATE:
+            self.role, self.votes_granted = Role.CANDIDATE, {self.name}
             self._enter_term(self.term + 1, self.name)
-            self._request(self.term, False)
-            self._note("candidate")
-            self._counted(now)
+            self._send_vote_requests(self.term, False)
+            self._record("candidate")
+            self._count_votes(now)
         elif self.role is Role.CANDIDATE:
-            self._lead(now)
-
-    def _lead(self, now: float) -> None:
-        self.role, self.leader, self.leader_heard = Role.LEADER, self.name, now
-        self.round, self.reads, self.joining, self.join_ids = 0, [], {}, {}
-        self.peers = {
-            name: Progress(self.log.last_index + 1, heard_at=now) for name in self.voters if name != self.name
+            self._become_leader(now)
+
+    def _become_leader(self, now: float) -> None:
+        self.role, self.leader, self.leader_heard_at = Role.LEADER, self.name, now
+        self.heartbeat_round, self.pending_reads, self.joining, self.join_command_ids = 0, [], {}, {}
+        self.progress = {
+            name: Progress(self.log.last_index + 1, last_heard_at=now)
+            for name in self.voters
+            if name != self.name
         }
-        self._note("leader")
+        self._record("leader")
         if self.voters_index:
-            self._append("", "", 1, b"")
-        else:  # those of the founding: followers without a vote learn of them by the log
-            self._append("", VOTERS, 1, _encoder.encode(self.voters))
-        for pending in self.pending.values():
-            pending.again_at = now
+            self._append_entry("", "", 1, b"")
+        else:  # the voters are still those of the bootstrap, which learners know only from the log
+            self._append_entry("", VOTERS_KIND, 1, _encoder.encode(self.voters))
+        for pending in self.pending_commands.values():
+            pending.retry_at = now
         self._broadcast(now)
 
-    def _follow(self, term: int, leader: str, now: float, why: str = "") -> None:
+    def _become_follower(self, term: int, leader: str, now: float, why: str = "") -> None:
         if term > self.term:
             self._enter_term(term)
         if self.role is Role.LEADER or (leader and leader != self.leader):
-            self._note("follower", why=why, leader=leader)
+            self._record("follower", why=why, leader=leader)
         self.role, self.leader = Role.FOLLOWER, leader
-        self.peers, self.joining, self.join_ids, self.reads = {}, {}, {}, []
-        self.election_at = now + self._election_ms()
-
-    def _vote_request(self, sender: str, request: VoteRequest, now: float) -> None:
-        # Nobody votes while a leader is heard: who was removed, or cut off, disturbs nobody (4.2.3).
-        led = self.role is Role.LEADER or now - self.leader_heard < self.settings.election_ms
-        current = (request.last_term, request.last_index) >= (self.log.last_term, self.log.last_index)
-        if led or request.term < self.term or not self.voter():
+        self.progress, self.joining, self.join_command_ids, self.pending_reads = {}, {}, {}, []
+        self.election_at = now + self._election_timeout_ms()
+
+    def _handle_request_vote(self, sender: str, request: RequestVote, now: float) -> None:
+        # No vote while a leader is alive, so that a removed or partitioned server cannot disrupt it (4.2.3).
+        leader_is_alive = (
+            self.role is Role.LEADER or now - self.leader_heard_at < self.settings.election_timeout_ms
+        )
+        log_is_current = (request.last_term, request.last_index) >= (self.log.last_term, self.log.last_index)
+        if leader_is_alive or request.term < self.term or not self.is_voter():
             granted = False
-        elif request.pre:
-            granted = request.term > self.term and current
+        elif request.pre_vote:
+            granted = request.term > self.term and log_is_current
         else:
             if request.term > self.term:
-                self._follow(request.term, "", now)
-            granted = current and self.vote in ("", sender)
-            if granted and not self.vote:
-                self.vote = sender
-                self.out.save += self._meta()
+                self._become_follower(request.term, "", now)
+            granted = log_is_current and self.voted_for in ("", sender)
+            if granted and not self.voted_for:
+                self.voted_for = sender
+                self.output.writes += self._persistent_state()
             if granted:
-                self.election_at = now + self._election_ms()
-        self.out.send.append((sender, VoteReply(self.term, request.pre, granted, self.disk)))
+                self.election_at = now + self._election_timeout_ms()
+        self.output.messages.append(
+            (sender, RequestVoteReply(self.term, request.pre_vote, granted, self.disk_id))
+        )
 
-    def _vote_reply(self, sender: str, reply: VoteReply, now: float) -> None:
+    def _handle_request_vote_reply(self, sender: str, reply: RequestVoteReply, now: float) -> None:
         if reply.term > self.term:
-            self._follow(reply.term, "", now)
+            self._become_follower(reply.term, "", now)
         elif (
             reply.granted
-            and self.voters.get(sender) == reply.disk
+            and self.voters.get(sender) == reply.disk_id
             and (
-                (reply.pre and self.role is Role.ASKING)
-                or (not reply.pre and self.role is Role.CANDIDATE and reply.term == self.term)
+                (reply.pre_vote and self.role is Role.PRE_CANDIDATE)
+                or (not reply.pre_vote and self.role is Role.CANDIDATE and reply.term == self.term)
             )
         ):
-            self.granted.add(sender)
-            self._counted(now)
+            self.votes_granted.add(sender)
+            self._count_votes(now)
 
-    # The follower
+    # Follower
 
-    def _append_request(self, sender: str, message: Append, now: float) -> None:
+    def _handle_append_entries(self, sender: str, message: AppendEntries, now: float) -> None:
         if message.term < self.term:
-            self.out.send.append((sender, AppendReply(self.term, False, 0, message.round, self.disk)))
+            self.output.messages.append(
+                (sender, AppendEntriesReply(self.term, False, 0, message.round, self.disk_id))
+            )
             return
         if message.term > self.term or self.role is not Role.FOLLOWER or self.leader != sender:
-            self._follow(message.term, sender, now)
-        self.leader_heard, self.election_at = now, now + self._election_ms()
-        agreed = self._take_entries(message.prev_index, message.prev_term, message.entries)
-        if agreed is None:
-            # Where to try again: no further than its own end, and never into what is committed.
-            match = max(self.commit, min(self.log.last_index, message.prev_index - 1))
-            self.out.send.append((sender, AppendReply(self.term, False, match, message.round, self.disk)))
+            self._become_follower(message.term, sender, now)
+        self.leader_heard_at, self.election_at = now, now + self._election_timeout_ms()
+        match_index = self._merge_entries(message.prev_index, message.prev_term, message.entries)
+        if match_index is None:
+            # Where the leader should retry: not past the end of this log, and not before its commit index.
+            retry_index = max(self.commit_index, min(self.log.last_index, message.prev_index - 1))
+            self.output.messages.append(
+                (sender, AppendEntriesReply(self.term, False, retry_index, message.round, self.disk_id))
+            )
             return
-        if (commit := min(message.commit, agreed)) > self.commit:
-            self._committed(commit, now)
-        self.out.send.append((sender, AppendReply(self.term, True, agreed, message.round, self.disk)))
-
-    def _take_entries(self, prev_index: int, prev_term: int, entries: tuple[Entry, ...]) -> int | None:
-        """Up to where the logs agree now, or None where they don't at `prev_index` (3.5)."""
-        if prev_index < self.log.base.index:
-            covered = self.log.base.index - prev_index
+        if (commit_index := min(message.commit, match_index)) > self.commit_index:
+            self._set_commit_index(commit_index, now)
+        self.output.messages.append(
+            (sender, AppendEntriesReply(self.term, True, match_index, message.round, self.disk_id))
+        )
+
+    def _merge_entries(self, prev_index: int, prev_term: int, entries: tuple[Entry, ...]) -> int | None:
+        """Appends the missing entries and removes conflicting ones (3.5).
+
+        Returns the index up to which the logs now match, or None if they differ at `prev_index`."""
+        if prev_index < self.log.snapshot_meta.index:
+            covered = self.log.snapshot_meta.index - prev_index
             if covered > len(entries):
-                return self.log.base.index if self.log.base.index <= prev_index + len(entries) else None
-            prev_index, entries = self.log.base.index, entries[covered:]
+                return (
+                    self.log.snapshot_meta.index
+                    if self.log.snapshot_meta.index <= prev_index + len(entries)
+                    else None
+                )
+            prev_index, entries = self.log.snapshot_meta.index, entries[covered:]
         elif self.log.term_at(prev_index) != prev_term:
             return None
-        for number, entry in enumerate(entries):
-            held = self.log.term_at(entry.index)
-            if held == entry.term:
+        for position, entry in enumerate(entries):
+            existing_term = self.log.term_at(entry.index)
+            if existing_term == entry.term:
                 continue
-            if held is not None:
-                assert entry.index > self.commit, "a committed entry would change"
-                self.out.save += self.log.cut(entry.index)
-            self.out.save += self.log.append(entries[number:])
-            self._voters_changed()
+            if existing_term is not None:
+                assert entry.index > self.commit_index, "a committed entry would change"
+                self.output.writes += self.log.truncate_from(entry.index)
+            self.output.writes += self.log.append(entries[position:])
+            self._refresh_voters()
             break
         return prev_index + len(entries)
 
-    def _installed(self, base: object, snapshot: bytes, now: float) -> None:
-        """A whole snapshot, checked: it takes the place of what it covers."""
-        assert isinstance(base, type(self.log.base))
-        if base.index <= self.commit:
+    def _install_snapshot(self, meta: object, snapshot: bytes, now: float) -> None:
+        """Replaces the log up to `meta.index` by a complete, verified snapshot."""
+        assert isinstance(meta, type(self.log.snapshot_meta))
+        if meta.index <= self.commit_index:
             return
-        self.out.save += self.log.install(base, snapshot)
-        self.out.install = (base, snapshot)
-        self.commit = self.applied = base.index
-        self._voters_changed()
-        self._note("installed", index=base.index, bytes=base.size)
+        self.output.writes += self.log.install(meta, snapshot)
+        self.output.installed_snapshot = (meta, snapshot)
+        self.commit_index = self.last_applied = meta.index
+        self._refresh_voters()
+        self._record("installed", index=meta.index, bytes=meta.size_bytes)
 
-    def _heard(self, sender: str, message: object, now: float) -> None:
+    def _receive(self, sender: str, message: object, now: float) -> None:
         match message:
-            case VoteRequest():
-                self._vote_request(sender, message, now)
-            case VoteReply():
-                self._vote_reply(sender, message, now)
-            case Append():
-                self._append_request(sender, message, now)
-            case AppendReply():
-                self._append_reply(sender, message, now)
-            case Piece():
+            case RequestVote():
+                self._handle_request_vote(sender, message, now)
+            case RequestVoteReply():
+                self._handle_request_vote_reply(sender, message, now)
+            case AppendEntries():
+                self._handle_append_entries(sender, message, now)
+            case AppendEntriesReply():
+                self._handle_append_entries_reply(sender, message, now)
+            case InstallSnapshot():
                 if message.term > self.term:
-                    self._follow(message.term, sender, now)
+                    self._become_follower(message.term, sender, now)
                 if message.term in (0, self.term):
                     if message.term:
-                        self.leader_heard, self.election_at = now, now + self._election_ms()
-                    self._take_piece(sender, message, now)
-            case PieceReply():
-                self._piece_reply(sender, message, now)
-            case Ask():
-                self.asked(sender, message, now)
-            case Feed():
-                self.fed(sender, message, now)
-            case Forward():
-                self._take(message, now)
-            case ReadRequest():
-                self._read_request(sender, message, now)
-            case ReadReply():
-                self._read_at(message.id, message.index)
-            case Hello():
-                self._heard_hello(sender, message, now)
-            case Found():
-                if not self.voters and not self.term and message.voters.get(self.name) == self.disk:
-                    self._found(message.voters, now)
-
-    def _take_piece(self, sender: str, message: Piece, now: float) -> None:
-        if message.base.index > self.commit and not self.receiving.wants(
-            message.base, now, self.settings.silent_ms
+                        self.leader_heard_at, self.election_at = now, now + self._election_timeout_ms()
+                    self._handle_install_snapshot(sender, message, now)
+            case InstallSnapshotReply():
+                self._handle_install_snapshot_reply(sender, message, now)
+            case FeedRequest():
+                self.handle_feed_request(sender, message, now)
+            case FeedEntries():
+                self.handle_feed_entries(sender, message, now)
+            case ForwardCommand():
+                self._accept_command(message, now)
+            case ReadIndexRequest():
+                self._handle_read_index_request(sender, message, now)
+            case ReadIndexReply():
+                self._set_read_index(message.id, message.index)
+            case BootstrapHello():
+                self._handle_bootstrap_hello(sender, message, now)
+            case Bootstrap():
+                if not self.voters and not self.term and message.voters.get(self.name) == self.disk_id:
+                    self._bootstrap(message.voters, now)
+
+    def _handle_install_snapshot(self, sender: str, message: InstallSnapshot, now: float) -> None:
+        if message.meta.index > self.commit_index and not self.snapshot_receiver.accepts(
+            message.meta, now, self.settings.feeder_timeout_ms
         ):
             return
-        whole = self.receiving.take(message)
-        if whole is not None:
-            self._installed(message.base, whole, now)
-        wanted = message.base.size if message.base.index <= self.commit else self.receiving.offset
-        self.out.send.append((sender, PieceReply(message.term, message.base.index, wanted, self.disk)))
-
-    def _note(self, what: str, **fields: object) -> None:
-        self.out.notes.append((what, {"term": self.term, **fields}))
+        snapshot = self.snapshot_receiver.add(message)
+        if snapshot is not None:
+            self._install_snapshot(message.meta, snapshot, now)
+        next_offset = (
+            message.meta.size_bytes
+            if message.meta.index <= self.commit_index
+            else self.snapshot_receiver.offset
+        )
+        self.output.messages.append(
+            (sender, InstallSnapshotReply(message.term, message.meta.index, next_offset, self.disk_id))
+        )
+
+    def _record(self, event: str, **fields: object) -> None:
+        self.output.record_events.append((event, {"term": self.term, **fields}))
--- a/frostport/agreement/settings.py
+++ b/frostport/agreement/settings.py
@@ -1,4 +1,4 @@
-"""The times of the agreed log, in milliseconds, and its sizes."""
+"""Timeouts and sizes of the agreed log."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
-    """Thesis, 9.2: election far above heartbeat and round trip, far below the time between failures."""
+class RaftSettings:
+    """Thesis, 9.2: the election timeout is far above the heartbeat interval and the round-trip time, and far
+    below the time between failures."""
 
-    election_ms: float = 1500.0  # without a word from a leader; up to twice as long, drawn
-    heartbeat_ms: float = 300.0
-    resend_ms: float = 1000.0  # a command that has not come back in the log is sent again
-    ask_ms: float = 1000.0  # a follower without a vote asks again
-    lease_ms: float = 3500.0  # and is fed for so long
-    silent_ms: float = 4000.0  # a feeder that says nothing for so long is left
-    batch_bytes: int = 64 * 1024  # of entries in one message
-    piece_bytes: int = 64 * 1024  # of a snapshot
-    children: int = 8  # followers that one agent feeds in the tree; more only where others fail
-    pending: int = 1000  # commands under way at one agent; more are refused
+    election_timeout_ms: float = 1500.0  # without a message from a leader; randomised up to twice as long
+    heartbeat_interval_ms: float = 300.0
+    command_retry_ms: float = 1000.0  # a command that is not committed by then is sent again
+    feed_request_interval_ms: float = 1000.0  # a learner renews its request to be fed
+    feed_lease_ms: float = 3500.0  # a learner is fed for so long after its last request
+    feeder_timeout_ms: float = 4000.0  # a feeder that is silent for so long is replaced
+    max_batch_bytes: int = 64 * 1024  # entries in one message
+    snapshot_chunk_bytes: int = 64 * 1024  # snapshot data in one message
+    max_fed_learners: int = 8  # learners per feeder in the tree; more only after failures of others
+    max_pending_commands: int = 1000  # uncommitted commands of one agent; more are refused
--- a/frostport/agreement/snapshots.py
+++ b/frostport/agreement/snapshots.py
@@ -1,49 +1,58 @@
-"""Snapshots on their way, piece by piece: whole and checked before they count, taken up again after a cut."""
+"""Transfer of snapshots in chunks (InstallSnapshot).
+
+A snapshot is used only once it is complete and its checksum holds; an interrupted transfer is resumed.
+"""
 
 from __future__ import annotations
 
-from frostport.agreement.log import Log, check
-from frostport.agreement.messages import Base, Piece
+from frostport.agreement.log import Log, crc32c
+from frostport.agreement.messages import InstallSnapshot, SnapshotMeta
 
-SNAPSHOT_MOST = 256 * 1024 * 1024  # bytes: guards against a size that nobody could hold
+MAX_SNAPSHOT_BYTES = 256 * 1024 * 1024  # guards against a size that would exhaust memory
 
 
-def piece(log: Log, term: int, offset: int, size: int) -> Piece:
-    offset = min(offset, log.base.size)
-    return Piece(term, log.base, offset, log.snapshot[offset : offset + size])
+def snapshot_message(log: Log, term: int, offset: int, max_bytes: int) -> InstallSnapshot:
+    """The chunk of the log's snapshot at `offset`. `term` is 0 if the sender is not the leader."""
+    offset = min(offset, log.snapshot_meta.size_bytes)
+    return InstallSnapshot(term, log.snapshot_meta, offset, log.snapshot[offset : offset + max_bytes])
 
 
-class Receiving:
-    """The one snapshot that is being taken in."""
+class SnapshotReceiver:
+    """Assembles the one snapshot that is being received."""
 
     def __init__(self) -> None:
-        self.base: Base | None = None
+        self.meta: SnapshotMeta | None = None
         self.data = bytearray()
-        self.heard_at = 0.0
+        self.last_heard_at = 0.0
 
     @property
     def offset(self) -> int:
-        """The next byte wanted."""
+        """The next byte needed."""
         return len(self.data)
 
-    def wants(self, base: Base, now: float, patience_ms: float) -> bool:
-        """Guards against two that send different snapshots, each undoing the other's: the later one counts,
-        until nothing has come of it for a while."""
-        if self.base is not None and base.index < self.base.index and now - self.heard_at < patience_ms:
+    def accepts(self, meta: SnapshotMeta, now: float, timeout_ms: float) -> bool:
+        """Whether to take a chunk of this snapshot. Two senders of different snapshots would each reset the
+        other's transfer: the later snapshot wins, unless nothing of it has arrived for `timeout_ms`."""
+        if self.meta is not None and meta.index < self.meta.index and now - self.last_heard_at < timeout_ms:
             return False
-        self.heard_at = now
+        self.last_heard_at = now
         return True
 
-    def take(self, message: Piece) -> bytes | None:
-        """The whole snapshot once it is there and its check holds; a false one begins anew."""
-        if message.base != self.base:
-            if message.base.size > SNAPSHOT_MOST or message.offset:
-                self.base, self.data = None, bytearray()
+    def add(self, message: InstallSnapshot) -> bytes | None:
+        """Adds a chunk. Returns the snapshot once it is complete and its checksum holds; if the checksum is
+        wrong, the transfer starts again."""
+        if message.meta != self.meta:
+            if message.meta.size_bytes > MAX_SNAPSHOT_BYTES or message.offset:
+                self.meta, self.data = None, bytearray()
                 return None
-            self.base, self.data = message.base, bytearray()
+            self.meta, self.data = message.meta, bytearray()
         if message.offset == len(self.data):
             self.data += message.data
-        if len(self.data) < message.base.size:
+        if len(self.data) < message.meta.size_bytes:
             return None
-        whole, self.base, self.data = bytes(self.data), None, bytearray()
-        return whole if len(whole) == message.base.size and check(whole) == message.base.check else None
+        snapshot, self.meta, self.data = bytes(self.data), None, bytearray()
+        return (
+            snapshot
+            if len(snapshot) == message.meta.size_bytes and crc32c(snapshot) == message.meta.checksum
+            else None
+        )
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -1,7 +1,7 @@
-"""The fleet's part of an agent: membership and the agreed log, joined to wires, store and door. No decisions.
+"""Connects membership (SWIM) and the agreed log (Raft) to network, store and operators' port.
 
-Imported only where the configuration has `fleet`. Its clock is the machine's monotonic one: nothing that is
-settled between machines rests on the time of day.
+The protocol decisions are in `membership` and `agreement`. Imported only if the configuration has `fleet`.
+The clock is the machine's monotonic one: nothing that agents agree on depends on the time of day.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory
 
-from frostport.agreement import events as agreed
-from frostport.agreement.applying import Applying
-from frostport.agreement.log import META, BadLogError
-from frostport.agreement.machine import Machine, Note
+from frostport.agreement import events as raft_events
+from frostport.agreement.applier import Applier
+from frostport.agreement.log import META_KEY, BadLogError
 from frostport.agreement.messages import Message as RaftMessage
-from frostport.agreement.messages import Meta, VoterChange
+from frostport.agreement.messages import PersistentState, VoterChange
 from frostport.agreement.raft import Raft
-from frostport.agreement.settings import Settings as RaftSettings
+from frostport.agreement.settings import RaftSettings
+from frostport.agreement.state_machine import Note, StateMachine
 from frostport.config_fleet import FleetConfig
 from frostport.core.clock import MonotonicClock
 from frostport.core.deadlines import Deadline, Deadlines
-from frostport.membership import events as seen
+from frostport.membership import events as swim_events
 from frostport.membership.messages import Info, Message, State, Update
 from frostport.membership.settings import Settings as SwimSettings
 from frostport.membership.swim import Swim
@@ -36,7 +36,7 @@
 from frostport.net.link import Connection, Link
 from frostport.net.operator import Operation, OperatorError
 from frostport.net.peers import split
-from frostport.observe.record import FileRecord, NoRecord, Record
+from frostport.observe.record import FileRecord, NullRecord, Record
 from frostport.pump import Pump
 from frostport.store import committer
 from frostport.store.committer import Committer, ThreadWorker
@@ -47,53 +47,65 @@
 
 log = logging.getLogger("frostport.fleet")
 
-RAFT, VIEW, ANSWER = "raft", "view", "view-back"
-WHOLE = "whole"  # the key of a mark on the disk
-APPLIED_A_TURN = 100  # entries: some 3 ms
+FRAME_RAFT, FRAME_VIEW, FRAME_VIEW_REPLY = "raft", "view", "view-back"
+CAUGHT_UP_KEY = "whole"  # key of the record that says that the log was complete once
+MAX_APPLIED_PER_TURN = 100  # entries; applying them takes about 3 ms
 NEVER = float("inf")
-_raft: msgspec.msgpack.Decoder[RaftMessage] = msgspec.msgpack.Decoder(RaftMessage)
-_view = msgspec.msgpack.Decoder(tuple[Update, ...])
+_raft_decoder: msgspec.msgpack.Decoder[RaftMessage] = msgspec.msgpack.Decoder(RaftMessage)
+_view_decoder = msgspec.msgpack.Decoder(tuple[Update, ...])
 _encoder = msgspec.msgpack.Encoder()
 
 
 class Fleet:
-    """Built from its configuration; `start`, `stop`, `snapshot`."""
+    """The membership and the agreed log of one agent."""
 
     def __init__(
-        self, config: FleetConfig, reactor: Any, version: str, follows: bool, refused: Callable[[str], None]
+        self,
+        config: FleetConfig,
+        reactor: Any,
+        version: str,
+        is_upgrade: bool,
+        on_refused: Callable[[str], None],
     ) -> None:
-        """`follows`: an upgrade; `refused`: another process of this name is alive. Raises StoreError."""
-        self.config, self.reactor, self.refused = config, reactor, refused
+        """`is_upgrade`: this process takes over from one of the same name. `on_refused` is called with the
+        reason if another process of this name is alive. Raises StoreError."""
+        self.config, self.reactor, self.on_refused = config, reactor, on_refused
         self.clock, self.deadlines = MonotonicClock(), Deadlines()
         self.pump = Pump(reactor, self.clock, self.deadlines)
-        chance = random.Random(secrets.randbits(64))
+        rng = random.Random(secrets.randbits(64))
         incarnation = int(time.time() * 1000.0)
         self.origin = f"{config.agent}/{incarnation:x}"
         info = Info(config.gossip, secrets.randbits(60), config.zone, "starting", version, config.link)
-        self.swim = Swim(config.agent, info, incarnation, config.seeds, SwimSettings(), chance, follows)
+        self.swim = Swim(config.agent, info, incarnation, config.seeds, SwimSettings(), rng, is_upgrade)
         try:
             self.engine = Engine.open(DiskFolder(config.path), Limits())
         except OSError as problem:
             raise StoreError(f"{problem.filename or config.path}: {problem.strerror or problem}") from None
         recovered = self.engine.take_recovered()
-        self.whole = WHOLE in recovered  # its log has once been read as far as the leader's
-        found = {key: value for key, value in recovered.items() if key.startswith("raft/")}
+        self.caught_up = CAUGHT_UP_KEY in recovered  # the log has once been applied as far as the leader's
+        records = {key: value for key, value in recovered.items() if key.startswith("raft/")}
         try:
-            disk = (
-                msgspec.msgpack.decode(found[META], type=Meta).disk if META in found else secrets.randbits(60)
+            disk_id = (
+                msgspec.msgpack.decode(records[META_KEY], type=PersistentState).disk_id
+                if META_KEY in records
+                else secrets.randbits(60)
             )
             self.raft = Raft(
-                config.agent, disk, config.voters, RaftSettings(), chance, found, self.clock.now()
+                config.agent, disk_id, config.voters, RaftSettings(), rng, records, self.clock.now()
+            )
+            self.state_machine = StateMachine()
+            self.work = Work(self, records)
+            self.applier = Applier(
+                self.state_machine, self.raft.log.snapshot_meta.index, self.raft.log.snapshot
             )
-            self.machine = Machine()
-            self.work = Work(self, found)
-            self.applying = Applying(self.machine, self.raft.log.base.index, self.raft.log.snapshot)
         except (BadLogError, msgspec.MsgspecError) as problem:
             self.engine.close()
             raise StoreError(f"{config.path}: the agreed log: {problem}") from None
-        self.first_records = [] if META in found else [(META, _encoder.encode(Meta(0, "", disk)))]
-        self.record: Record = FileRecord(config.record, self._stamp) if config.record else NoRecord()
-        self.gossip = Gossip(Seal(config.fleet, config.key), self._heard, self.clock, config.routes)
+        self.initial_records = (
+            [] if META_KEY in records else [(META_KEY, _encoder.encode(PersistentState(0, "", disk_id)))]
+        )
+        self.record: Record = FileRecord(config.record, self._stamp) if config.record else NullRecord()
+        self.gossip = Gossip(Seal(config.fleet, config.key), self._gossip_received, self.clock, config.routes)
         self.link = Link(
             config.fleet,
             config.agent,
@@ -101,40 +113,41 @@
             self.clock,
             self.deadlines,
             self._connect,
-            self._address,
-            self._frame,
-            chance,
+            self._link_address,
+            self._frame_received,
+            rng,
         )
         self.committer: Committer
-        self.unsure: list[agreed.Output] = []  # what rests on records that a failing disk may not have
-        self.number = 0
-        self.reads: dict[str, Callable[[], None]] = {}
-        self.asked: dict[str, float] = {}  # commands and reads of this life that are under way: since when
-        self.parts: dict[str, Callable[[str, bytes], None]] = {}  # who else hears frames, by their kind
-        self.watchers: list[Callable[[], None]] = []  # who hears of each change of the membership
+        # Outputs that depend on records of which it is not known whether a failing disk holds them.
+        self.deferred_outputs: list[raft_events.RaftOutput] = []
+        self.last_command_number = 0
+        self.read_callbacks: dict[str, Callable[[], None]] = {}
+        self.in_flight: dict[str, float] = {}  # this process's unfinished commands: when they were proposed
+        self.frame_handlers: dict[str, Callable[[str, bytes], None]] = {}  # other receivers, by kind of frame
+        self.membership_listeners: list[Callable[[], None]] = []  # called on each change of the membership
         self.ports: list[Any] = []
         self._timers: dict[str, Deadline] = {}
 
-    # Beginning and end
+    # Start and stop
 
     def start(self) -> None:
-        """Opens its addresses. Raises what binding raises."""
+        """Opens the store's writer and the listening ports. Raises what binding a port raises."""
         self.committer = Committer(
             self.engine, ThreadWorker(self.reactor.callFromThread), self.clock, self.deadlines
         )
         self.committer.changed = self._store_changed
-        self.committer.write(self.first_records)
+        self.committer.write(self.initial_records)
         host, port = split(self.config.gossip)
         self.ports.append(self.reactor.listenUDP(port, self.gossip, interface=host))
         host, port = split(self.config.link)
         self.ports.append(self.reactor.listenTCP(port, self.link, interface=host))
-        self.record.event("started", voter=self.raft.voter(), last=self.raft.log.last_index)
-        self._swim(seen.Started())
-        self._raft_wait()
+        self.record.event("started", voter=self.raft.is_voter(), last=self.raft.log.last_index)
+        self._handle_swim(swim_events.Started())
+        self._schedule_raft_tick()
         self.work.start()
 
     def stop(self) -> None:
-        self._swim(seen.Leave())
+        self._handle_swim(swim_events.Leave())
         self.link.stop()
         for port in self.ports:
             port.stopListening()
@@ -145,15 +158,16 @@
         self.record.close()
 
     def phase(self, phase: str) -> None:
-        """The agent's own phase: all members hear of it."""
-        self._swim(seen.Changed(msgspec.structs.replace(self.swim.info, phase=phase)))
+        """Announces the agent's own phase to all members."""
+        self._handle_swim(swim_events.Changed(msgspec.structs.replace(self.swim.info, phase=phase)))
 
     def snapshot(self) -> dict[str, Any]:
+        """The state and counters as plain data."""
         return {
             "membership": self.swim.snapshot(),
-            "agreed": self.raft.snapshot(),
-            "applied": self.machine.count,
-            "digest": self.machine.digest,
+            "agreed": self.raft.status(),
+            "applied": self.state_machine.applied_count,
+            "digest": self.state_machine.digest,
             "gossip": {
                 "sent": self.gossip.sent,
                 "received": self.gossip.received,
@@ -176,25 +190,25 @@
             "unix_ms": round(time.time() * 1000.0),
         }
 
-    def _timer(self, name: str, at: float, do: Callable[[], None]) -> None:
-        if (before := self._timers.pop(name, None)) is not None:
-            before.cancel()
+    def _set_timer(self, name: str, at: float, callback: Callable[[], None]) -> None:
+        if (previous := self._timers.pop(name, None)) is not None:
+            previous.cancel()
         if at < NEVER:
-            self._timers[name] = self.deadlines.set(at, do)
+            self._timers[name] = self.deadlines.set(at, callback)
 
     # Membership
 
-    def _heard(self, address: str, message: Message) -> None:
-        self._swim(seen.Heard(address, message))
+    def _gossip_received(self, address: str, message: Message) -> None:
+        self._handle_swim(swim_events.Heard(address, message))
 
-    def _swim(self, event: seen.Event) -> None:
+    def _handle_swim(self, event: swim_events.Event) -> None:
         for action in self.swim.handle(event, self.clock.now()):
             match action:
-                case seen.Send():
+                case swim_events.Send():
                     self.gossip.send(action.address, action.message)
-                case seen.Exchange():
-                    self.link.send(action.name, VIEW, _encoder.encode(self.swim.view()))
-                case seen.Told():
+                case swim_events.Exchange():
+                    self.link.send(action.name, FRAME_VIEW, _encoder.encode(self.swim.view()))
+                case swim_events.Told():
                     self.record.event(
                         "member",
                         member=action.name,
@@ -202,23 +216,23 @@
                         of=action.incarnation,
                         phase=action.info.phase,
                     )
-                    for watcher in self.watchers:
-                        watcher()
-                    self._raft(
-                        agreed.Members(
+                    for listener in self.membership_listeners:
+                        listener()
+                    self._handle_raft(
+                        raft_events.MembersChanged(
                             tuple([self.config.agent, *(member.name for member in self.swim.table.here())])
                         )
                     )
-                case seen.Moved():
+                case swim_events.Moved():
                     log.warning("fleet: %s: %s", action.phase.value, action.why)
                     self.record.event("moved", phase=action.phase.value, why=action.why)
-                    if action.phase is seen.Phase.REFUSED:
-                        self.refused(action.why)
-        self._timer("swim", self.swim.next_ms(), lambda: self._swim(seen.Tick()))
+                    if action.phase is swim_events.Phase.REFUSED:
+                        self.on_refused(action.why)
+        self._set_timer("swim", self.swim.next_ms(), lambda: self._handle_swim(swim_events.Tick()))
 
     # The link
 
-    def _address(self, name: str) -> str:
+    def _link_address(self, name: str) -> str:
         member = self.swim.table.members.get(name)
         return member.info.link if member is not None and member.state < State.LEFT else ""
 
@@ -227,126 +241,137 @@
         endpoint: Any = TCP4ClientEndpoint(self.reactor, host, port, timeout=3600)
         return endpoint.connect(Factory.forProtocol(lambda: connection))
 
-    def _frame(self, sender: str, kind: str, body: bytes) -> None:
+    def _frame_received(self, sender: str, kind: str, body: bytes) -> None:
         try:
-            if kind == RAFT:
-                self._raft(agreed.Heard(sender, _raft.decode(body)))
-            elif kind in (VIEW, ANSWER):
-                if kind == VIEW:
-                    self.link.send(sender, ANSWER, _encoder.encode(self.swim.view()))
-                self._swim(seen.View(_view.decode(body)))
-            elif (part := self.parts.get(kind)) is not None:
-                part(sender, body)
+            if kind == FRAME_RAFT:
+                self._handle_raft(raft_events.Received(sender, _raft_decoder.decode(body)))
+            elif kind in (FRAME_VIEW, FRAME_VIEW_REPLY):
+                if kind == FRAME_VIEW:
+                    self.link.send(sender, FRAME_VIEW_REPLY, _encoder.encode(self.swim.view()))
+                self._handle_swim(swim_events.View(_view_decoder.decode(body)))
+            elif (handler := self.frame_handlers.get(kind)) is not None:
+                handler(sender, body)
         except msgspec.MsgspecError as problem:
             self.link.complaints.say(self.clock.now(), sender, f"{kind}: {problem}")
 
     # The agreed log
 
-    def _raft(self, event: agreed.Event) -> None:
-        """Guards what was promised: while the store can't be trusted, this agent takes no part."""
+    def _handle_raft(self, event: raft_events.Event) -> None:
+        """Passes an event to Raft, and sends the results once they are durable. While the store is failed or
+        stalled the event is dropped, because votes and acknowledgements could not be made durable."""
         if hasattr(self, "committer") and self.committer.state is committer.State.OPEN:
             out = self.raft.handle(event, self.clock.now())
-            self.committer.write(out.save, lambda: self._carry_out(out))
-            self._raft_wait()
+            self.committer.write(out.writes, lambda: self._perform_when_durable(out))
+            self._schedule_raft_tick()
 
-    def _raft_wait(self) -> None:
-        self._timer("raft", self.raft.next_ms(), lambda: self._raft(agreed.Tick()))
+    def _schedule_raft_tick(self) -> None:
+        self._set_timer("raft", self.raft.next_ms(), lambda: self._handle_raft(raft_events.Tick()))
 
-    def _carry_out(self, out: agreed.Output) -> None:
-        """What follows, now that it is durable; else once the disk has it after all."""
-        if self.committer.state is not committer.State.OPEN or self.unsure:
-            self.unsure.append(out)
+    def _perform_when_durable(self, out: raft_events.RaftOutput) -> None:
+        """Called when the writes of `out` are done; if the store is not open then, `out` is deferred until it
+        is open again."""
+        if self.committer.state is not committer.State.OPEN or self.deferred_outputs:
+            self.deferred_outputs.append(out)
             return
-        self._follow(out)
-
-    def _follow(self, out: agreed.Output) -> None:
-        for to, message in out.send:
-            self.link.send(to, RAFT, _encoder.encode(message))
-        for what, fields in out.notes:
-            self.record.event(what, **fields)
-        if out.install is not None:
-            self.applying.install(out.install[0].index, out.install[1])
-            for id in [id for id in self.asked if self.machine.has(id)]:
-                self._done(id)
-        self.applying.add(out.apply, out.reads)
+        self._perform(out)
+
+    def _perform(self, out: raft_events.RaftOutput) -> None:
+        for receiver, message in out.messages:
+            self.link.send(receiver, FRAME_RAFT, _encoder.encode(message))
+        for name, fields in out.record_events:
+            self.record.event(name, **fields)
+        if out.installed_snapshot is not None:
+            self.applier.install(out.installed_snapshot[0].index, out.installed_snapshot[1])
+            for id in [id for id in self.in_flight if self.state_machine.is_applied(id)]:
+                self._finish_command(id)
+        self.applier.add(out.committed, out.ready_reads)
         if "apply" not in self._timers:
-            self._apply()
+            self._apply_batch()
 
-    def _apply(self) -> None:
-        """A part of what is committed, the rest in later turns: an agent that catches up serves meanwhile."""
-        before = self.applying.held
-        done = self.applying.step(APPLIED_A_TURN)
+    def _apply_batch(self) -> None:
+        """Applies a bounded batch and the rest in later turns: an agent that catches up keeps serving."""
+        previous_reason = self.applier.blocked_reason
+        done = self.applier.step(MAX_APPLIED_PER_TURN)
         if ids := {str(index): id for id, index in done if index >= 0}:
-            # One line a turn. Guards the record against a long catch-up: a line an entry filled its queue,
-            # where lines are lost, and its files, where they push out what came before.
-            self.record.event("applied", ids=ids, digest=self.machine.digest)
+            # One line per turn. In a long catch-up, a line per entry overflowed the record's queue, which
+            # loses lines, and filled its files, which rotated out the earlier lines.
+            self.record.event("applied", ids=ids, digest=self.state_machine.digest)
         for id, _ in done:
-            if (then := self.reads.pop(id, None)) is not None:
-                then()
-            self._done(id)
-        if self.applying.held not in ("", before):
-            log.error("fleet: applied no further than %d: %s", self.applying.index, self.applying.held)
-            self.record.event("held", why=self.applying.held)
-        more = self.applying.waiting and not self.applying.held
-        self._timer("apply", self.clock.now() if more else NEVER, self._apply)
-        if not more and self.applying.index - self.raft.log.base.index >= self.config.compact_after:
-            self._raft(agreed.Compact(self.applying.index, self.machine.snapshot()))
-
-    def _done(self, id: str) -> None:
-        since = self.asked.pop(id, None)
-        if since is not None:
-            self.record.event("acknowledged", id=id, after_ms=round(self.clock.now() - since, 2))
+            if (callback := self.read_callbacks.pop(id, None)) is not None:
+                callback()
+            self._finish_command(id)
+        if self.applier.blocked_reason not in ("", previous_reason):
+            log.error(
+                "fleet: the agreed log is not applied past entry %d: %s",
+                self.applier.applied_index,
+                self.applier.blocked_reason,
+            )
+            self.record.event("held", why=self.applier.blocked_reason)
+        has_more = self.applier.queue and not self.applier.blocked_reason
+        self._set_timer("apply", self.clock.now() if has_more else NEVER, self._apply_batch)
+        if (
+            not has_more
+            and self.applier.applied_index - self.raft.log.snapshot_meta.index >= self.config.compact_after
+        ):
+            self._handle_raft(raft_events.Compact(self.applier.applied_index, self.state_machine.snapshot()))
+
+    def _finish_command(self, id: str) -> None:
+        started_at = self.in_flight.pop(id, None)
+        if started_at is not None:
+            self.record.event("acknowledged", id=id, after_ms=round(self.clock.now() - started_at, 2))
 
     def _store_changed(self, state: committer.State, why: str) -> None:
         self.record.event("store", state=state.value, why=why)
         log.error("fleet: the agreed log's store is %s: %s", state.value, why)
         if state is committer.State.OPEN:
-            self.committer.write((), self._sure)  # after all that waited for the disk
-            self._raft_wait()
+            self.committer.write((), self._perform_deferred)  # runs after the writes that waited for the disk
+            self._schedule_raft_tick()
 
-    def _sure(self) -> None:
+    def _perform_deferred(self) -> None:
         if self.committer.state is committer.State.OPEN:
-            unsure, self.unsure = self.unsure, []
-            for out in unsure:
-                self._follow(out)
+            outputs, self.deferred_outputs = self.deferred_outputs, []
+            for out in outputs:
+                self._perform(out)
 
     def propose(self, kind: str, version: int, command: msgspec.Struct) -> str:
-        """A command for the agreed log; its id. It is acknowledged, in the record, once applied here."""
-        self.number += 1
-        id = f"{self.origin}#{self.number}"
-        if len(self.asked) >= self.raft.settings.pending:
+        """Proposes a command for the agreed log and returns its id. The event record has an "acknowledged"
+        line for it once it is applied here. Raises OperatorError if too many are in flight."""
+        self.last_command_number += 1
+        id = f"{self.origin}#{self.last_command_number}"
+        if len(self.in_flight) >= self.raft.settings.max_pending_commands:
             raise OperatorError("too many commands under way")
-        self.asked[id] = self.clock.now()
+        self.in_flight[id] = self.clock.now()
         self.record.event("asked", id=id)
-        self._raft(agreed.Propose(id, kind, version, _encoder.encode(command)))
+        self._handle_raft(raft_events.Propose(id, kind, version, _encoder.encode(command)))
         return id
 
-    def read_whole(self) -> None:
-        """From now on its disk holds all that it will ever have confirmed."""
-        if not self.whole:
-            self.whole = True
-            self.committer.write([(WHOLE, b"")])
+    def mark_caught_up(self) -> None:
+        """Notes on disk that the log has once been complete. The disk holds all that this agent confirms
+        after that, so a later process may act on its content."""
+        if not self.caught_up:
+            self.caught_up = True
+            self.committer.write([(CAUGHT_UP_KEY, b"")])
 
-    def read(self, id: str, then: Callable[[], None]) -> None:
-        """Goes on once this agent has applied all that was committed when it asked. The same `id` again asks
-        anew."""
-        self.reads[id] = then
-        self._raft(agreed.Read(id))
+    def read(self, id: str, callback: Callable[[], None]) -> None:
+        """Calls `callback` once this agent has applied all that was committed at the time of this call. A
+        second call with the same `id` replaces the first."""
+        self.read_callbacks[id] = callback
+        self._handle_raft(raft_events.Read(id))
 
-    # The door
+    # The operators' port
 
     def operations(self) -> Mapping[str, Operation]:
         return {
-            "members": self._members,
-            "agreed": self._agreed,
-            "agreed-log": self._log,
-            "note": self._note,
+            "members": self._show_members,
+            "agreed": self._show_agreed,
+            "agreed-log": self._show_log,
+            "note": self._propose_note,
             "add-voter": self._add_voter,
             "remove-voter": self._remove_voter,
             **self.work.operations(),
         }
 
-    def _members(self, _: str) -> list[str]:
+    def _show_members(self, _: str) -> list[str]:
         swim = self.swim
         own = f"{swim.name} {swim.phase.value} incarnation={swim.incarnation} health={swim.health}"
         return [
@@ -359,43 +384,44 @@
             "END",
         ]
 
-    def _agreed(self, _: str) -> list[str]:
-        told = self.raft.snapshot()
+    def _show_agreed(self, _: str) -> list[str]:
+        status = self.raft.status()
         return [
-            f"OK term={told['term']} leader={told['leader'] or '-'} role={told['role']} "
-            f"voter={'yes' if told['voter'] else 'no'} index={self.applying.index} "
-            f"lag={self.raft.log.last_index - self.applying.index} count={self.machine.count} "
-            f"digest={self.machine.digest or '-'} voters={','.join(self.raft.voters) or '-'}",
-            *([f"HELD {self.applying.held}"] if self.applying.held else []),
+            f"OK term={status['term']} leader={status['leader'] or '-'} role={status['role']} "
+            f"voter={'yes' if status['voter'] else 'no'} index={self.applier.applied_index} "
+            f"lag={self.raft.log.last_index - self.applier.applied_index} "
+            f"count={self.state_machine.applied_count} "
+            f"digest={self.state_machine.digest or '-'} voters={','.join(self.raft.voters) or '-'}",
+            *([f"HELD {self.applier.blocked_reason}"] if self.applier.blocked_reason else []),
         ]
 
-    def _log(self, rest: str) -> list[str]:
+    def _show_log(self, rest: str) -> list[str]:
         count = int(rest) if rest.strip().isdecimal() else 20
         return [
             "OK",
             *(
                 f"{entry.index} term={entry.term} {entry.kind or '-'} {entry.id or '-'}"
                 for entry in self.raft.log.entries[-min(count, 1000) :]
-                if entry.index <= self.applying.index
+                if entry.index <= self.applier.applied_index
             ),
             "END",
         ]
 
-    def _note(self, rest: str) -> list[str]:
+    def _propose_note(self, rest: str) -> list[str]:
         if not rest.strip():
             raise OperatorError("no text")
         return [f"OK {self.propose('note', 1, Note(rest.strip()))}"]
 
     def _add_voter(self, rest: str) -> list[str]:
-        return self._change(rest, True)
+        return self._propose_voter_change(rest, True)
 
     def _remove_voter(self, rest: str) -> list[str]:
-        return self._change(rest, False)
+        return self._propose_voter_change(rest, False)
 
-    def _change(self, rest: str, add: bool) -> list[str]:
+    def _propose_voter_change(self, rest: str, add: bool) -> list[str]:
         name = rest.strip()
         if not name or len(name.split()) != 1:
             raise OperatorError("no name")
-        if add and not self._address(name) and name != self.config.agent:
+        if add and not self._link_address(name) and name != self.config.agent:
             raise OperatorError(f"unknown agent {name[:30]!r}")
         return [f"OK {self.propose('voters', 1, VoterChange(name, add))}"]
--- a/frostport/observe/record.py
+++ b/frostport/observe/record.py
@@ -1,4 +1,4 @@
-"""The record of what the fleet did at this agent: JSON lines by structlog, bounded, written by a thread."""
+"""The event record of the fleet at this agent: JSON lines in rotated files, written by a thread."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 import structlog
 
-FILE_BYTES, FILES = 16 * 1024 * 1024, 2  # the newest two files stay
-WAITING_MOST = 10_000  # lines that wait for the disk; more are counted and lost
+MAX_FILE_BYTES, MAX_FILES = 16 * 1024 * 1024, 2
+MAX_QUEUED_LINES = 10_000  # for the disk; more are dropped and counted
 
 
 class Record(Protocol):
-    """Where events go."""
+    """A sink for events, each a name with fields."""
 
     def event(self, name: str, **fields: Any) -> None: ...
 
     def close(self) -> None: ...
 
 
-class NoRecord:
-    """Keeps nothing."""
+class NullRecord:
+    """Discards all events."""
 
     def event(self, name: str, **fields: Any) -> None:
         pass
@@ -33,8 +33,8 @@
         pass
 
 
-class _Queue(logging.handlers.QueueHandler):
-    """Guards the hot path against a slow disk: past the queue's end a line is lost, and counted."""
+class _BoundedQueueHandler(logging.handlers.QueueHandler):
+    """Never blocks: a slow disk must not delay calls. Lines that exceed the queue are dropped and counted."""
 
     lost = 0
 
@@ -46,14 +46,15 @@
 
 
 class FileRecord:
-    """One file of JSON lines; `stamp` gives each line what all have (agent, incarnation, times)."""
+    """Events as JSON lines in a file. `stamp` returns the fields that all lines have (agent, incarnation,
+    times)."""
 
     def __init__(self, path: pathlib.Path, stamp: Callable[[], dict[str, Any]]) -> None:
         self._file = logging.handlers.RotatingFileHandler(
-            path, maxBytes=FILE_BYTES, backupCount=FILES - 1, encoding="utf-8"
+            path, maxBytes=MAX_FILE_BYTES, backupCount=MAX_FILES - 1, encoding="utf-8"
         )
         self._file.setFormatter(logging.Formatter("%(message)s"))
-        self._queue = _Queue(queue.Queue(WAITING_MOST))
+        self._queue = _BoundedQueueHandler(queue.Queue(MAX_QUEUED_LINES))
         self._listener = logging.handlers.QueueListener(self._queue.queue, self._file)
         self._listener.start()
         plain = logging.Logger(f"frostport.record.{path.name}", logging.INFO)
@@ -71,12 +72,13 @@
 
     @property
     def lost(self) -> int:
+        """The number of dropped lines."""
         return self._queue.lost
 
     def event(self, name: str, **fields: Any) -> None:
         self._log.info(name, **fields)
 
     def close(self) -> None:
-        """Writes what waits."""
+        """Writes the queued lines and closes the file."""
         self._listener.stop()
         self._file.close()
--- a/frostport/starting.py
+++ b/frostport/starting.py
@@ -86,8 +86,8 @@
                 self.settings,
                 self.monotonic.now(),
             )
-            self.fleet.parts[KIND] = self._frame
-            self.fleet.watchers.append(self._changed)
+            self.fleet.frame_handlers[KIND] = self._frame
+            self.fleet.membership_listeners.append(self._changed)
         self._tick()
 
     @property
--- a/frostport/work.py
+++ b/frostport/work.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any, Protocol
 
-from frostport.agreement.applying import Applying
+from frostport.agreement.applier import Applier
 from frostport.agreement.events import Role
 from frostport.agreement.log import Log
-from frostport.agreement.machine import Machine
 from frostport.agreement.messages import Entry
+from frostport.agreement.state_machine import StateMachine
 from frostport.core.broker import Broker
 from frostport.core.clock import Clock
 from frostport.core.deadlines import Deadline
@@ -60,7 +60,7 @@
     def able(self) -> bool: ...
 
 
-def registered(machine: Machine, plan: Plan, apply: Callable[[Entry, Any], None]) -> None:
+def registered(machine: StateMachine, plan: Plan, apply: Callable[[Entry, Any], None]) -> None:
     machine.register(KIND, words.VERSION, words.Word, apply, plan.save, plan.restore)
 
 
@@ -70,7 +70,7 @@
     def __init__(self, fleet: Fleet, found: Mapping[str, bytes]) -> None:
         """`found`: the log's records of the disk. Raises BadLogError, msgspec.MsgspecError."""
         self.fleet, self.plan = fleet, Plan()
-        registered(fleet.machine, self.plan, self._apply)
+        registered(fleet.state_machine, self.plan, self._apply)
         self.on_disk: Plan | None = said_on_disk(found)  # until the log is read as far as the leader's
         self.states: dict[int, State] = {}
         self.agent: Joined | None = None
@@ -90,7 +90,7 @@
     def start(self) -> None:
         fleet = self.fleet
         self.keeper = Keeper(
-            fleet.config.agent, fleet.swim.info.life, fleet.clock.now(), fleet.whole, fleet.config.work
+            fleet.config.agent, fleet.swim.info.life, fleet.clock.now(), fleet.caught_up, fleet.config.work
         )
         self._read()
         self._turn()
@@ -103,8 +103,8 @@
     def _caught_up(self) -> None:
         if self.on_disk is not None:
             self.on_disk = None
-            self.fleet.read_whole()  # before any word that rests on it: they are written in this order
-            self.fleet.record.event("caught-up", index=self.fleet.applying.index)
+            self.fleet.mark_caught_up()  # before any word that rests on it: they are written in this order
+            self.fleet.record.event("caught-up", index=self.fleet.applier.applied_index)
             self.look()
 
     def _turn(self) -> None:
@@ -279,9 +279,9 @@
 
 def said_on_disk(found: Mapping[str, bytes]) -> Plan:
     """The plan after all entries of the disk, committed or not: what this agent may have acted on."""
-    plan, machine, held = Plan(), Machine(), Log(found)
+    plan, machine, held = Plan(), StateMachine(), Log(found)
     registered(machine, plan, lambda entry, word: plan.apply(entry.index, entry.term, word))
-    applying = Applying(machine, held.base.index, held.snapshot)
+    applying = Applier(machine, held.snapshot_meta.index, held.snapshot)
     applying.add(held.entries, ())
     applying.step(len(held.entries))
     return plan
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -19,8 +19,8 @@
 import msgspec
 
 from frostport.agreement.log import Log
-from frostport.agreement.machine import Note
 from frostport.agreement.messages import Entry
+from frostport.agreement.state_machine import Note
 from frostport.store.engine import Engine, Limits
 from frostport.store.files import DiskFolder
 from standins.faults import BACK, FORWARD, DatagramRelay, StreamRelay, Way
@@ -322,7 +322,9 @@
                 (entry.index for entry in log.entries if longest.term_at(entry.index) != entry.term),
                 log.last_index + 1,
             )
-            engine.append(log.cut(same) + log.append([entry for entry in whole if entry.index >= same]))
+            engine.append(
+                log.truncate_from(same) + log.append([entry for entry in whole if entry.index >= same])
+            )
             for at in range(0, count, 1000):
                 engine.append(
                     log.append(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,7 +15,7 @@
 from frostport.membership.settings import Settings
 from frostport.membership.swim import Swim
 from standins.simulated import World
-from tests.test_agreement import Steady
+from tests.test_agreement import CopyableRandom
 
 # A small world explored breadth first
 
@@ -53,7 +53,9 @@
             self.deliver(0)
 
     def begin(self, name: str, life: int) -> None:
-        self.agents[name] = Swim(name, Info(name, life), 1000 + int(self.now), NAMES, QUICK, Steady(1))
+        self.agents[name] = Swim(
+            name, Info(name, life), 1000 + int(self.now), NAMES, QUICK, CopyableRandom(1)
+        )
         self.do(name, Started())
 
     def do(self, name: str, event: object) -> None:
