--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,4 +1,7 @@
-"""Histories of real processes with faults between them; each ends whole, and is judged by the records."""
+"""Scenarios ("histories") of real processes with faults on the links between them.
+
+Each ends with all faults repaired and all processes up; the verdict comes from the processes' event records.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +48,7 @@
 async def a_link_cut_one_way(rig: Rig) -> None:
     leader = await rig.leader()
     other = next(name for name in rig.voters if name != leader)
-    rig.cut(leader, other)  # it hears the others, and nothing of the leader
+    rig.cut(leader, other)  # messages from the leader are lost, those to the leader are not
     await some(rig, rig.names, 10)
     await rig.leader()
     await asyncio.sleep(4.0)
@@ -87,7 +90,7 @@
 
 
 async def a_voter_without_its_disk(rig: Rig) -> None:
-    """It may not vote until it has been added again."""
+    """A voter that lost its disk may not vote until it has been added again."""
     leader = await rig.leader()
     lost = next(name for name in rig.voters if name != leader)
     await some(rig, rig.names)
@@ -95,18 +98,18 @@
     await rig.start(lost)
 
     async def fed() -> bool:
-        said = await rig.agreed(lost)
-        return said.get("voter") == "no" and int(said.get("count", "0")) >= 1
+        status = await rig.agreed(lost)
+        return status.get("voter") == "no" and int(status.get("count", "0")) >= 1
 
     await rig.until("it is fed, and has no vote", fed)
-    asked = await rig.leader([name for name in rig.voters if name != lost])
-    await rig.ask(asked, f"remove-voter {lost}")
+    leader_now = await rig.leader([name for name in rig.voters if name != lost])
+    await rig.ask(leader_now, f"remove-voter {lost}")
 
     async def removed() -> bool:
-        return lost not in (await rig.agreed(asked)).get("voters", lost)
+        return lost not in (await rig.agreed(leader_now)).get("voters", lost)
 
     await rig.until("it is removed", removed)
-    await rig.ask(asked, f"add-voter {lost}")
+    await rig.ask(leader_now, f"add-voter {lost}")
 
     async def votes() -> bool:
         return (await rig.agreed(lost)).get("voter") == "yes"
@@ -121,7 +124,7 @@
             link.reset()
         await some(rig, rig.names, 3)
     other = next(name for name in rig.names if name != leader)
-    for pair in ((leader, other), (other, leader)):  # either may have dialled the one connection
+    for pair in ((leader, other), (other, leader)):  # either side may have opened the connection
         rig.relays[pair][1].stalled = True
     await some(rig, rig.names)
 
@@ -135,57 +138,57 @@
 
 
 async def voters_changed_while_some_are_cut_off(rig: Rig) -> None:
-    """A voter cut off is removed, does not know, and asks for votes: nobody is disturbed."""
+    """A voter is removed while it is partitioned. When it campaigns afterwards, it disrupts nobody."""
     leader = await rig.leader()
-    gone = next(name for name in rig.voters if name != leader)
-    inside = [gone, rig.names[-1]]
-    rig.apart(inside)
-    others = [name for name in rig.names if name not in inside]
-    await rig.ask(leader, f"remove-voter {gone}")
+    removed = next(name for name in rig.voters if name != leader)
+    isolated = [removed, rig.names[-1]]
+    rig.apart(isolated)
+    others = [name for name in rig.names if name not in isolated]
+    await rig.ask(leader, f"remove-voter {removed}")
     await rig.ask(leader, f"add-voter {others[-1]}")
 
     async def changed() -> bool:
         voters = (await rig.agreed(leader)).get("voters", "").split(",")
-        return gone not in voters and others[-1] in voters
+        return removed not in voters and others[-1] in voters
 
     await rig.until("the voters are changed", changed)
     await some(rig, others)
     term = (await rig.agreed(leader))["term"]
-    for name in others:  # the removed one is heard again, and hears nothing
-        for way in rig.way(gone, name):
-            way.cut = False
+    for name in others:  # messages from the removed voter arrive again, those to it do not
+        for relay_way in rig.way(removed, name):
+            relay_way.cut = False
     await asyncio.sleep(4.0)
-    said = await rig.agreed(leader)
-    assert said["term"] == term and said["role"] == "leader", said
+    status = await rig.agreed(leader)
+    assert status["term"] == term and status["role"] == "leader", status
     rig.heal()
 
 
 async def a_log_with_a_byte_flipped(rig: Rig) -> None:
-    """It is refused at the start, by name; without its folder the agent is fed as one without a vote."""
+    """A damaged log file is named and refused at the start; with a new folder the agent is a learner."""
     leader = await rig.leader()
     await some(rig, rig.names, 10)
     await rig.together(10)
-    bad = next(name for name in rig.voters if name != leader)
-    await rig.kill(bad)
-    log = sorted((rig.folder / f"{bad}.fleet").glob("log-*"))[0]
+    damaged = next(name for name in rig.voters if name != leader)
+    await rig.kill(damaged)
+    log = sorted((rig.folder / f"{damaged}.fleet").glob("log-*"))[0]
     data = bytearray(log.read_bytes())
     data[len(data) // 2] ^= 4
     log.write_bytes(data)
-    rig.say(f"flip a byte of {log.name} of {bad}")
-    await rig.start(bad)
-    assert await asyncio.wait_for(rig.programs[bad].wait(), 60) == 2
+    rig.say(f"flip a byte of {log.name} of {damaged}")
+    await rig.start(damaged)
+    assert await asyncio.wait_for(rig.programs[damaged].wait(), 60) == 2
     assert f"{log.name}:" in (rig.folder / "log").read_text(encoding="utf-8")
-    await rig.kill(bad, disk=False)
-    await rig.start(bad)
+    await rig.kill(damaged, disk=False)
+    await rig.start(damaged)
 
 
 async def a_second_process_of_one_name(rig: Rig) -> None:
-    """It is refused, loudly; the first goes on."""
+    """The second process is refused with an error in the log; the first goes on."""
     await rig.leader()
     await some(rig, rig.names)
     first, ports = rig.programs["n1"], rig.ports["n1"]
     for pair in [pair for pair in rig.relays if "n1" in pair]:
-        rig.say(f"the second is reached through nothing that stands between {pair}")
+        rig.say(f"the second process is reached without the relays {pair}")
     rig.ports["n1"] = dict(zip(ports, free_ports(len(ports)), strict=True))
     rig.more["path"], rig.more["record"] = "second.fleet", "second.jsonl"
     await rig.start("n1")
@@ -197,7 +200,8 @@
 
 
 async def a_disk_full_at_each_voter_in_turn(rig: Rig) -> None:
-    """It says nothing that its disk does not hold, and takes part again once there is room."""
+    """A voter with a full disk acknowledges nothing that is not on disk, and takes part again once there is
+    room."""
     rig.with_disks()
     for name in rig.names:
         await rig.kill(name)
@@ -218,7 +222,7 @@
         await rig.leader(others)
         await some(rig, others)
         assert rig.refused(name) > 0
-        if number == 0:  # started again with a full disk, it is refused by name or waits; nothing is lost
+        if number == 0:  # restarted with a full disk, it exits with an error or waits; nothing is lost
             await rig.kill(name)
             await rig.start(name)
             await some(rig, others)
@@ -229,7 +233,7 @@
 
 
 async def a_lone_voter_with_a_full_disk(rig: Rig) -> None:
-    """What its disk does not hold is not acknowledged, and is once it does."""
+    """A command is acknowledged only once the disk of the only voter holds it."""
     rig.with_disks()
     await rig.leader()
     await rig.kill("n0")
@@ -238,14 +242,14 @@
     rig.fill("n0")
     id = (await rig.ask("n0", "note never lost"))[0].split()[1]
 
-    def told(what: str, **fields: str) -> bool:
-        return any(line["event"] == what and line.items() >= fields.items() for line in rig.records("n0"))
+    def recorded(event: str, **fields: str) -> bool:
+        return any(line["event"] == event and line.items() >= fields.items() for line in rig.records("n0"))
 
     async def failed() -> bool:
-        return told("store", state="failed")
+        return recorded("store", state="failed")
 
     async def acknowledged() -> bool:
-        return told("acknowledged", id=id)
+        return recorded("acknowledged", id=id)
 
     await rig.until("the store has failed", failed)
     await rig.ask("n0", "agreed")
@@ -256,7 +260,7 @@
 
 
 async def a_follower_back_after_100000_entries(rig: Rig) -> None:
-    """By snapshot and log; it serves meanwhile."""
+    """The follower catches up by snapshot and log, and answers operators meanwhile."""
     await rig.leader()
     await some(rig, rig.names)
     await rig.together(5)
@@ -267,14 +271,14 @@
         await rig.start(name)
     await rig.leader(rig.voters)
     await some(rig, rig.voters)
-    back = rig.names[-1]
-    await rig.start(back)
+    late = rig.names[-1]
+    await rig.start(late)
 
-    async def whole() -> bool:
-        return int((await rig.agreed(back)).get("count", "0")) >= 100_005
+    async def complete() -> bool:
+        return int((await rig.agreed(late)).get("count", "0")) >= 100_005
 
-    await rig.until("the follower has all", whole)
-    assert any(line["event"] == "installed" for line in rig.records(back))
+    await rig.until("the follower has all", complete)
+    assert any(line["event"] == "installed" for line in rig.records(late))
 
     async def recorded() -> bool:
         return all(
@@ -285,7 +289,7 @@
 
 
 async def clocks_apart_and_one_set_back(rig: Rig) -> None:
-    """Nothing between agents rests on the time of day; one is started again an hour earlier."""
+    """Nothing between agents depends on the time of day; one is restarted with its clock an hour back."""
     for number, name in enumerate(rig.names):
         await rig.kill(name)
         rig.machines[name] = {"skew_ms": 5000.0 * number, "drift": 0.02 * number}
@@ -294,22 +298,23 @@
     await rig.together(0)
     await some(rig, rig.names, 10)
     await rig.together(10)
-    back = rig.names[1]
-    await rig.kill(back)
-    rig.machines[back] = {"skew_ms": -3600_000.0}
-    rig.say(f"the clock of {back} is set back")
-    await rig.start(back)
+    restarted = rig.names[1]
+    await rig.kill(restarted)
+    rig.machines[restarted] = {"skew_ms": -3600_000.0}
+    rig.say(f"the clock of {restarted} is set back")
+    await rig.start(restarted)
     await rig.together(10)
-    last = {name: rig.records(name)[-1] for name in rig.names}
-    assert last[back]["unix_ms"] < last[rig.names[0]]["unix_ms"] - 3000_000.0
-    assert last[rig.names[2]]["unix_ms"] > last[rig.names[0]]["unix_ms"] + 5000.0
+    last_records = {name: rig.records(name)[-1] for name in rig.names}
+    assert last_records[restarted]["unix_ms"] < last_records[rig.names[0]]["unix_ms"] - 3000_000.0
+    assert last_records[rig.names[2]]["unix_ms"] > last_records[rig.names[0]]["unix_ms"] + 5000.0
 
 
 async def calls_while_all_around_fails(rig: Rig) -> None:
-    """Slow, stalled, cut and refused servers, lists and clients, an agent killed: each call has one end."""
+    """Slow, stalled, cut and refused connections to servers, lists and clients, and a killed agent: each call
+    ends exactly once."""
     outside = rig.outside
     assert outside is not None
-    books, chance = outside.books, random.Random(rig.seed)
+    books, rng = outside.books, random.Random(rig.seed)
     outside.call()
     await rig.leader()
     await some(rig, rig.names)
@@ -331,7 +336,7 @@
     relays = outside.relays
     await more()
     for what, change in (("throttled", {"rate": 4000.0}), ("delayed", {"delay_ms": 30.0, "jitter_ms": 40.0})):
-        name = chance.choice(rig.names)
+        name = rng.choice(rig.names)
         rig.say(f"{name}/h0 {what}")
         for way in relays[name, "h0"].ways.values():
             for field, value in change.items():
@@ -346,7 +351,7 @@
         await more(10)
         for what in ("clients", "h0", "h1", "list"):
             await shown(name, what, "reset")
-    name = chance.choice(rig.names)
+    name = rng.choice(rig.names)
     rig.say(f"{name}/list refuses, and another server is drained")
     relays[name, "list"].refusing = True
     relays[name, "list"].reset()
@@ -354,7 +359,7 @@
     await more()
     await shown(name, "list", "refused")
     rig.heal()
-    name = chance.choice(rig.names)
+    name = rng.choice(rig.names)
     rig.say(f"{name}/h0 and its list hear nothing")
     for what in ("h0", "list"):
         relays[name, what].ways[FORWARD].cut = True
@@ -363,7 +368,7 @@
     await shown(name, "h0", "cut")
     await shown(name, "list", "cut")
     rig.heal()
-    name = chance.choice(rig.names)
+    name = rng.choice(rig.names)
     rig.say(f"{name}/h1 reads nothing")
     outside.books.apart.add(f"{name}.h1")
     relays[name, "h1"].stalled = True
@@ -386,36 +391,36 @@
 
 
 async def drawn(rig: Rig) -> None:
-    """A history drawn from the rig's seed."""
+    """A random history, determined by the rig's seed."""
     await rig.leader()
-    chance, down, frozen = random.Random(rig.seed), set[str](), set[str]()
+    rng, down, frozen = random.Random(rig.seed), set[str](), set[str]()
     for _ in range(12):
-        name = chance.choice(rig.names)
-        what = chance.choice(("kill", "stop", "cut", "apart", "heal", "back", "note", "note"))
-        if what == "kill" and name not in down | frozen and len(down | frozen) < 2:
+        name = rng.choice(rig.names)
+        action = rng.choice(("kill", "stop", "cut", "apart", "heal", "back", "note", "note"))
+        if action == "kill" and name not in down | frozen and len(down | frozen) < 2:
             await rig.kill(name)
             down.add(name)
-        elif what == "stop" and name not in down | frozen and len(down | frozen) < 2:
+        elif action == "stop" and name not in down | frozen and len(down | frozen) < 2:
             rig.freeze(name)
             frozen.add(name)
-        elif what == "cut":
-            rig.cut(name, chance.choice([other for other in rig.names if other != name]))
-        elif what == "apart":
+        elif action == "cut":
+            rig.cut(name, rng.choice([other for other in rig.names if other != name]))
+        elif action == "apart":
             rig.apart([name])
-        elif what == "heal":
+        elif action == "heal":
             rig.heal()
-        elif what == "back":
-            for each in frozen:
-                rig.wake(each)
-            for each in down:
-                await rig.start(each)
+        elif action == "back":
+            for other_name in frozen:
+                rig.wake(other_name)
+            for other_name in down:
+                await rig.start(other_name)
             down, frozen = set(), set()
-        await some(rig, [each for each in rig.names if each not in down | frozen], 2)
-        await asyncio.sleep(chance.uniform(0.0, 1.5))
-    for each in frozen:
-        rig.wake(each)
-    for each in down:
-        await rig.start(each)
+        await some(rig, [other_name for other_name in rig.names if other_name not in down | frozen], 2)
+        await asyncio.sleep(rng.uniform(0.0, 1.5))
+    for other_name in frozen:
+        rig.wake(other_name)
+    for other_name in down:
+        await rig.start(other_name)
     rig.heal()
 
 
@@ -452,7 +457,7 @@
             await rig.together(0)
             await history(rig)
             await rig.together(1)
-            await some(rig, rig.names)  # whole again, each agent's commands come through
+            await some(rig, rig.names)  # after the repairs each agent's commands are applied
             await rig.together(6)
             await rig.check()
         except AssertionError as problem:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,7 @@
-"""What many proxies do together towards one server: sums, messages and news that no single one sees."""
+"""Many proxies in front of one server: the sum of their load, and the messages among them.
+
+No single proxy sees these effects.
+"""
 
 from __future__ import annotations
 
@@ -18,10 +21,18 @@
 COLUMNS = ("free", "size", "mean_ms")
 
 
-def fleet(proxies: int, servers: int = 2, **more: Any) -> list[Proxy]:
+def fleet(proxies: int, servers: int = 2, **changes: Any) -> list[Proxy]:
     return [
-        Proxy(servers, seed=me + 1, siblings=proxies, me=me, classes=CLASSES, report_columns=COLUMNS, **more)
-        for me in range(proxies)
+        Proxy(
+            servers,
+            seed=index + 1,
+            siblings=proxies,
+            me=index,
+            classes=CLASSES,
+            report_columns=COLUMNS,
+            **changes,
+        )
+        for index in range(proxies)
     ]
 
 
@@ -30,68 +41,73 @@
         proxy.give(api.ServerReport(server(number).address, api.Outcome.OK, 0.0, (free, size, -1.0)))
 
 
-def run(proxies: list[Proxy], seconds: float, per_s: float, first: int = 0) -> dict[str, int]:
-    """Each proxy offers calls at random times, all answered at once. Returns the sends by server."""
-    dice, sent = random.Random(5), {server(n).address: 0 for n in range(8)}
+def run(proxies: list[Proxy], seconds: float, calls_per_second: float, first: int = 0) -> dict[str, int]:
+    """Each proxy offers calls at random times, all answered immediately. Returns the number of sends by
+    server address."""
+    rng, sent = random.Random(5), {server(n).address: 0 for n in range(8)}
     for proxy in proxies:
-        at, end = proxy.now + dice.expovariate(per_s) * 1000.0, proxy.now + seconds * 1000.0
-        while at < end:
-            actions = proxy.run(at - proxy.now)
-            actions += proxy.call(dice.choice(["plain", "plain", "plain", "dear"]), first)[1]
+        arrival, end = proxy.now + rng.expovariate(calls_per_second) * 1000.0, proxy.now + seconds * 1000.0
+        while arrival < end:
+            actions = proxy.run(arrival - proxy.now)
+            actions += proxy.call(rng.choice(["plain", "plain", "plain", "dear"]), first)[1]
             for send in sends(actions):
                 sent[send.server] += 1
                 proxy.answer(send.call, number_of(send.server))
-            at += dice.expovariate(per_s) * 1000.0
+            arrival += rng.expovariate(calls_per_second) * 1000.0
         proxy.run(end - proxy.now)
     return sent
 
 
 @pytest.mark.parametrize("proxies", [6, 60, 570])
 def test_all_together_keep_a_cold_server_within_its_budget(proxies: int) -> None:
-    # Found at full size: floors and first tokens of each proxy, summed, pushed a cold server over.
-    whole = 60.0  # calls a second that all offer, in halves to two servers of equal lines
-    made = fleet(proxies)
+    # Guards against the sum of all proxies' minimum rates and initial tokens, which overloaded a cold server
+    # in fleets of full size.
+    total_per_second = 60.0  # offered by all proxies, half to each of two servers with equally many lines
+    all_proxies = fleet(proxies)
     for number in (0, 1):
-        tell_lines(made, number, 1000.0, 1000.0)
-    run(made, 8.0, whole / 2.0 / proxies, first=1)
-    for proxy in made:
+        tell_lines(all_proxies, number, 1000.0, 1000.0)
+    run(all_proxies, 8.0, total_per_second / 2.0 / proxies, first=1)
+    for proxy in all_proxies:
         proxy.give(api.ListUpdate(api.ListKind.CHANGES, 2, (server(0, started=proxy.now),)))
     for window in range(3):
-        sent = run(made, 1.5, whole / proxies)[server(0).address]
-        could = whole / 2.0 * (SETTINGS.cold_from + 0.7 * 1.5 * window / 10.0)
-        assert sent <= 2.0 * could * 1.5 + 3.0
+        sent = run(all_proxies, 1.5, total_per_second / proxies)[server(0).address]
+        capacity_per_second = total_per_second / 2.0 * (SETTINGS.cold_from + 0.7 * 1.5 * window / 10.0)
+        assert sent <= 2.0 * capacity_per_second * 1.5 + 3.0
 
 
 @pytest.mark.parametrize("proxies", [6, 60, 285])
 def test_the_last_lines_are_shared_out_among_all_proxies(proxies: int) -> None:
-    # Found on overloaded days: every proxy sent to the last free lines, and each refusal was work.
-    made = fleet(proxies)
-    run(made, 2.0, 120.0 / proxies)
-    tell_lines(made, 0, 0.0, 200.0)
-    tell_lines(made, 1, 200.0, 200.0)
-    run(made, 1.0, 120.0 / proxies)  # what tokens were at hand is spent
-    tell_lines(made, 0, 0.0, 200.0)
-    assert run(made, 4.0, 120.0 / proxies)[server(0).address] <= 1.3 * 4.0 * 200.0 / 10.0 + 0.3 * proxies
+    # Guards against every proxy sending to the last free lines of an overloaded server, which then spent its
+    # time on refusals.
+    all_proxies = fleet(proxies)
+    run(all_proxies, 2.0, 120.0 / proxies)
+    tell_lines(all_proxies, 0, 0.0, 200.0)
+    tell_lines(all_proxies, 1, 200.0, 200.0)
+    run(all_proxies, 1.0, 120.0 / proxies)  # spends the tokens that have accumulated
+    tell_lines(all_proxies, 0, 0.0, 200.0)
+    assert (
+        run(all_proxies, 4.0, 120.0 / proxies)[server(0).address] <= 1.3 * 4.0 * 200.0 / 10.0 + 0.3 * proxies
+    )
 
 
 def traffic(siblings: int) -> tuple[int, int]:
-    """Messages and probes that one proxy sends in ten seconds."""
+    """The numbers of messages and probes that one proxy sends in ten seconds."""
     proxy = Proxy(4, siblings=siblings, peers=True, probes=True)
     for step in range(40):
         proxy.call(first=step % 4)
         for send in sends([action for _, action in proxy.log[-1:]]):
             proxy.answer(send.call, number_of(send.server))
         proxy.run(250.0)
-    told = [action for _, action in proxy.log if isinstance(action, api.TellPeer)]
-    assert all(0 < action.peer < siblings and len(action.data) <= 256 for action in told)
-    return len(told), sum(isinstance(action, api.Probe) for _, action in proxy.log)
+    messages = [action for _, action in proxy.log if isinstance(action, api.TellPeer)]
+    assert all(0 < action.peer < siblings and len(action.data) <= 256 for action in messages)
+    return len(messages), sum(isinstance(action, api.Probe) for _, action in proxy.log)
 
 
 def test_messages_and_probes_of_a_proxy_do_not_grow_with_the_fleet() -> None:
-    # Found at full size: broadcasts to 285 proxies got days cut off.
-    told, probes = traffic(5)
-    assert told > 0 and probes > 0
-    assert traffic(500) == (told, probes)
+    # Guards against broadcasts to all peers: with 285 proxies, test days were cut off for their number.
+    messages, probes = traffic(5)
+    assert messages > 0 and probes > 0
+    assert traffic(500) == (messages, probes)
     assert traffic(1) == (0, probes)
 
 
@@ -135,42 +151,43 @@
     proxy.load(6.0, 4.0, 1500.0)
     ceiling = proxy.control().ceiling
     assert ceiling is not None
-    proxy.run(3000.0)  # nobody says anything: no good news
+    proxy.run(3000.0)  # no messages arrive, so no good news either
     assert 0.0 < (proxy.control().ceiling or 0.0) <= ceiling
     proxy.run(decide.PENDING_MS + 20_000.0)
     assert proxy.control().ceiling is None
 
 
 def test_lost_answers_do_not_close_a_healthy_server() -> None:
-    # Found on days on which a quarter of the answers never arrived: the resets were taken for rejects.
+    # Guards against counting resets as rejects, which happened when a quarter of the answers were lost.
     proxy = Proxy()
     for _ in range(40):
         name, actions = proxy.call()
         assert sends(actions)[0].server == server(0).address
         proxy.fail(name, api.Outcome.RESET)
-        again = sends(proxy.run(400.0))
-        assert [send.call for send in again] == [name]
-        proxy.answer(name, number_of(again[0].server))
+        retries = sends(proxy.run(400.0))
+        assert [send.call for send in retries] == [name]
+        proxy.answer(name, number_of(retries[0].server))
     assert proxy.control().ceiling is None
 
 
 def test_tokens_in_hand_of_a_whole_fleet_do_not_push_a_cold_server_over() -> None:
-    # Found on incident i99cb61: a surge of dear calls met one token in hand at each of 286 proxies.
-    made = fleet(286)
+    # Guards against a surge of dear calls that finds one token at each of 286 proxies (incident i99cb61).
+    all_proxies = fleet(286)
     for number in (0, 1):
-        tell_lines(made, number, 1000.0, 1000.0)
-    run(made, 6.0, 40.0 / 286, first=1)
-    for proxy in made:
+        tell_lines(all_proxies, number, 1000.0, 1000.0)
+    run(all_proxies, 6.0, 40.0 / 286, first=1)
+    for proxy in all_proxies:
         proxy.give(api.ListUpdate(api.ListKind.CHANGES, 2, (server(0, started=proxy.now),)))
         proxy.run(3000.0)
     sent = 0
-    for proxy in made:
+    for proxy in all_proxies:
         sent += sum(send.server == server(0).address for send in sends(proxy.call("dear", 0)[1]))
     assert sent <= 0.5 * 1.5 * 20.0 * SETTINGS.fall_multiple
 
 
 def test_probes_turned_away_are_rejects() -> None:
-    # Found on an overloaded day: a jammed server turned probes away, and the few that got in told 50 ms.
+    # Guards against judging an overloaded server by the few probes that it accepts: it rejected most of them
+    # and answered the others in 50 ms.
     proxy = Proxy(probes=True, report_columns=COLUMNS)
     for outcome in (api.Outcome.FULL, api.Outcome.OK, api.Outcome.TIMEOUT, api.Outcome.FULL):
         row = (50.0, 100.0, 50.0) if outcome is api.Outcome.OK else ()
@@ -180,8 +197,9 @@
 
 
 def test_proxies_probe_the_servers_in_orders_of_their_own() -> None:
-    # Found where all proxies probed one server in the same quarter of a second and were turned away.
-    firsts = set()
+    # Guards against all proxies probing one server within the same quarter of a second, which made it reject
+    # the probes.
+    first_probed = set()
     for proxy in fleet(30, 6, probes=True):
-        firsts |= {next(a.server for a in proxy.run(1000.0) if isinstance(a, api.Probe))}
-    assert len(firsts) >= 5
+        first_probed |= {next(a.server for a in proxy.run(1000.0) if isinstance(a, api.Probe))}
+    assert len(first_probed) >= 5
