--- a/frostport/agreement/events.py
+++ b/frostport/agreement/events.py
@@ -73,4 +73,5 @@
     installed_snapshot: tuple[SnapshotMeta, bytes] | None = None
     committed: list[Entry] = field(default_factory=list)
     ready_reads: list[str] = field(default_factory=list)  # to be answered once `committed` is applied
-    record_events: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # name, fields
+    # For the event record: name and fields.
+    record_events: list[tuple[str, dict[str, object]]] = field(default_factory=list)
--- a/frostport/agreement/leader.py
+++ b/frostport/agreement/leader.py
@@ -95,7 +95,7 @@
                 for name in self.voters
                 if name != self.name
             }
-            self.joining = {name: at for name, at in self.joining.items() if name not in self.voters}
+            self.joining = {name: peer for name, peer in self.joining.items() if name not in self.voters}
 
     def _broadcast(self, now: float) -> None:
         self.heartbeat_at = now + self.settings.heartbeat_interval_ms
--- a/frostport/agreement/learner.py
+++ b/frostport/agreement/learner.py
@@ -99,9 +99,12 @@
             # Kept apart from `term`, which must be durable before any message mentions it.
             self.feeder_term, self.leader = message.term, message.leader
         match_index = self._merge_entries(message.prev_index, message.prev_term, message.entries)
-        if match_index is not None and (commit_index := min(message.commit, match_index)) > self.commit_index:
+        if (
+            match_index is not None
+            and (commit_index := min(message.commit_index, match_index)) > self.commit_index
+        ):
             self._set_commit_index(commit_index, now)
-        if self.commit_index < message.commit:
+        if self.commit_index < message.commit_index:
             self.output.messages.append((sender, FeedRequest(self.commit_index)))
 
     def _merge_entries(self, prev_index: int, prev_term: int, entries: tuple[Entry, ...]) -> int | None:
--- a/frostport/agreement/messages.py
+++ b/frostport/agreement/messages.py
@@ -63,7 +63,7 @@
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
-    commit: int
+    leader_commit: int
     round: int
 
 
@@ -109,7 +109,7 @@
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
-    commit: int
+    commit_index: int
 
 
 class ForwardCommand(msgspec.Struct, array_like=True, frozen=True, tag=9):
--- a/frostport/agreement/raft.py
+++ b/frostport/agreement/raft.py
@@ -349,7 +349,7 @@
                 (sender, AppendEntriesReply(self.term, False, retry_index, message.round, self.disk_id))
             )
             return
-        if (commit_index := min(message.commit, match_index)) > self.commit_index:
+        if (commit_index := min(message.leader_commit, match_index)) > self.commit_index:
             self._set_commit_index(commit_index, now)
         self.output.messages.append(
             (sender, AppendEntriesReply(self.term, True, match_index, message.round, self.disk_id))
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -77,9 +77,8 @@
         self.committed: dict[int, messages.Entry] = {}
         self.applied: dict[str, list[str]] = {}
         self.acknowledged: set[str] = set()
-        self.reads: dict[
-            str, tuple[int, int]
-        ] = {}  # by id: commit index when asked, applied index when answered
+        # By id: commit index when asked, applied index when answered (-1 before).
+        self.reads: dict[str, tuple[int, int]] = {}
         for name in names:
             self.start(name)
 
