--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,7 +16,7 @@
 from frostport.membership.settings import Settings
 from frostport.membership.swim import Swim
 from standins.simulated import World
-from tests.test_agreement import Steady
+from tests.test_agreement import CopyableRandom
 
 # Breadth-first exploration of three agents
 
@@ -55,7 +55,7 @@
 
     def start(self, name: str, life: int) -> None:
         self.agents[name] = Swim(
-            name, Info(name, life), 1000 + int(self.now), NAMES, FAST_SETTINGS, Steady(1)
+            name, Info(name, life), 1000 + int(self.now), NAMES, FAST_SETTINGS, CopyableRandom(1)
         )
         self.do(name, Started())
 
