--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -20,9 +20,19 @@
 import msgspec
 
 from benchmarks.calls import BEGAN_MS, COLD_MS, Clock, World
-from frostport.maintenance.keeper import Drain, HoldOut, Keeper, Local, Member, PutBack, Resume, Say, TurnAway
-from frostport.maintenance.plan import Plan, State
-from frostport.maintenance.words import Limits, Ready, Request, Server, Word
+from frostport.maintenance.commands import Command, Limits, MaintenanceRequest, Ready, ServerStatus
+from frostport.maintenance.plan import Plan, TicketState
+from frostport.maintenance.reconciler import (
+    Drain,
+    HoldOut,
+    LocalState,
+    MemberStatus,
+    ProposeCommand,
+    PutBack,
+    Reconciler,
+    Resume,
+    TurnAway,
+)
 from standins.fleet import Outside, Rig
 
 LOG_MS, LOOK_MS, SLOW_LOOK_MS = 50.0, 1000.0, 10_000.0
@@ -40,32 +50,33 @@
         self.apply_s: list[float] = []
         zones = min(zones, agents)
         self.members = {
-            f"a{number}": Member(f"z{number % zones}", number + 1, True, False, number < 3)
+            f"a{number}": MemberStatus(f"z{number % zones}", number + 1, True, False, number < 3)
             for number in range(agents)
         }
         self.servers = {
-            f"h{number}": Server(f"h{number}", f"z{number % zones}", 1.0, True) for number in range(servers)
+            f"h{number}": ServerStatus(f"h{number}", f"z{number % zones}", 1.0, True)
+            for number in range(servers)
         }
         self.keepers = {
-            name: Keeper(name, member.life, 0.0, True, limits) for name, member in self.members.items()
+            name: Reconciler(name, member.life, 0.0, True, limits) for name, member in self.members.items()
         }
         self.phase = dict.fromkeys(self.members, "serving")
         self.empty_at: dict[tuple[str, str], float] = {}
         for name in self.members:
             self.at(self.chance.uniform(0.0, LOOK_MS), lambda name=name: self.turn(name))  # type: ignore[misc]
 
-    def say(self, word: Word) -> None:
+    def say(self, word: Command) -> None:
         self.words += 1
         self.bytes += len(msgspec.msgpack.encode(word))
         self.at(LOG_MS, lambda: self.read(word))
 
-    def read(self, word: Word) -> None:
+    def read(self, word: Command) -> None:
         self.index += 1
         began = time.perf_counter()
         self.plan.apply(self.index, 1, word)
         self.apply_s.append(time.perf_counter() - began)
         for ticket in self.plan.tickets:
-            if ticket.state is State.OUT and not ticket.note:
+            if ticket.state is TicketState.OUT and not ticket.note:
                 ticket.note = "asked"
                 self.touched(ticket.name)
 
@@ -77,15 +88,15 @@
         # With hundreds, one that neither leads nor is concerned looks less often: the simulation's own time.
         calm = len(self.members) > 50 and name != "a0" and not self.plan.held_out("agent").get(name)
         self.at(SLOW_LOOK_MS if calm else LOOK_MS, lambda: self.turn(name))
-        for action in self.keepers[name].look(self.plan, self.local(name), self.now):
+        for action in self.keepers[name].reconcile(self.plan, self.local(name), self.now):
             self.do(name, action)
 
-    def local(self, name: str) -> Local:
+    def local(self, name: str) -> LocalState:
         busy = {
             server: int(self.empty_at.get((name, server), 0.0) > self.now)
-            for server in self.keepers[name].holding
+            for server in self.keepers[name].held_out
         }
-        return Local(
+        return LocalState(
             name == "a0",
             1,
             True,
@@ -101,7 +112,7 @@
 
     def do(self, name: str, action: object) -> None:
         match action:
-            case Say(word):
+            case ProposeCommand(word):
                 self.say(word)
             case Drain():
                 self.phase[name] = "draining"
@@ -115,11 +126,13 @@
             case PutBack(server):
                 self.empty_at.pop((name, server), None)
 
-    def seen(self) -> dict[str, Member]:
+    def seen(self) -> dict[str, MemberStatus]:
         for name, phase in self.phase.items():
             if self.members[name].up is not (phase == "serving"):
                 member = self.members[name]
-                self.members[name] = Member(member.zone, member.life, phase == "serving", False, member.voter)
+                self.members[name] = MemberStatus(
+                    member.zone, member.life, phase == "serving", False, member.voter
+                )
         return self.members
 
 
@@ -128,10 +141,10 @@
     fleet.run(lambda: fleet.now > BEGAN_MS + 10_000.0)
     began, words, size = fleet.now, fleet.words, fleet.bytes
     names = (*fleet.members, *fleet.servers)
-    fleet.say(Request(names, "", "a new kernel", "ann", 600_000.0))
+    fleet.say(MaintenanceRequest(names, "", "a new kernel", "ann", 600_000.0))
     fleet.run(
-        lambda: sum(ticket.state is State.DONE for ticket in fleet.plan.tickets) >= min(200, len(names))
-        and not fleet.plan.active()
+        lambda: sum(ticket.state is TicketState.DONE for ticket in fleet.plan.tickets) >= min(200, len(names))
+        and not fleet.plan.has_open_tickets()
     )
     took = fleet.now - began
     # Nobody could be faster than this, were every drain over at once and every zone's places always full.
@@ -172,13 +185,13 @@
         self.world = World(self, AGENTS, SERVERS, RATE, load * RATE * SERVERS, seed)
         self.run(lambda: self.now >= BEGAN_MS + CALM_MS)
 
-    def local(self, name: str) -> Local:
+    def local(self, name: str) -> LocalState:
         agent = self.world.agents[name]
         if agent.phase == "draining" and not agent.busy():
             agent.phase = "drained"
         self.phase[name] = agent.phase
         calls = self.world.rate / max(1, sum(each.phase == "serving" for each in self.world.agents.values()))
-        return Local(
+        return LocalState(
             name == "a0",
             1,
             True,
@@ -195,7 +208,7 @@
     def do(self, name: str, action: object) -> None:
         agent = self.world.agents[name]
         match action:
-            case Say(word):
+            case ProposeCommand(word):
                 self.say(word)
             case Drain():
                 agent.phase = "draining"
@@ -237,22 +250,24 @@
 
     def by_plan(self) -> str:
         names = (*self.members, *self.servers)
-        self.say(Request(names, "", "a new kernel", "ann", 600_000.0))
+        self.say(MaintenanceRequest(names, "", "a new kernel", "ann", 600_000.0))
         self.run(lambda: len(self.plan.tickets) == len(names))
 
         def stuck() -> bool:
             return all(
-                ticket.kind == "server" and ticket.state is State.WAITING
+                ticket.kind == "server" and ticket.state is TicketState.WAITING
                 for ticket in self.plan.tickets
-                if ticket.state is not State.DONE
+                if ticket.state is not TicketState.DONE
             )
 
         self.run(stuck)
-        left = [self.plan.why(ticket) for ticket in self.plan.tickets if ticket.state is State.WAITING]
+        left = [
+            self.plan.explain(ticket) for ticket in self.plan.tickets if ticket.state is TicketState.WAITING
+        ]
         if left:
             self.at_load = self.now
             self.world.rate = QUIET * RATE * SERVERS
-            self.run(lambda: not self.plan.active())
+            self.run(lambda: not self.plan.has_open_tickets())
         return f"; {len(left)} servers waited for the quiet hour ({left[0]})" if left else ""
 
     def by_hand(self) -> str:
--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -176,7 +176,7 @@
             if self.starting is not None:
                 also.update(self.starting.operations())
             if self.fleet is not None:
-                asked.kept = self.fleet.work.kept
+                asked.kept = self.fleet.work.held_reason
             self.door = Door({**asked.operations(), **also}, self.clock, self.deadlines)
             host, port = split(self.config.operator)
             self.reactor.listenTCP(port, self.door, interface=host)
@@ -187,7 +187,7 @@
             self.starting.join(self)
         self.side.start()
         if self.fleet is not None:
-            self.fleet.work.join(self)
+            self.fleet.work.attach(self)
             self.fleet.start()
         if self.starting is not None:
             self.starting.start()
--- a/frostport/config_fleet.py
+++ b/frostport/config_fleet.py
@@ -11,7 +11,7 @@
 
 from frostport import config as base
 from frostport.config import ConfigError
-from frostport.maintenance.words import Limits
+from frostport.maintenance.commands import Limits
 from frostport.membership.messages import MAX_NAME_BYTES, MAX_TEXT_BYTES
 
 VOTERS = (0, 1, 3, 5, 7)
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -28,6 +28,7 @@
 from frostport.config_fleet import FleetConfig
 from frostport.core.clock import MonotonicClock
 from frostport.core.deadlines import Deadline, Deadlines
+from frostport.fleet_maintenance import FleetMaintenance
 from frostport.membership import events as seen
 from frostport.membership.messages import Info, Message, State, Update
 from frostport.membership.settings import Settings as SwimSettings
@@ -43,7 +44,6 @@
 from frostport.store.engine import Engine, Limits
 from frostport.store.errors import StoreError
 from frostport.store.files import DiskFolder
-from frostport.work import Work
 
 log = logging.getLogger("frostport.fleet")
 
@@ -86,7 +86,7 @@
                 config.agent, disk, config.voters, RaftSettings(), chance, found, self.clock.now()
             )
             self.machine = Machine()
-            self.work = Work(self, found)
+            self.work = FleetMaintenance(self, found)
             self.applying = Applying(self.machine, self.raft.log.base.index, self.raft.log.snapshot)
         except (BadLogError, msgspec.MsgspecError) as problem:
             self.engine.close()
--- a/frostport/maintenance/__init__.py
+++ b/frostport/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Taking machines out for work: the plan that the agreed log gives, each agent's part. Decisions only."""
+"""Planned maintenance of machines: the replicated plan, each agent's reconciler. Decisions only, no I/O."""
--- a/tests/test_gossip_wire.py
+++ b/tests/test_gossip_wire.py
@@ -22,7 +22,7 @@
 from frostport.config import ConfigError
 from frostport.core.clock import SetClock
 from frostport.core.deadlines import Deadlines
-from frostport.maintenance.words import Limits
+from frostport.maintenance.commands import Limits
 from frostport.membership import messages
 from frostport.membership.events import Send, Started, Tick
 from frostport.membership.messages import BadMessageError, Info, Ping, State, Update
@@ -270,7 +270,7 @@
         "import sys, frostport.agent, frostport.cli\n"
         "print([name for name in sys.modules if name.startswith(('frostport.fleet', 'structlog', "
         "'frostport.membership', 'frostport.agreement', 'frostport.maintenance', "
-        "'frostport.work', 'frostport.net.link', 'frostport.net.gossip', "
+        "'frostport.fleet_maintenance', 'frostport.net.link', 'frostport.net.gossip', "
         "'frostport.config_fleet', 'frostport.observe.record', 'frostport.startup', "
         "'frostport.starting', 'frostport.config_startup', 'frostport.replication'))])"
     )
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -53,7 +53,7 @@
     "handover": 6,
     "fleet": 6,
     "pump": 6,
-    "work": 6,
+    "fleet_maintenance": 6,
     "cli": 7,
     "__main__": 8,
 }
@@ -69,7 +69,7 @@
     ("agent", "fleet"),
     ("agent", "pump"),
     ("fleet", "pump"),
-    ("fleet", "work"),
+    ("fleet", "fleet_maintenance"),
     ("config", "config_startup"),
     ("config_startup", "config"),
     ("agent", "starting"),
@@ -81,7 +81,7 @@
     ("agent", "side_diameter"),
     ("side_diameter", "sides"),
     ("handover", "durability"),
-    ("work", "fleet"),  # for their types alone
+    ("fleet_maintenance", "fleet"),  # for their types alone
     ("cli", "cli"),
 }
 LIBRARIES = {
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,5 +1,5 @@
-"""Work on machines: the plan against a slow, plain model; three agents in every order; long lives; planted
-faults. The objects are those that serve."""
+"""Maintenance of machines: the plan against a simple reference model, all event orders of three agents,
+random runs, and mutations that these must detect. All of it uses the real plan and reconcilers."""
 
 from __future__ import annotations
 
@@ -12,122 +12,135 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from frostport.maintenance import asking
-from frostport.maintenance.keeper import (
-    Drain,
-    HoldOut,
-    Keeper,
-    Local,
-    Member,
-    PutBack,
-    Resume,
-    Say,
-    Serve,
-    TurnAway,
-)
-from frostport.maintenance.plan import AWAY, ENDED, Machine, Plan, State, Ticket
-from frostport.maintenance.words import (
+from frostport.maintenance import operator_commands
+from frostport.maintenance.commands import (
     AGENT,
     SERVER,
+    AgentLoad,
+    AgentStatus,
     Cancel,
-    Done,
+    Command,
+    DrainConfirmed,
     Force,
     Hold,
     Limits,
-    Listed,
-    Load,
+    MaintenanceRequest,
     Ready,
-    Request,
-    Seen,
-    Server,
+    ServerList,
+    ServerStatus,
     Tick,
-    Word,
+)
+from frostport.maintenance.plan import ENDED_STATES, OUT_OF_SERVICE_STATES, Machine, Plan, Ticket, TicketState
+from frostport.maintenance.reconciler import (
+    Drain,
+    HoldOut,
+    LocalState,
+    MemberStatus,
+    ProposeCommand,
+    PutBack,
+    Reconciler,
+    Resume,
+    Serve,
+    TurnAway,
 )
 from tests.exploring import explored
 
-SERVERS = {"h0": Server("h0", "z", 1.0, True), "h1": Server("h1", "z", 1.0, True)}
+SERVERS = {"h0": ServerStatus("h0", "z", 1.0, True), "h1": ServerStatus("h1", "z", 1.0, True)}
 ZONES = {"a0": "z", "a1": "z", "a2": "y"}
 
 
-# The limits, told a second time and plainly
+# The limits, in a second and simpler implementation
 
 
 def allowed(plan: Plan, name: str) -> bool:
-    """Whether a machine may go, by what the plan knew just before (docs/design/maintenance.md, the order)."""
-    me, at = plan.machines[name], plan.limits
+    """Whether a machine may be taken out in this state (docs/design/maintenance.md, the order)."""
+    machine, limits = plan.machines[name], plan.limits
     out = []
     for other in plan.machines.values():
         if other.name == name:
             continue
-        away = any(each.name == other.name and each.state in AWAY for each in plan.tickets)
-        broken = other.kind == AGENT and not other.up and not other.gone
+        planned = any(
+            each.name == other.name and each.state in OUT_OF_SERVICE_STATES for each in plan.tickets
+        )
+        broken = other.kind == AGENT and not other.up and not other.left
         if other.kind == SERVER:
-            speak = [
+            reporting = [
                 agent
                 for agent in plan.machines.values()
-                if agent.kind == AGENT and agent.up and not agent.gone and agent.calls >= 0
+                if agent.kind == AGENT and agent.up and not agent.left and agent.calls_per_second >= 0
             ]
-            cut = [agent for agent in speak if other.name in agent.unreached]
-            broken = not other.up or (bool(speak) and 2 * len(cut) >= len(speak))
-        if away or broken:
+            unreachable_from = [agent for agent in reporting if other.name in agent.unreachable]
+            broken = not other.up or (bool(reporting) and 2 * len(unreachable_from) >= len(reporting))
+        if planned or broken:
             out.append(other)
-    if any(other.zone != me.zone for other in out) or len(out) + 1 > min(at.all, at.zone):
+    if any(other.zone != machine.zone for other in out) or len(out) + 1 > min(limits.all, limits.zone):
         return False
-    if sum(other.kind == me.kind for other in out) + 1 > (at.agents if me.kind == AGENT else at.servers):
+    if sum(other.kind == machine.kind for other in out) + 1 > (
+        limits.agents if machine.kind == AGENT else limits.servers
+    ):
         return False
-    if any(each.state is State.OUT and plan.now - each.since > each.takes_ms for each in plan.tickets):
+    if any(
+        each.state is TicketState.OUT and plan.now_ms - each.since_ms > each.max_out_ms
+        for each in plan.tickets
+    ):
         return False
-    stays = [
+    remaining = [
         other
         for other in plan.machines.values()
-        if other.kind == me.kind and other is not me and other not in out and not other.gone
+        if other.kind == machine.kind and other is not machine and other not in out and not other.left
     ]
     load = sum(
-        agent.calls
+        agent.calls_per_second
         for agent in plan.machines.values()
-        if agent.kind == AGENT and not agent.gone and agent.calls > 0
+        if agent.kind == AGENT and not agent.left and agent.calls_per_second > 0
     )
-    carries = (
-        at.agent_calls * len(stays)
-        if me.kind == AGENT
-        else at.share_calls * sum(other.share for other in stays)
+    capacity = (
+        limits.agent_calls * len(remaining)
+        if machine.kind == AGENT
+        else limits.share_calls * sum(other.share for other in remaining)
     )
-    return bool(stays) and not plan.held and (carries == 0 or carries >= load * (1 + at.margin))
+    return bool(remaining) and not plan.held_by and (capacity == 0 or capacity >= load * (1 + limits.margin))
 
 
-def checked(plan: Plan, index: int, term: int, word: Word) -> None:
-    """Applies a word; each ticket that goes by it might, one after the other, by the plain model."""
-    waiting = {ticket.number for ticket in plan.tickets if ticket.state is State.WAITING}
-    plan.apply(index, term, word)
-    went = [
+def checked(plan: Plan, index: int, term: int, command: Command) -> None:
+    """Applies a command; the reference model must allow the tickets that start by it, one after the other."""
+    waiting = {ticket.number for ticket in plan.tickets if ticket.state is TicketState.WAITING}
+    plan.apply(index, term, command)
+    started = [
         ticket
         for ticket in plan.tickets
-        if ticket.step == index and ticket.number in waiting and ticket.state is not State.WAITING
+        if ticket.start_index == index
+        and ticket.number in waiting
+        and ticket.state is not TicketState.WAITING
+    ]
+    started += [
+        ticket for ticket in plan.tickets if ticket.start_index == index and ticket.request_index == index
     ]
-    went += [ticket for ticket in plan.tickets if ticket.step == index and ticket.request == index]
     before = Plan()
     before.restore(plan.save())
-    for ticket in went:
+    for ticket in started:
         copy = next(each for each in before.tickets if each.number == ticket.number)
-        copy.state = State.WAITING
-    for ticket in sorted(went, key=lambda each: (each.passed, not each.urgent, each.number)):
-        assert any(allowed(before, each.name) for each in went), f"{ticket.name} might not go"
-    for ticket in went:
-        if len(went) == 1:
-            assert allowed(before, ticket.name), f"{ticket.name} might not go: {before.against(ticket)}"
+        copy.state = TicketState.WAITING
+    for ticket in sorted(started, key=lambda each: (each.overtaken, not each.urgent, each.number)):
+        assert any(allowed(before, each.name) for each in started), f"{ticket.name} may not be taken out"
+    for ticket in started:
+        if len(started) == 1:
+            assert allowed(before, ticket.name), (
+                f"{ticket.name} may not be taken out: {before.blocking_reason(ticket)}"
+            )
     for ticket in plan.tickets:
-        assert ticket.state in ENDED or plan.why(ticket)
+        assert ticket.state in ENDED_STATES or plan.explain(ticket)
         assert (
-            ticket.state is not State.WAITING
+            ticket.state is not TicketState.WAITING
             or plan.limits.overtakes < 1
-            or ticket.passed <= plan.limits.overtakes
+            or ticket.overtaken <= plan.limits.overtakes
         )
 
 
 names = st.sampled_from(["a0", "a1", "a2", "h0", "h1"])
-words = st.one_of(
+commands = st.one_of(
     st.builds(
-        Request,
+        MaintenanceRequest,
         st.lists(names, max_size=3).map(tuple),
         st.sampled_from(["", "", "y", "z"]),
         st.just("kernel"),
@@ -140,19 +153,21 @@
     st.builds(Force, names, st.just("ann"), st.just("why")),
     st.builds(Hold, st.booleans(), st.just("ann")),
     st.builds(
-        lambda name, life, up: Seen(name, ZONES[name], life, up, False, True),
+        lambda name, life, up: AgentStatus(name, ZONES[name], life, up, False, True),
         st.sampled_from(["a0", "a1", "a2"]),
         st.integers(1, 2),
         st.booleans(),
     ),
     st.builds(
-        Load,
+        AgentLoad,
         st.sampled_from(["a0", "a1", "a2"]),
         st.integers(1, 2),
         st.sampled_from([0.0, 5.0, 20.0]),
         st.sampled_from([(), ("h0",), ("h1",)]),
     ),
-    st.builds(Done, st.sampled_from(["a0", "a1", "a2"]), st.integers(1, 2), names, st.integers(1, 40)),
+    st.builds(
+        DrainConfirmed, st.sampled_from(["a0", "a1", "a2"]), st.integers(1, 2), names, st.integers(1, 40)
+    ),
     st.builds(Tick, st.just(1), st.sampled_from([1e3, 5e3, 9e9])),
     st.builds(
         Limits,
@@ -168,57 +183,59 @@
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(st.lists(words, max_size=40))
-def test_the_plan_keeps_to_the_limits_of_a_plain_model_and_survives_as_bytes(said: list[Word]) -> None:
+@given(st.lists(commands, max_size=40))
+def test_the_plan_keeps_the_limits_of_the_reference_model_and_its_snapshots_are_stable(
+    applied: list[Command],
+) -> None:
     plan = Plan()
-    plan.apply(0, 1, Listed(tuple(SERVERS.values())))
+    plan.apply(0, 1, ServerList(tuple(SERVERS.values())))
     for name, zone in ZONES.items():
-        plan.apply(0, 1, Seen(name, zone, 1, True, False, True))
-    for index, word in enumerate(said, start=1):
-        checked(plan, index, 1, word)
+        plan.apply(0, 1, AgentStatus(name, zone, 1, True, False, True))
+    for index, command in enumerate(applied, start=1):
+        checked(plan, index, 1, command)
         other = Plan()
         other.restore(plan.save())
         assert other.save() == plan.save()
 
 
-# Agents with their own copies of the plan, their calls, and a log that all read in one order
+# A model fleet: agents with their own copies of the plan and their calls, and a log in one order
 
 
 class Node:
-    """One agent: what it keeps (the log it has applied), and what dies with it."""
+    """One agent: what it keeps over a restart (the log it has applied), and what is lost with the process."""
 
     def __init__(self, name: str) -> None:
         self.name, self.life, self.applied = name, 1, 0
         self.plan = Plan()
         self.alive, self.cut = True, False
-        self.whole = True  # its disk has once held all up to where the log was
-        self.begin()
+        self.storage_intact = True  # its disk has once held the log up to the leader's commit index
+        self.start()
 
-    def begin(self) -> None:
-        self.keeper = Keeper(self.name, self.life, 0.0, self.whole)
-        self.phase, self.busy, self.must_read = "starting", dict.fromkeys(SERVERS, 0), 0
+    def start(self) -> None:
+        self.reconciler = Reconciler(self.name, self.life, 0.0, self.storage_intact)
+        self.phase, self.busy, self.must_apply = "starting", dict.fromkeys(SERVERS, 0), 0
 
 
 class Fleet:
-    """Three agents, two servers; `step` is one event, and is checked."""
+    """Three agents and two servers; each `step` is one event, after which the invariants are checked."""
 
     def __init__(self, limits: Limits | None = None) -> None:
         self.nodes = {name: Node(name) for name in ZONES}
-        self.log: list[Word] = [limits or Limits(warm_ms=1000.0)]
-        self.calls = 2  # attempts that may still begin
-        self.deaths = self.cuts = 2
-        self.late: list[Word] = []  # words on their way for long
+        self.log: list[Command] = [limits or Limits(warm_ms=1000.0)]
+        self.calls = 2  # attempts that may still be started
+        self.deaths = self.cuts = 2  # how many may still occur
+        self.late: list[Command] = []  # commands that are delayed in the network
         self.settle()
 
-    # What an agent sees
+    # The view of an agent
 
     def leader(self) -> str:
         return next((name for name, node in self.nodes.items() if node.alive and not node.cut), "")
 
-    def look(self, node: Node) -> None:
+    def reconcile(self, node: Node) -> None:
         leader = self.leader()
         members = {
-            name: Member(
+            name: MemberStatus(
                 ZONES[name],
                 other.life,
                 other.alive and other.phase == "serving" and not other.cut,
@@ -227,22 +244,22 @@
             )
             for name, other in self.nodes.items()
         }
-        node.keeper._said.clear()
-        node.keeper._load_at = -1e9
-        node.keeper._load = (
-            Load(node.name, node.life, 1.0, ())
-            if node.plan.machines.get(node.name, Machine("", "", "")).calls >= 0
+        node.reconciler._proposed.clear()
+        node.reconciler._load_reported_ms = -1e9
+        node.reconciler._reported_load = (
+            AgentLoad(node.name, node.life, 1.0, ())
+            if node.plan.machines.get(node.name, Machine("", "", "")).calls_per_second >= 0
             else None
         )
         again = True
         while again:
             again = False
-            read = node.applied >= node.must_read and not node.cut
-            node.whole = node.whole or read
-            local = Local(
+            caught_up = node.applied >= node.must_apply and not node.cut
+            node.storage_intact = node.storage_intact or caught_up
+            local = LocalState(
                 node.name == leader,
                 1,
-                read,
+                caught_up,
                 node.phase,
                 not any(node.busy.values()),
                 1.0,
@@ -252,13 +269,13 @@
                 members,
                 SERVERS,
             )
-            if node.keeper._load is not None:
-                node.keeper._load_at = 0.0
-            for action in node.keeper.look(node.plan, local, 0.0):
+            if node.reconciler._reported_load is not None:
+                node.reconciler._load_reported_ms = 0.0
+            for action in node.reconciler.reconcile(node.plan, local, 0.0):
                 match action:
-                    case Say(word):
-                        if not (node.cut or word in self.log[node.applied :] or isinstance(word, Tick)):
-                            self.log.append(word)
+                    case ProposeCommand(command):
+                        if not (node.cut or command in self.log[node.applied :] or isinstance(command, Tick)):
+                            self.log.append(command)
                     case Serve():
                         node.phase, again = "serving", True
                     case Drain():
@@ -274,19 +291,19 @@
         if node.applied < len(self.log):
             node.applied += 1
             checked(node.plan, node.applied, 1, self.log[node.applied - 1])
-            self.look(node)
+            self.reconcile(node)
 
     def settle(self) -> None:
-        """All that are reached read all; what they say by it too."""
+        """All connected agents apply the whole log, with what they propose meanwhile."""
         for _ in range(200):
-            reached = [node for node in self.nodes.values() if node.alive and not node.cut]
-            if all(node.applied == len(self.log) for node in reached):
+            connected = [node for node in self.nodes.values() if node.alive and not node.cut]
+            if all(node.applied == len(self.log) for node in connected):
                 before = len(self.log)
-                for node in reached:
-                    self.look(node)
+                for node in connected:
+                    self.reconcile(node)
                 if len(self.log) == before:
                     return
-            for node in reached:
+            for node in connected:
                 self.read(node)
 
     # Events
@@ -302,18 +319,18 @@
             for server in SERVERS:
                 if node.busy[server]:
                     yield "end", f"{name} {server}"
-            # A client's connection to one that drains may carry calls on until it turns them away.
+            # A client's open connection may carry calls to a draining agent until the agent refuses them.
             if self.calls and (node.phase in ("serving", "draining", "drained")):
                 for server in SERVERS:
-                    if server not in node.keeper.holding:
+                    if server not in node.reconciler.held_out:
                         yield "call", f"{name} {server}"
-            if node.phase == "draining" and node.keeper.drained_at >= 0.0:
+            if node.phase == "draining" and node.reconciler.drain_started_ms >= 0.0:
                 yield "patience", name
             if self.deaths:
                 yield "kill", name
             if node.cut:
                 yield "heal", name
-                if not node.keeper.serving:
+                if not node.reconciler.serving:
                     yield "alone", name
             elif self.cuts:
                 yield "cut", name
@@ -323,7 +340,7 @@
             yield "arrive", ""
         if self.leader():
             for ticket in self.nodes[self.leader()].plan.tickets:
-                if ticket.state is State.OUT and Ready(ticket.name) not in self.log[-6:]:
+                if ticket.state is TicketState.OUT and Ready(ticket.name) not in self.log[-6:]:
                     yield "ready", ticket.name
 
     def step(self, what: str, which: str) -> None:
@@ -339,7 +356,7 @@
                 node.busy[server] -= 1
                 if node.phase == "draining" and not any(node.busy.values()):
                     node.phase = "drained"
-                self.look(node)
+                self.reconcile(node)
             case "kill" if node is not None:
                 self.deaths -= 1
                 node.alive, node.busy = False, dict.fromkeys(SERVERS, 0)
@@ -347,22 +364,22 @@
                 node.alive, node.life = True, node.life + 1
                 if what == "return empty":
                     node.applied, node.plan = 0, Plan()
-                    node.whole = False
-                node.begin()
-                node.must_read = len(self.log)
-                self.look(node)
+                    node.storage_intact = False
+                node.start()
+                node.must_apply = len(self.log)
+                self.reconcile(node)
             case "cut" if node is not None:
                 self.cuts -= 1
                 node.cut = True
             case "heal" if node is not None:
                 node.cut = False
-                self.look(node)
+                self.reconcile(node)
             case "alone" if node is not None:
-                node.keeper.began = -1e9
-                self.look(node)
+                node.reconciler.started_ms = -1e9
+                self.reconcile(node)
             case "patience" if node is not None:
-                node.keeper.drained_at = -1e9  # its drain has taken longer than `drain_ms`
-                self.look(node)
+                node.reconciler.drain_started_ms = -1e9  # the drain has taken longer than `drain_ms`
+                self.reconcile(node)
             case "arrive":
                 self.log.append(self.late.pop())
             case "tick":
@@ -370,7 +387,7 @@
             case "ready":
                 self.log.append(Ready(which))
         if (leader := self.leader()) and what in ("kill", "return", "return empty", "cut", "heal"):
-            self.look(self.nodes[leader])
+            self.reconcile(self.nodes[leader])
         self.check()
 
     def check(self) -> None:
@@ -379,16 +396,16 @@
             saved = plans.setdefault(node.applied, node.plan.save())
             assert saved == node.plan.save(), "W1: plans differ"
             for ticket in node.plan.tickets:
-                # Once staff have said that the work is done, a copy that has not read it yet harms nobody.
+                # Once an operator has reported the machine ready, a replica that lags behind does no harm.
                 if (
-                    ticket.state is State.OUT
-                    and not ticket.forced
+                    ticket.state is TicketState.OUT
+                    and not ticket.forced_by
                     and node.alive
                     and Ready(ticket.name) not in self.log[node.applied :]
                 ):
-                    self.untouched(ticket)
+                    self.check_no_calls(ticket)
 
-    def untouched(self, ticket: Ticket) -> None:
+    def check_no_calls(self, ticket: Ticket) -> None:
         for other in self.nodes.values():
             if ticket.kind == SERVER:
                 assert not other.busy[ticket.name], f"W3: {other.name} has a call at {ticket.name}"
@@ -406,14 +423,14 @@
                         node.cut,
                         node.phase,
                         node.busy,
-                        node.must_read,
-                        sorted(node.keeper.holding),
-                        node.keeper.drained_by,
-                        node.keeper.serving,
-                        node.keeper.began < 0,
-                        node.keeper.remembers,
-                        node.whole,
-                        node.keeper.drained_at,
+                        node.must_apply,
+                        sorted(node.reconciler.held_out),
+                        node.reconciler.drain_ticket,
+                        node.reconciler.serving,
+                        node.reconciler.started_ms < 0,
+                        node.reconciler.storage_intact,
+                        node.storage_intact,
+                        node.reconciler.drain_started_ms,
                     )
                     for node in self.nodes.values()
                 ],
@@ -426,14 +443,14 @@
         )
 
 
-def asked(*requests: Request) -> Fleet:
+def asked(*requests: MaintenanceRequest) -> Fleet:
     fleet = Fleet()
     fleet.log += requests
     return fleet
 
 
 def going() -> Fleet:
-    """All hold the server, one call stands there; the word for it is on its way."""
+    """All agents hold the server out, and one call is open there: its agent has not confirmed."""
     fleet = Fleet()
     fleet.step("call", "a1 h0")
     fleet.log += [one("h0"), one("a1")]
@@ -448,36 +465,36 @@
 
 
 def again() -> Fleet:
-    """The server's ticket was cancelled and asked for anew; a word for its first step is still on its way."""
+    """The server's ticket was cancelled and requested anew; a confirmation of the first is in flight."""
     fleet = asked(one("h0"))
-    while not (ticket := fleet.nodes["a0"].plan.ticket("h0")) or ticket.state is not State.GOING:
+    while not (ticket := fleet.nodes["a0"].plan.open_ticket("h0")) or ticket.state is not TicketState.GOING:
         fleet.read(fleet.nodes["a0"])
-    fleet.late = [Done("a1", 1, "h0", ticket.step)]
+    fleet.late = [DrainConfirmed("a1", 1, "h0", ticket.start_index)]
     fleet.log.append(Cancel("h0"))
     fleet.settle()
     fleet.log += [Tick(1, 5000.0), Tick(1, 5000.0)]
     fleet.settle()
-    assert fleet.nodes["a0"].plan.ticket("h0") is None
+    assert fleet.nodes["a0"].plan.open_ticket("h0") is None
     fleet.step("call", "a1 h0")
     fleet.log.append(one("h0"))
     fleet.settle()
     return fleet
 
 
-def one(*machines: str, urgent: bool = False) -> Request:
-    return Request(machines, "", "kernel", "ann", 60_000.0, urgent)
+def one(*machines: str, urgent: bool = False) -> MaintenanceRequest:
+    return MaintenanceRequest(machines, "", "kernel", "ann", 60_000.0, urgent)
 
 
 BEGINNINGS = {"asked": lambda: asked(one("h0"), one("a1")), "going": going, "out": out, "again": again}
 
 
 @pytest.mark.parametrize("name", BEGINNINGS)
-def test_every_order_of_three_agents_and_two_servers(name: str) -> None:
+def test_all_event_orders_of_three_agents_and_two_servers(name: str) -> None:
     assert explored(BEGINNINGS[name](), 4, 20_000) > 500
 
 
-def lived(seed: int, steps: int = 250) -> Fleet:
-    """A long life drawn from a seed, at its end healed and quiet: every ticket has ended."""
+def random_run(seed: int, steps: int = 250) -> Fleet:
+    """A random run; at its end all faults are repaired, and every ticket must have ended."""
     chance = random.Random(seed)
     fleet = Fleet(
         Limits(all=chance.randint(1, 2), servers=1, zone=2, warm_ms=1000.0, overtakes=chance.randint(1, 3))
@@ -502,134 +519,146 @@
         fleet.settle()
         plan = fleet.nodes["a0"].plan
         for ticket in plan.tickets:
-            if ticket.state is State.OUT:
+            if ticket.state is TicketState.OUT:
                 fleet.step("ready", ticket.name)
         fleet.log.append(Tick(1, 5000.0))
         fleet.settle()
     left = [
-        (ticket.name, ticket.state.value, plan.why(ticket))
+        (ticket.name, ticket.state.value, plan.explain(ticket))
         for ticket in plan.tickets
-        if ticket.state not in ENDED
+        if ticket.state not in ENDED_STATES
     ]
     assert not left, left
     return fleet
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_long_lives_end_with_every_ticket_done(seed: int) -> None:
-    lived(seed)
+def test_random_runs_end_with_every_ticket_done(seed: int) -> None:
+    random_run(seed)
 
 
-def earlier_words_count_nothing() -> None:
+def stale_confirmations_do_not_count() -> None:
     plan = asked(one("h0")).nodes["a0"].plan
-    said: list[Word] = [
-        Listed(tuple(SERVERS.values())),
-        Seen("a0", "z", 2, True, False),
-        Seen("a1", "z", 5, True, False),
+    setup: list[Command] = [
+        ServerList(tuple(SERVERS.values())),
+        AgentStatus("a0", "z", 2, True, False),
+        AgentStatus("a1", "z", 5, True, False),
         one("h0"),
     ]
-    for index, word in enumerate(said, start=100):
-        plan.apply(index, 1, word)
-    ticket = plan.ticket("h0")
+    for index, command in enumerate(setup, start=100):
+        plan.apply(index, 1, command)
+    ticket = plan.open_ticket("h0")
     assert ticket is not None
-    for number, (agent, life, step) in enumerate(
+    for number, (agent, life, offset) in enumerate(
         (("a0", 1, 0), ("a1", 4, 0), ("a0", 2, -1), ("a1", 5, -1)), start=200
     ):
-        plan.apply(number, 1, Done(agent, life, "h0", ticket.step + step))
-        assert not {"a0", "a1"} & ticket.done.keys()
+        plan.apply(number, 1, DrainConfirmed(agent, life, "h0", ticket.start_index + offset))
+        assert not {"a0", "a1"} & ticket.confirmations.keys()
 
 
-def test_words_of_an_earlier_process_or_step_count_nothing() -> None:
-    earlier_words_count_nothing()
+def test_confirmations_of_an_earlier_process_or_ticket_do_not_count() -> None:
+    stale_confirmations_do_not_count()
 
 
-# Planted faults: each is seen by what is above
+# Mutations: each must be detected by the checks above
 
 
-def any_life(plan: Plan, index: int, term: int, word: Word) -> None:
-    if isinstance(word, Done) and word.agent in plan.machines:
-        word = Done(word.agent, plan.machines[word.agent].life, word.machine, word.step)
-    APPLY(plan, index, term, word)
+def ignore_process(plan: Plan, index: int, term: int, command: Command) -> None:
+    if isinstance(command, DrainConfirmed) and command.agent in plan.machines:
+        command = DrainConfirmed(
+            command.agent, plan.machines[command.agent].life, command.machine, command.start_index
+        )
+    APPLY(plan, index, term, command)
 
 
-def any_step(plan: Plan, index: int, term: int, word: Word) -> None:
-    if isinstance(word, Done) and (ticket := plan.ticket(word.machine)) is not None:
-        word = Done(word.agent, word.life, word.machine, ticket.step)
-    APPLY(plan, index, term, word)
+def ignore_ticket(plan: Plan, index: int, term: int, command: Command) -> None:
+    if isinstance(command, DrainConfirmed) and (ticket := plan.open_ticket(command.machine)) is not None:
+        command = DrainConfirmed(command.agent, command.life, command.machine, ticket.start_index)
+    APPLY(plan, index, term, command)
 
 
-def only_tickets(plan: Plan) -> dict[str, Machine]:
+def count_tickets_only(plan: Plan) -> dict[str, Machine]:
     return {
         ticket.name: plan.machines[ticket.name]
         for ticket in plan.tickets
-        if ticket.state in AWAY and ticket.name in plan.machines
+        if ticket.state in OUT_OF_SERVICE_STATES and ticket.name in plan.machines
     }
 
 
-def the_living(plan: Plan, ticket: Ticket) -> list[str]:
-    return [name for name in WAITS_FOR(plan, ticket) if plan.machines[name].up]
+def wait_for_live_agents_only(plan: Plan, ticket: Ticket) -> list[str]:
+    return [name for name in MISSING_CONFIRMATIONS(plan, ticket) if plan.machines[name].up]
 
 
-def at_once(keeper: Keeper, plan: Plan, local: Local, now: float) -> list[object]:
+def serve_before_catching_up(
+    reconciler: Reconciler, plan: Plan, local: LocalState, now_ms: float
+) -> list[object]:
     local.caught_up = True
-    keeper.began, keeper.remembers = -1e9, True
-    return list(LOOK(keeper, plan, local, now))
+    reconciler.started_ms, reconciler.storage_intact = -1e9, True
+    return list(RECONCILE(reconciler, plan, local, now_ms))
 
 
-def drained_is_enough(keeper: Keeper, plan: Plan, local: Local, now: float) -> list[object]:
-    """An agent that may be touched serves whoever still comes."""
+def never_turn_away(reconciler: Reconciler, plan: Plan, local: LocalState, now_ms: float) -> list[object]:
+    """An agent whose machine is out goes on serving clients that still connect."""
     return [
         action
-        for action in LOOK(
-            keeper,
+        for action in RECONCILE(
+            reconciler,
             plan,
             replace(local, phase="turning away" if local.phase == "drained" else local.phase),
-            now,
+            now_ms,
         )
         if not isinstance(action, TurnAway)
     ]
 
 
-APPLY, WAITS_FOR, LOOK = Plan.apply, Plan.waits_for, Keeper.look
-PLANTED: dict[str, tuple[type, str, object]] = {
-    "a confirmation counted across lives": (Plan, "apply", any_life),
-    "a confirmation counted across steps": (Plan, "apply", any_step),
-    "the dead not counted as out": (Plan, "out", only_tickets),
-    "the silent taken for dead": (Plan, "waits_for", the_living),
-    "calls taken before the log is read": (Keeper, "look", at_once),
-    "an agent out that serves who comes": (Keeper, "look", drained_is_enough),
+APPLY, MISSING_CONFIRMATIONS, RECONCILE = Plan.apply, Plan.missing_confirmations, Reconciler.reconcile
+MUTATIONS: dict[str, tuple[type, str, object]] = {
+    "a confirmation counted across processes": (Plan, "apply", ignore_process),
+    "a confirmation counted across tickets": (Plan, "apply", ignore_ticket),
+    "failed machines not counted as out": (Plan, "out_of_service", count_tickets_only),
+    "silent agents not waited for": (Plan, "missing_confirmations", wait_for_live_agents_only),
+    "calls taken before the log is applied": (Reconciler, "reconcile", serve_before_catching_up),
+    "an agent that serves while out": (Reconciler, "reconcile", never_turn_away),
 }
 
 
-@pytest.mark.parametrize("name", PLANTED)
-def test_planted_faults_are_caught(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    owner, method, fault = PLANTED[name]
-    monkeypatch.setattr(owner, method, fault)
+@pytest.mark.parametrize("name", MUTATIONS)
+def test_mutations_are_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    owner, method, mutation = MUTATIONS[name]
+    monkeypatch.setattr(owner, method, mutation)
 
-    def caught() -> bool:
+    def detected() -> bool:
         try:
-            earlier_words_count_nothing()
+            stale_confirmations_do_not_count()
             for seed in range(10):
-                lived(seed, 120)
-            for begin in BEGINNINGS.values():
-                explored(begin(), 4, 20_000)
+                random_run(seed, 120)
+            for beginning in BEGINNINGS.values():
+                explored(beginning(), 4, 20_000)
         except AssertionError:
             return True
         return False
 
-    assert caught()
+    assert detected()
 
 
-# What staff say
+# Operators' commands
 
 
-def test_what_staff_say_is_checked_and_what_they_read_has_a_reason() -> None:
+def test_operators_commands_are_validated_and_status_gives_reasons() -> None:
     plan = out().nodes["a0"].plan
-    assert plan.ticket("h0") is not None and "may be touched" in "\n".join(asking.status(plan))
-    said = asking.word("request", "names=a0,h1 takes=30m within=8h urgent=yes who=ann why=a new kernel", plan)
-    assert said == Request(("a0", "h1"), "", "a new kernel", "ann", 1_800_000.0, True, 28_800_000.0)
-    assert asking.word("limits", "all=3 margin=0.5", plan) == Limits(all=3, margin=0.5, warm_ms=1000.0)
-    for what, rest, why in (
+    assert plan.open_ticket("h0") is not None and "may be touched" in "\n".join(
+        operator_commands.status_lines(plan)
+    )
+    request = operator_commands.parse_command(
+        "request", "names=a0,h1 takes=30m within=8h urgent=yes who=ann why=a new kernel", plan
+    )
+    assert request == MaintenanceRequest(
+        ("a0", "h1"), "", "a new kernel", "ann", 1_800_000.0, True, 28_800_000.0
+    )
+    assert operator_commands.parse_command("limits", "all=3 margin=0.5", plan) == Limits(
+        all=3, margin=0.5, warm_ms=1000.0
+    )
+    for verb, rest, message in (
         ("request", "takes=30m who=ann why=x", "names= or zone="),
         ("request", "names=a0 who=ann why=x", "takes="),
         ("request", "names=a0 takes=half who=ann why=x", "takes:"),
@@ -642,35 +671,37 @@
         ("limits", "all=many", "not a number"),
         ("hold", "", "who="),
     ):
-        with pytest.raises(asking.BadWordsError, match=why):
-            asking.word(what, rest, plan)
+        with pytest.raises(operator_commands.InvalidCommandError, match=message):
+            operator_commands.parse_command(verb, rest, plan)
 
 
-def test_force_is_kept_with_who_and_why_and_an_overdue_machine_halts_the_plan() -> None:
+def test_force_keeps_operator_and_reason_and_an_overdue_machine_stops_the_plan() -> None:
     plan = out().nodes["a0"].plan
     index = 1000
-    for word in (Tick(1, 5000.0),) * 14:
-        plan.apply(index := index + 1, 1, word)
-    waiting, late = plan.ticket("a1"), plan.ticket("h0")
+    for tick in (Tick(1, 5000.0),) * 14:
+        plan.apply(index := index + 1, 1, tick)
+    waiting, late = plan.open_ticket("a1"), plan.open_ticket("h0")
     assert waiting is not None and late is not None
-    assert plan.why(waiting) == "held: h0 overdue" and plan.overdue(late)
+    assert plan.explain(waiting) == "held: h0 overdue" and plan.is_overdue(late)
     plan.apply(index + 1, 1, Force("h0", "ann", "its disk is gone"))
-    assert late.state is State.GIVEN_UP and late.forced == "ann: its disk is gone"
-    assert "1 out of 1" in plan.why(waiting)
+    assert late.state is TicketState.GIVEN_UP and late.forced_by == "ann: its disk is gone"
+    assert "1 out of 1" in plan.explain(waiting)
     plan.apply(index + 2, 1, Limits(all=2, zone=2))
-    assert waiting.state is State.GOING
+    assert waiting.state is TicketState.GOING
 
 
-def test_budgets_of_agents_that_are_out_go_to_those_that_are_up() -> None:
+def test_serving_agents_take_over_the_budgets_of_agents_that_are_out() -> None:
     plan = Plan()
-    assert plan.share() <= 1.0  # nothing known yet
+    assert plan.budget_factor() <= 1.0  # nothing known yet
     for index, (name, zone) in enumerate(ZONES.items(), start=1):
-        plan.apply(index, 1, Seen(name, zone, 1, True, False, True))
-    assert plan.share() == 1.0
+        plan.apply(index, 1, AgentStatus(name, zone, 1, True, False, True))
+    assert plan.budget_factor() == 1.0
     plan.apply(4, 1, one("a2"))
-    plan.apply(5, 1, Seen("a2", "y", 1, False, False, True))
-    assert plan.share() == 1.5
-    plan.apply(6, 1, Seen("a2", "y", 1, False, True, True))  # staff have ended it: its ticket still counts
-    assert plan.share() == 1.5
-    plan.apply(7, 1, Seen("a1", "z", 1, False, True, True))  # one that has left for good has no part
-    assert plan.share() == 2.0
+    plan.apply(5, 1, AgentStatus("a2", "y", 1, False, False, True))
+    assert plan.budget_factor() == 1.5
+    # An operator has stopped the process: the agent has left, but its ticket still counts.
+    plan.apply(6, 1, AgentStatus("a2", "y", 1, False, True, True))
+    assert plan.budget_factor() == 1.5
+    # An agent that has left for good has no part in the budgets.
+    plan.apply(7, 1, AgentStatus("a1", "z", 1, False, True, True))
+    assert plan.budget_factor() == 2.0
