--- a/tests/fleet/test_work.py
+++ b/tests/fleet/test_work.py
@@ -1,4 +1,4 @@
-"""Work on machines, in real processes under calls, with faults between them; judged by all records."""
+"""Maintenance of machines in real processes under calls, with faults injected; checked by event records."""
 
 from __future__ import annotations
 
@@ -12,136 +12,142 @@
 from standins.fleet import Outside, Rig
 from tests.test_sigkill import ended_by_servers, quiet
 
-History = Callable[[Rig], Awaitable[None]]
-ASKED = "takes=1h who=ann why=a new kernel"
-AWAY = ("going", "out", "back", "warming", "given up")
+Scenario = Callable[[Rig], Awaitable[None]]
+REQUEST_FIELDS = "takes=1h who=ann why=a new kernel"
+OUT_OF_SERVICE_STATES = ("going", "out", "back", "warming", "given up")
 
 
 async def status(rig: Rig, name: str) -> list[str]:
     return await rig.ask(name, "work-status")
 
 
-async def stands(rig: Rig, machine: str, state: str, among: list[str] | None = None, words: str = "") -> None:
-    """Waits until all these agents' doors show a machine's newest ticket so."""
+async def wait_for_state(
+    rig: Rig, machine: str, state: str, agents: list[str] | None = None, text: str = ""
+) -> None:
+    """Waits until `work-status` at all these agents shows a machine's newest ticket in this state."""
 
     async def shown() -> bool:
-        for name in among or rig.names:
+        for name in agents or rig.names:
             lines = [line.split(None, 3) for line in await status(rig, name) if line[:1].isdigit()]
-            mine = [line for line in lines if line[1] == machine]
-            if not mine or not mine[-1][3].startswith(state) or words not in mine[-1][3]:
+            machine_lines = [line for line in lines if line[1] == machine]
+            if (
+                not machine_lines
+                or not machine_lines[-1][3].startswith(state)
+                or text not in machine_lines[-1][3]
+            ):
                 return False
         return True
 
-    await rig.until(f"{machine} {state} {words}", shown)
+    await rig.until(f"{machine} {state} {text}", shown)
 
 
-async def done(rig: Rig, machine: str) -> None:
+async def finish(rig: Rig, machine: str) -> None:
     assert (await rig.ask(rig.names[0], f"work-ready {machine}"))[0].startswith("OK")
-    await stands(rig, machine, "done")
+    await wait_for_state(rig, machine, "done")
 
 
-async def unasked(rig: Rig, door: str, machine: str) -> None:
+async def wait_until_out_unplanned(rig: Rig, agent: str, machine: str) -> None:
     async def known() -> bool:
-        return any(f"out unasked: {machine}" in line for line in await status(rig, door))
+        return any(f"out unasked: {machine}" in line for line in await status(rig, agent))
 
     await rig.until(f"the log has the death of {machine}", known)
 
 
-async def request(rig: Rig, door: str, names: str, rest: str = ASKED) -> None:
-    assert (await rig.ask(door, f"work-request names={names} {rest}"))[0].startswith("OK")
+async def request(rig: Rig, agent: str, names: str, fields: str = REQUEST_FIELDS) -> None:
+    assert (await rig.ask(agent, f"work-request names={names} {fields}"))[0].startswith("OK")
 
 
-async def a_lobby_server_out_and_back(rig: Rig) -> None:
+async def lobby_server_out_and_back(rig: Rig) -> None:
     await request(rig, "n0", "h1")
-    await stands(rig, "h1", "out", words="may be touched")
+    await wait_for_state(rig, "h1", "out", text="may be touched")
     assert (await rig.ask("n1", "enable-server h1"))[0].startswith("ERR held by ticket")
-    await more(rig)
-    await done(rig, "h1")
+    await wait_for_answers(rig)
+    await finish(rig, "h1")
 
 
-async def an_agent_out_and_started_anew(rig: Rig) -> None:
+async def agent_out_and_restarted(rig: Rig) -> None:
     await request(rig, "n0", "n1")
-    await stands(rig, "n1", "out", words="may be touched")
+    await wait_for_state(rig, "n1", "out", text="may be touched")
     assert (await rig.ask("n1", "resume"))[0].startswith("ERR held by ticket")
     await rig.kill("n1")
-    await more(rig)
+    await wait_for_answers(rig)
     await rig.start("n1")
-    await stands(rig, "n1", "out")
-    await done(rig, "n1")
+    await wait_for_state(rig, "n1", "out")
+    await finish(rig, "n1")
     await rig.until("n1 serves", lambda: serves(rig, "n1"))
 
 
-async def the_leader_is_the_machine_whose_turn_it_is(rig: Rig) -> None:
+async def leader_taken_out(rig: Rig) -> None:
     leader = await rig.leader()
     await request(rig, leader, leader)
-    await stands(rig, leader, "out")
+    await wait_for_state(rig, leader, "out")
     await rig.kill(leader)
     others = [name for name in rig.names if name != leader]
     await rig.leader(others)
     await rig.start(leader)
     await rig.ask(others[0], f"work-ready {leader}")
-    await stands(rig, leader, "done")
+    await wait_for_state(rig, leader, "done")
 
 
-async def held_back_by_one_cut_off(rig: Rig) -> tuple[str, list[str]]:
-    """A server is to go while an agent can't be heard; the leader, and those that are reached."""
+async def start_drain_with_a_partitioned_agent(rig: Rig) -> tuple[str, list[str]]:
+    """Starts draining a server while an agent is cut off; returns the leader and the connected agents."""
     leader = await rig.leader()
-    cut = next(name for name in rig.names if name != leader)
-    others = [name for name in rig.names if name != cut]
-    rig.apart([cut])
+    partitioned = next(name for name in rig.names if name != leader)
+    others = [name for name in rig.names if name != partitioned]
+    rig.apart([partitioned])
     await request(rig, leader, "h0")
-    await stands(rig, "h0", "going", others, f"not heard: {cut}")
+    await wait_for_state(rig, "h0", "going", others, f"not heard: {partitioned}")
     return leader, others
 
 
-async def one_that_is_cut_off_holds_the_word_back_by_name(rig: Rig) -> None:
-    await held_back_by_one_cut_off(rig)
-    await more(rig)
+async def partitioned_agent_delays_a_drain(rig: Rig) -> None:
+    await start_drain_with_a_partitioned_agent(rig)
+    await wait_for_answers(rig)
     assert rig.injected("cut")
     rig.heal()
-    await stands(rig, "h0", "out")
-    await done(rig, "h0")
+    await wait_for_state(rig, "h0", "out")
+    await finish(rig, "h0")
 
 
-async def forced_by_staff(rig: Rig) -> None:
-    leader, others = await held_back_by_one_cut_off(rig)
+async def drain_forced_by_an_operator(rig: Rig) -> None:
+    leader, others = await start_drain_with_a_partitioned_agent(rig)
     await rig.ask(leader, "work-force h0 who=ann why=its machine is switched off")
-    await stands(rig, "h0", "out", others)
+    await wait_for_state(rig, "h0", "out", others)
     rig.heal()
-    await stands(rig, "h0", "out")
+    await wait_for_state(rig, "h0", "out")
     for name in rig.names:
         assert any(
             line["event"] == "ticket" and line["forced"] == "ann: its machine is switched off"
             for line in rig.records(name)
         )
-    await done(rig, "h0")
+    await finish(rig, "h0")
 
 
-async def killed_in_mid_drain(rig: Rig) -> None:
+async def agent_killed_while_draining(rig: Rig) -> None:
     await request(rig, "n0", "n1")
-    await stands(rig, "n1", "", ["n0", "n2"])
+    await wait_for_state(rig, "n1", "", ["n0", "n2"])
     await rig.kill("n1")
     await rig.start("n1")
-    await stands(rig, "n1", "out")
+    await wait_for_state(rig, "n1", "out")
     assert not await serves(rig, "n1")
-    await done(rig, "n1")
+    await finish(rig, "n1")
 
 
-async def overdue_halts_the_plan(rig: Rig) -> None:
+async def overdue_machine_stops_the_plan(rig: Rig) -> None:
     await request(rig, "n0", "h0", "takes=2s who=ann why=disks")
     await request(rig, "n0", "h1")
-    await stands(rig, "h0", "out", words="overdue")
-    await stands(rig, "h1", "waiting", words="held: h0 overdue")
+    await wait_for_state(rig, "h0", "out", text="overdue")
+    await wait_for_state(rig, "h1", "waiting", text="held: h0 overdue")
     await rig.ask("n2", "work-ready h0")
-    await stands(rig, "h1", "out")
-    await done(rig, "h1")
+    await wait_for_state(rig, "h1", "out")
+    await finish(rig, "h1")
 
 
-async def two_staff_at_two_doors(rig: Rig) -> None:
+async def concurrent_requests_at_all_agents(rig: Rig) -> None:
     await asyncio.gather(
         *(request(rig, name, "h0,n1", f"takes=1h who={name} why=a move") for name in rig.names)
     )
-    await stands(rig, "h0", "refused")
+    await wait_for_state(rig, "h0", "refused")
     seen = {
         tuple(line.split(":")[0] for line in await status(rig, name) if line[:1].isdigit())
         for name in rig.names
@@ -158,9 +164,9 @@
     await rig.until("both machines are done", all_done)
 
 
-async def the_majority_lost_with_a_server_out(rig: Rig) -> None:
+async def majority_lost_with_a_server_out(rig: Rig) -> None:
     await request(rig, "n0", "h0")
-    await stands(rig, "h0", "out")
+    await wait_for_state(rig, "h0", "out")
     leader = await rig.leader()
     lost = [name for name in rig.names if name != leader]
     for name in lost:
@@ -172,20 +178,20 @@
     await rig.until("it says that nothing goes on", says_so)
     for name in lost:
         await rig.start(name)
-    await stands(rig, "h0", "out")
-    await done(rig, "h0")
+    await wait_for_state(rig, "h0", "out")
+    await finish(rig, "h0")
 
 
-async def one_that_stalls_while_a_server_goes(rig: Rig) -> None:
+async def agent_stalls_while_a_server_drains(rig: Rig) -> None:
     leader = await rig.leader()
     stalled = next(name for name in rig.names if name != leader)
     rig.freeze(stalled)
     await request(rig, leader, "h0")
     others = [name for name in rig.names if name != stalled]
-    await stands(rig, "h0", "going", others, f"waits for {stalled}")
+    await wait_for_state(rig, "h0", "going", others, f"waits for {stalled}")
     rig.wake(stalled)
-    await stands(rig, "h0", "out")
-    await done(rig, "h0")
+    await wait_for_state(rig, "h0", "out")
+    await finish(rig, "h0")
 
 
 async def never_two_zones_at_a_time(rig: Rig) -> None:
@@ -193,71 +199,71 @@
     await request(rig, "n0", "n0,n1,n2")
 
     async def all_done() -> bool:
-        await any_ready(rig)
+        await report_ready(rig)
         return sum(" done: " in line for line in await status(rig, "n0")) == 3
 
     await rig.until("all three are done", all_done)
     zones = {name: number % 2 for number, name in enumerate(rig.names)}
     away: dict[str, str] = {}
-    for _, _, machine, state in tickets(rig, 3):
+    for _, _, machine, state in check_tickets(rig, 3):
         away[machine] = state
-        assert len({zones[name] for name, each in away.items() if each in AWAY}) < 2, away
+        assert len({zones[name] for name, each in away.items() if each in OUT_OF_SERVICE_STATES}) < 2, away
 
 
-async def cancelled_held_and_gone_on(rig: Rig) -> None:
+async def hold_cancel_and_go_on(rig: Rig) -> None:
     await rig.ask("n1", "work-hold who=ann")
     await request(rig, "n0", "h0,h1")
-    await stands(rig, "h0", "waiting", words="held by ann")
+    await wait_for_state(rig, "h0", "waiting", text="held by ann")
     await rig.ask("n2", "work-cancel h1")
-    await stands(rig, "h1", "cancelled")
+    await wait_for_state(rig, "h1", "cancelled")
     await rig.ask("n0", "work-go-on who=ann")
-    await stands(rig, "h0", "out")
-    await done(rig, "h0")
+    await wait_for_state(rig, "h0", "out")
+    await finish(rig, "h0")
 
 
-async def a_lobby_server_dies_while_another_is_out(rig: Rig) -> None:
-    """The next step waits for it, by name."""
+async def lobby_server_fails_while_another_is_out(rig: Rig) -> None:
+    """The next ticket waits, and its status names the failed server."""
     assert rig.outside is not None
     await request(rig, "n0", "h0")
-    await stands(rig, "h0", "out")
+    await wait_for_state(rig, "h0", "out")
     rig.say("h1 is dead")
     dead = [rig.outside.relays[name, "h1"] for name in rig.names]
     for relay in dead:
         relay.die()
 
-    await unasked(rig, "n0", "h1")  # agents say it of themselves, some seconds later
+    await wait_until_out_unplanned(rig, "n0", "h1")  # the agents report it some seconds later
     await request(rig, "n1", "n1")
     await rig.ask("n0", "work-ready h0")
-    await stands(rig, "h0", "done")
-    await stands(rig, "n1", "waiting", words="h1 of zone east is out")
+    await wait_for_state(rig, "h0", "done")
+    await wait_for_state(rig, "n1", "waiting", text="h1 of zone east is out")
     assert all(relay.record["dead"] for relay in dead)
     for relay in dead:
         await relay.live()
-    await stands(rig, "n1", "out")
-    await done(rig, "n1")
+    await wait_for_state(rig, "n1", "out")
+    await finish(rig, "n1")
 
 
-async def load_past_the_margin(rig: Rig) -> None:
+async def load_exceeds_the_remaining_capacity(rig: Rig) -> None:
     async def measured() -> bool:
         return float((await status(rig, "n0"))[-2].split()[1]) > 1.0
 
     await rig.until("the load is in the log", measured)
     await rig.ask("n0", "work-limits share_calls=0.001")
     await request(rig, "n1", "h0")
-    await stands(rig, "h0", "waiting", words="what is left carries")
-    await more(rig)
+    await wait_for_state(rig, "h0", "waiting", text="what is left carries")
+    await wait_for_answers(rig)
     await rig.ask("n2", "work-limits share_calls=100000")
-    await stands(rig, "h0", "out")
-    await done(rig, "h0")
+    await wait_for_state(rig, "h0", "out")
+    await finish(rig, "h0")
 
 
-async def a_client_that_never_pauses(rig: Rig) -> None:
-    """It is served on for `drain_ms` and then refused: the machine goes all the same."""
+async def client_that_never_pauses(rig: Rig) -> None:
+    """The client is served for `drain_ms` and then refused, so that the machine goes out all the same."""
     assert rig.outside is not None
     await rig.ask("n0", "work-limits drain_ms=1000")
     rig.outside.callers[1].heeds = False
     await request(rig, "n0", "n1")
-    await stands(rig, "n1", "out")
+    await wait_for_state(rig, "n1", "out")
     refused = rig.outside.books.refused
 
     async def still_refused() -> bool:
@@ -266,14 +272,14 @@
 
     await rig.until("it asks on, and is refused", still_refused)
     assert (await rig.ask("n1", "ready"))[0] == "ERR no: turning away"
-    await done(rig, "n1")
+    await finish(rig, "n1")
 
 
-async def a_zone_cut_off_in_the_middle_of_its_own_plan(rig: Rig) -> None:
-    """Its first machine is out and touched when the zone loses the others: nobody leads, nothing goes on.
-    With its machine back the zone has the majority, but what is dead to it counts as out."""
+async def zone_partitioned_during_its_own_maintenance(rig: Rig) -> None:
+    """The zone's first machine is out when the zone is cut off: there is no leader, and the plan stops.
+    With its machine back the zone has the majority, but the machines it can't reach count as out."""
     await rig.ask("n0", "work-request zone=z0 takes=1h who=ann why=a move")
-    await stands(rig, "n0", "out")
+    await wait_for_state(rig, "n0", "out")
     rig.apart(["n0", "n2"])
     await rig.kill("n0")
 
@@ -282,45 +288,45 @@
         return all(lines and "no leader is heard" in lines[0] for lines in said)
 
     await rig.until("both sides say that nothing goes on", nobody_leads)
-    await more(rig)
+    await wait_for_answers(rig)
     await rig.start("n0")
     await rig.leader(["n0", "n2"])
-    await unasked(rig, "n2", "n1")
+    await wait_until_out_unplanned(rig, "n2", "n1")
     await rig.ask("n2", "work-ready n0")
-    await stands(rig, "n2", "waiting", ["n0", "n2"], "n1 of zone z1 is out")
+    await wait_for_state(rig, "n2", "waiting", ["n0", "n2"], "n1 of zone z1 is out")
     assert rig.injected("cut")
     rig.heal()
-    await stands(rig, "n0", "done")
-    await stands(rig, "n2", "out")
-    await done(rig, "n2")
+    await wait_for_state(rig, "n0", "done")
+    await wait_for_state(rig, "n2", "out")
+    await finish(rig, "n2")
 
 
-async def a_hold_that_one_agent_can_not_hear(rig: Rig) -> None:
-    """Cut one way: what it says arrives, the hold does not come to it. It calls the server on."""
+async def one_way_partition_hides_a_drain(rig: Rig) -> None:
+    """An agent can send but not receive: it doesn't learn of the drain, and goes on calling the server."""
     leader = await rig.leader()
-    deaf = next(name for name in rig.names if name != leader)
+    receives_nothing = next(name for name in rig.names if name != leader)
     for other in rig.names:
-        if other != deaf:
-            rig.cut(other, deaf)
+        if other != receives_nothing:
+            rig.cut(other, receives_nothing)
     await request(rig, leader, "h0")
-    others = [name for name in rig.names if name != deaf]
-    await stands(rig, "h0", "going", others, f"waits for {deaf}")
-    await more(rig)
+    others = [name for name in rig.names if name != receives_nothing]
+    await wait_for_state(rig, "h0", "going", others, f"waits for {receives_nothing}")
+    await wait_for_answers(rig)
     assert rig.injected("cut")
     rig.heal()
-    await stands(rig, "h0", "out")
-    await done(rig, "h0")
+    await wait_for_state(rig, "h0", "out")
+    await finish(rig, "h0")
 
 
-async def two_plans_for_one_machine_and_the_leader_dies(rig: Rig) -> None:
+async def concurrent_requests_and_the_leader_killed(rig: Rig) -> None:
     leader = await rig.leader()
     first, second = (name for name in rig.names if name != leader)
     await asyncio.gather(request(rig, leader, "h0"), request(rig, first, "h0,h1"), request(rig, second, "h0"))
     await rig.kill(leader)
     await rig.leader([first, second])
     await rig.start(leader)
-    await request(rig, first, "h0")  # one at least is in the log
-    await stands(rig, "h0", "refused")
+    await request(rig, first, "h0")  # so that at least one is in the log
+    await wait_for_state(rig, "h0", "refused")
     shown = [
         [line.split(None, 3)[:4] for line in await status(rig, name) if line[:1].isdigit()]
         for name in rig.names
@@ -330,37 +336,37 @@
     ), shown
 
     async def all_done() -> bool:
-        await any_ready(rig)
+        await report_ready(rig)
         lines = [line.split(None, 3) for line in await status(rig, "n0") if line[:1].isdigit()]
         return all(line[3].startswith(("done", "refused")) for line in lines)
 
     await rig.until("one ticket is done, the others are refused", all_done)
 
 
-async def confirmed_and_back_with_an_older_memory(rig: Rig) -> None:
-    """One has confirmed, dies with its disk and comes back: its word is asked for anew."""
+async def agent_confirms_and_restarts_without_its_disk(rig: Rig) -> None:
+    """An agent that has confirmed is killed and loses its disk: its confirmation is needed again."""
     rig.freeze("n2")
     await request(rig, "n0", "h0")
-    await stands(rig, "h0", "going", ["n0", "n1", "n3"], "waits for n2")
+    await wait_for_state(rig, "h0", "going", ["n0", "n1", "n3"], "waits for n2")
 
     async def only_it() -> bool:
         return any("waits for n2" in line and "n3" not in line for line in await status(rig, "n0"))
 
     await rig.until("the others have confirmed", only_it)
     await rig.kill("n3", disk=False)
-    rig.links_cut("n3")  # it is seen as another process, and can neither read the log nor say a word
+    rig.links_cut("n3")  # known as a new process, it can neither read the log nor propose
     await rig.start("n3")
-    await stands(rig, "h0", "going", ["n0", "n1"], "waits for n2, n3")
+    await wait_for_state(rig, "h0", "going", ["n0", "n1"], "waits for n2, n3")
     rig.wake("n2")
-    await stands(rig, "h0", "going", ["n0", "n1", "n2"], "waits for n3")
+    await wait_for_state(rig, "h0", "going", ["n0", "n1", "n2"], "waits for n3")
     assert rig.injected("cut")
     rig.heal()
-    await stands(rig, "h0", "out")
-    await done(rig, "h0")
+    await wait_for_state(rig, "h0", "out")
+    await finish(rig, "h0")
 
 
-async def drawn(rig: Rig) -> None:
-    """Kills, stalls and cuts drawn from a seed while four machines are to go out."""
+async def random_faults(rig: Rig) -> None:
+    """Seeded random kills, stalls and partitions while four machines are to go out."""
     chance, down = random.Random(rig.seed), set[str]()
     await request(rig, "n0", "h0,n1,h1,n2")
     for _ in range(10):
@@ -380,7 +386,7 @@
                 for each in down:
                     await rig.start(each)
                 down.clear()
-                await any_ready(rig)
+                await report_ready(rig)
         await asyncio.sleep(chance.uniform(0.0, 1.0))
     rig.heal()
     for each in down:
@@ -388,16 +394,16 @@
 
     async def all_done() -> bool:
         assert rig.outside is not None
-        for lobby in rig.outside.lobbies:  # calls that their clients have forgotten come to their end
+        for lobby in rig.outside.lobbies:  # end calls that their clients no longer know of
             for call in [call for call, how in lobby.held.items() if how == "stands"]:
                 lobby.end(call)
-        await any_ready(rig)
+        await report_ready(rig)
         return sum(" done: " in line for line in await status(rig, "n0")) == 4
 
     await rig.until("all four are done", all_done)
 
 
-async def any_ready(rig: Rig) -> None:
+async def report_ready(rig: Rig) -> None:
     for line in await status(rig, "n0"):
         if " out: may be touched" in line:
             await rig.ask("n0", f"work-ready {line.split()[1]}")
@@ -407,7 +413,7 @@
     return (await rig.ask(name, "ready"))[:1] == ["OK yes"]
 
 
-async def more(rig: Rig, count: int = 20) -> None:
+async def wait_for_answers(rig: Rig, count: int = 20) -> None:
     assert rig.outside is not None
     books, before = rig.outside.books, rig.outside.books.answers
 
@@ -417,25 +423,30 @@
     await rig.until(f"{count} answers more", answered)
 
 
-def tickets(rig: Rig, most: int) -> list[tuple[int, int, str, str]]:
-    """One order at all agents, never more out than allowed; returns it."""
-    whole: dict[tuple[int, int], tuple[str, str]] = {}
+def check_tickets(rig: Rig, most: int) -> list[tuple[int, int, str, str]]:
+    """Checks that all agents record the same ticket events and never more machines out than `most`.
+
+    Returns the events in order, as (index, number, machine, state).
+    """
+    events: dict[tuple[int, int], tuple[str, str]] = {}
     for name in rig.names:
         for line in rig.records(name):
             if line["event"] == "ticket":
-                told = (line["machine"], line["state"])
+                event = (line["machine"], line["state"])
                 key = (line["index"], line["number"])
-                assert whole.setdefault(key, told) == told, f"agents differ at {key}: {rig.history}"
+                assert events.setdefault(key, event) == event, f"agents differ at {key}: {rig.history}"
     state: dict[int, str] = {}
-    order = [(*key, *told) for key, told in sorted(whole.items())]
+    order = [(*key, *event) for key, event in sorted(events.items())]
     for index in sorted({entry[0] for entry in order}):
         state.update({number: to for at, number, _, to in order if at == index})
-        assert sum(each in AWAY for each in state.values()) <= most, f"too many out at {index}: {order}"
+        assert sum(each in OUT_OF_SERVICE_STATES for each in state.values()) <= most, (
+            f"too many out at {index}: {order}"
+        )
     return order
 
 
-def untouched(rig: Rig) -> None:
-    """No attempt came to a server between `may be touched`, as any agent said first, and its return."""
+def check_no_calls_while_out(rig: Rig) -> None:
+    """Checks that no set-up reached a server from the first record of its ticket as out until its return."""
     assert rig.outside is not None
     first: dict[tuple[int, str, str], float] = {}
     forced = set[int]()
@@ -453,38 +464,38 @@
                 for at, server, call in rig.outside.books.set_ups
                 if server.endswith(f".{machine}") and since < at < until
             ]
-            assert not came, f"{machine} was called while it might be touched: {came}; {rig.history}"
-
-
-HISTORIES: dict[str, History] = {
-    history.__name__: history
-    for history in (
-        a_lobby_server_out_and_back,
-        an_agent_out_and_started_anew,
-        the_leader_is_the_machine_whose_turn_it_is,
-        one_that_is_cut_off_holds_the_word_back_by_name,
-        forced_by_staff,
-        killed_in_mid_drain,
-        overdue_halts_the_plan,
-        two_staff_at_two_doors,
-        the_majority_lost_with_a_server_out,
-        one_that_stalls_while_a_server_goes,
+            assert not came, f"{machine} received calls while out: {came}; {rig.history}"
+
+
+SCENARIOS: dict[str, Scenario] = {
+    scenario.__name__: scenario
+    for scenario in (
+        lobby_server_out_and_back,
+        agent_out_and_restarted,
+        leader_taken_out,
+        partitioned_agent_delays_a_drain,
+        drain_forced_by_an_operator,
+        agent_killed_while_draining,
+        overdue_machine_stops_the_plan,
+        concurrent_requests_at_all_agents,
+        majority_lost_with_a_server_out,
+        agent_stalls_while_a_server_drains,
         never_two_zones_at_a_time,
-        cancelled_held_and_gone_on,
-        a_lobby_server_dies_while_another_is_out,
-        load_past_the_margin,
-        a_client_that_never_pauses,
-        a_zone_cut_off_in_the_middle_of_its_own_plan,
-        a_hold_that_one_agent_can_not_hear,
-        two_plans_for_one_machine_and_the_leader_dies,
-        confirmed_and_back_with_an_older_memory,
-        drawn,
+        hold_cancel_and_go_on,
+        lobby_server_fails_while_another_is_out,
+        load_exceeds_the_remaining_capacity,
+        client_that_never_pauses,
+        zone_partitioned_during_its_own_maintenance,
+        one_way_partition_hides_a_drain,
+        concurrent_requests_and_the_leader_killed,
+        agent_confirms_and_restarts_without_its_disk,
+        random_faults,
     )
 }
-AGENTS = {"confirmed_and_back_with_an_older_memory": 4}  # else three; three vote
+AGENTS = {"agent_confirms_and_restarts_without_its_disk": 4}  # other scenarios have three; three are voters
 
 
-async def played(folder: pathlib.Path, name: str, seed: int) -> None:
+async def run_scenario(folder: pathlib.Path, name: str, seed: int) -> None:
     (folder / name).mkdir()
     outside = Outside(1)
     async with Rig(
@@ -502,9 +513,9 @@
                 return bool(lines) and not any("out unasked" in line for line in lines)
 
             await rig.until("the log has all up", all_known)
-            await more(rig)
-            await HISTORIES[name](rig)
-            await more(rig)
+            await wait_for_answers(rig)
+            await SCENARIOS[name](rig)
+            await wait_for_answers(rig)
             for each in rig.names:
                 await rig.until(f"{each} serves", lambda each=each: serves(rig, each))  # type: ignore[misc]
             await quiet(outside.callers)
@@ -513,18 +524,18 @@
             await rig.note("n0")
             await rig.together(1)
             await rig.check()
-            order = tickets(rig, 3 if name == "never_two_zones_at_a_time" else 1)
+            order = check_tickets(rig, 3 if name == "never_two_zones_at_a_time" else 1)
             assert any(state == "out" for _, _, _, state in order)
-            untouched(rig)
+            check_no_calls_while_out(rig)
         except AssertionError as problem:
             raise AssertionError(f"{name}, seed {seed}: {problem}; history: {rig.history}") from None
 
 
 @pytest.mark.parametrize(
-    "names", [tuple(HISTORIES)[at : at + 7] for at in (0, 7, 14)], ids=["first", "second", "third"]
+    "names", [tuple(SCENARIOS)[at : at + 7] for at in (0, 7, 14)], ids=["first", "second", "third"]
 )
 def test_work_on_machines_of_real_processes(names: tuple[str, ...], tmp_path: pathlib.Path) -> None:
     async def all_of_them() -> None:
-        await asyncio.gather(*(played(tmp_path, name, 1) for name in names))
+        await asyncio.gather(*(run_scenario(tmp_path, name, 1) for name in names))
 
     asyncio.run(all_of_them())
