--- a/frostport/fleet_maintenance.py
+++ b/frostport/fleet_maintenance.py
@@ -92,6 +92,7 @@
         self.agent = agent
 
     def start(self) -> None:
+        """Starts catching up with the log, and reconciling; called once `attach` has been."""
         fleet = self.fleet
         self.reconciler = Reconciler(
             fleet.config.agent, fleet.swim.info.life, fleet.clock.now(), fleet.whole, fleet.config.work
@@ -165,9 +166,8 @@
             )
         match action:
             case ProposeCommand(command):
-                if (
-                    self.disk_plan is None and self.fleet.raft.leader
-                ):  # without a leader proposals would queue up here
+                # Without a leader proposals would queue up here.
+                if self.disk_plan is None and self.fleet.raft.leader:
                     self._propose(command)
                 return False
             case Serve() | Resume() | Drain() | TurnAway():
--- a/frostport/maintenance/plan.py
+++ b/frostport/maintenance/plan.py
@@ -97,6 +97,8 @@
 
 
 class PlanSnapshot(msgspec.Struct, array_like=True):
+    """The state of a plan, as the agreed log's snapshots hold it."""
+
     now_ms: float
     limits: Limits
     held_by: str
@@ -153,6 +155,7 @@
     # Commands
 
     def apply(self, index: int, term: int, command: Command) -> None:
+        """Applies the command of the log entry at `index`, which a leader of `term` has appended."""
         match command:
             case Limits():
                 self.limits, self.limits_set = command, True
