--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -176,7 +176,7 @@
             if self.starting is not None:
                 also.update(self.starting.operations())
             if self.fleet is not None:
-                asked.why_kept_out = self.fleet.work.kept
+                asked.why_kept_out = self.fleet.work.held_reason
             self.door = OperatorPort({**asked.operations(), **also}, self.clock, self.deadlines)
             host, port = split(self.config.operator)
             self.reactor.listenTCP(port, self.door, interface=host)
@@ -189,7 +189,7 @@
             self.starting.join(self)
         self.side.start()
         if self.fleet is not None:
-            self.fleet.work.join(self)
+            self.fleet.work.attach(self)
             self.fleet.start()
         if self.starting is not None:
             self.starting.start()
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -29,6 +29,7 @@
 from frostport.core.clock import MonotonicClock
 from frostport.core.deadlines import Deadline, Deadlines
 from frostport.deadline_runner import DeadlineRunner
+from frostport.fleet_maintenance import FleetMaintenance
 from frostport.membership import events as swim_events
 from frostport.membership.messages import Info, Message, State, Update
 from frostport.membership.settings import Settings as SwimSettings
@@ -43,7 +44,6 @@
 from frostport.store.engine import Engine, Limits
 from frostport.store.errors import StoreError
 from frostport.store.files import DiskFolder
-from frostport.work import Work
 
 log = logging.getLogger("frostport.fleet")
 
@@ -94,7 +94,7 @@
                 config.agent, disk_id, config.voters, RaftSettings(), rng, records, self.clock.now()
             )
             self.state_machine = StateMachine()
-            self.work = Work(self, records)
+            self.work = FleetMaintenance(self, records)
             self.applier = Applier(
                 self.state_machine, self.raft.log.snapshot_meta.index, self.raft.log.snapshot
             )
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -53,7 +53,7 @@
     "handover": 6,
     "fleet": 6,
     "deadline_runner": 6,
-    "work": 6,
+    "fleet_maintenance": 6,
     "cli": 7,
     "__main__": 8,
 }
@@ -70,7 +70,7 @@
     ("agent", "fleet"),
     ("agent", "deadline_runner"),
     ("fleet", "deadline_runner"),
-    ("fleet", "work"),
+    ("fleet", "fleet_maintenance"),
     ("config", "config_startup"),
     ("config_startup", "config"),
     ("agent", "starting"),
@@ -82,7 +82,7 @@
     ("agent", "diameter_side"),
     ("diameter_side", "platform_side"),
     ("handover", "durability"),
-    ("work", "fleet"),  # only for types
+    ("fleet_maintenance", "fleet"),  # only for types
     ("cli", "cli"),
 }
 # Libraries and modules that a package must not import.
