--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -75,7 +75,7 @@
         while time.perf_counter() < end:
             engine.append([call_record((count + at) % 5000) for at in range(batch)])
             engine.sync()
-            engine.tidy()
+            engine.run_background_step()
             count += batch
         engine.close()
         return count / seconds
@@ -126,7 +126,7 @@
             engine = Engine.open(DiskFolder(path))
             for at in range(0, history, 200):
                 engine.append([call_record((at + number) % live) for number in range(200)])
-                while engine.tidy():
+                while engine.run_background_step():
                     pass
             engine.sync()
             size = engine.total_bytes
@@ -154,14 +154,14 @@
 
 
 def stall() -> None:
-    sys.setswitchinterval(ThreadWorker.SWITCH_S)  # as where a store is set
+    sys.setswitchinterval(ThreadWorker.SWITCH_INTERVAL_S)  # as where a store is set
     for live in (1000, 100_000):
         with tempfile.TemporaryDirectory(dir=ROOT) as folder:
             engine = Engine.open(DiskFolder(pathlib.Path(folder)))
             for at in range(0, live, 200):
                 engine.append([call_record(at + number) for number in range(200)])
             engine.sync()
-            while engine.tidy():
+            while engine.run_background_step():
                 pass
             stop = threading.Event()
 
@@ -179,7 +179,7 @@
                     oldest += 16
                     engine.sync()
                     for _ in range(3):
-                        engine.tidy()
+                        engine.run_background_step()
 
             rest = longest_turns(3.0)
             before = engine.cleaned
--- a/frostport/cli/store.py
+++ b/frostport/cli/store.py
@@ -1,4 +1,6 @@
-"""The `store` commands: what is wrong is one line with file and offset, and exit 2."""
+"""The `store` sub-commands. An error is one line on standard error with file and offset, and exit status
+2.
+"""
 
 from __future__ import annotations
 
@@ -13,32 +15,36 @@
 from frostport.store.errors import StoreError
 
 
-def run(given: argparse.Namespace) -> int:
+def run(arguments: argparse.Namespace) -> int:
+    """Runs the chosen sub-command; returns the exit status."""
     try:
-        match given.what:
+        match arguments.what:
             case "verify":
-                print(told(tools.verify(given.folder)))
+                print(format_summary(tools.verify(arguments.folder)))
             case "dump":
-                for key, value in tools.dump(given.folder):
-                    print(line(key, value))
+                for key, value in tools.dump(arguments.folder):
+                    print(format_record(key, value))
             case "backup":
-                print(told(tools.backup(given.folder, given.target)))
+                print(format_summary(tools.backup(arguments.folder, arguments.target)))
             case "compact":
-                before, after = tools.compact(given.folder)
+                before, after = tools.compact(arguments.folder)
                 print(f"{before} bytes before, {after} after")
             case "repair":
-                dropped = tools.repair(given.folder)
+                dropped = tools.repair(arguments.folder)
                 print("\n".join(dropped) or "sound: nothing was changed")
     except (StoreError, records.BadRecordError) as problem:
         print(f"frostport: store: {problem}", file=sys.stderr)
         return 2
     except OSError as problem:
-        print(f"frostport: store: {problem.filename or given.folder}: {problem.strerror}", file=sys.stderr)
+        print(
+            f"frostport: store: {problem.filename or arguments.folder}: {problem.strerror}", file=sys.stderr
+        )
         return 2
     return 0
 
 
-def told(found: tools.Verified) -> str:
+def format_summary(found: tools.VerifyResult) -> str:
+    """Formats the summary of a sound store as one line."""
     return (
         f"sound: {found.records} records, {found.live_bytes} bytes live of {found.log_bytes} in "
         f"{found.segments} segments, {found.acknowledged} of {found.sequence} acknowledged, "
@@ -46,8 +52,8 @@
     )
 
 
-def line(key: str, value: bytes) -> str:
-    """One record as JSON: its key, its kind and its fields; bytes as hexadecimal digits."""
+def format_record(key: str, value: bytes) -> str:
+    """Formats one record as JSON: its key, its kind and its fields, with bytes as hexadecimal digits."""
     record = records.decode(key, value)[2]
     fields = {
         name: item.hex() if isinstance(item, bytes) else item
--- a/frostport/durability.py
+++ b/frostport/durability.py
@@ -115,11 +115,11 @@
         )
         self.recorder = StoreRecorder(self.committer, agent.clock, Trouble(self.config.on_failure))
         self.recorder.room = self._has_room
-        self.committer.changed = self._changed
+        self.committer.on_state_change = self._changed
         agent.broker.recorder = agent.broker.budgets.recorder = self.recorder
 
     def _has_room(self) -> bool:
-        return self.committer is None or not self.committer.full
+        return self.committer is None or not self.committer.nearly_full
 
     def _changed(self, state: committer.State, why: str) -> None:
         if self.recorder is not None:
@@ -181,7 +181,7 @@
         return {
             "state": at.state.value if at is not None else "joining",
             "failure": engine.failure,
-            "records": len(engine.places),
+            "records": len(engine.locations),
             "live_bytes": engine.live_bytes,
             "log_bytes": engine.total_bytes,
             "segments": len(engine.segments),
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -122,7 +122,7 @@
         self.committer = Committer(
             self.engine, ThreadWorker(self.reactor.callFromThread), self.clock, self.deadlines
         )
-        self.committer.changed = self._store_changed
+        self.committer.on_state_change = self._store_changed
         self.committer.write(self.first_records)
         host, port = split(self.config.gossip)
         self.ports.append(self.reactor.listenUDP(port, self.gossip, interface=host))
--- a/frostport/handover.py
+++ b/frostport/handover.py
@@ -29,7 +29,7 @@
 from frostport.store.engine import Engine, Limits
 from frostport.store.errors import LockedError, StoreError
 from frostport.store.files import DiskFolder
-from frostport.store.follow import Follower
+from frostport.store.follower import Follower
 from frostport.store.recovery import MANIFEST_NAME
 
 if TYPE_CHECKING:
@@ -55,7 +55,7 @@
     The folder and its lock stay: guards against a process that waits for the lock of a removed file."""
     folder.remove(MANIFEST_NAME)
     folder.sync()
-    for name in folder.names() - {folder.LOCK}:
+    for name in folder.names() - {folder.LOCK_NAME}:
         folder.remove(name)
 
 
--- a/frostport/store/__init__.py
+++ b/frostport/store/__init__.py
@@ -1,4 +1,5 @@
-"""The embedded store: a segmented log, an index over it, compaction and recovery. It knows nothing of calls.
+"""The embedded store: a segmented log with an index, compaction and crash recovery. It holds opaque
+records and depends on nothing of the call agent but its clock and deadlines.
 
-Imported only where a configuration names a store.
+Imported only when the configuration names a store.
 """
--- a/frostport/store/committer.py
+++ b/frostport/store/committer.py
@@ -1,10 +1,11 @@
-"""Group commit: what one turn writes is made durable together, on a thread of its own.
-
-The reactor's side only fills a queue and hears back. The states say how far the store can be trusted:
-OPEN; STALLED, a commit takes longer than `stall_ms` (a hanging disk); FAILED, until what changed since has
-been written on top of what was durable, tried again at growing gaps. What changes while it has failed is kept
-as the newest value of each key, up to a limit; past it, or where the log itself is damaged, a restart is
-needed.
+"""Group commit: all changes written in one turn of the reactor are made durable together, on a separate
+thread.
+
+The reactor's side only fills a queue and runs callbacks. The state says how far the store can be trusted.
+OPEN: it works. STALLED: a commit takes longer than `stall_ms` because the disk hangs. FAILED: a write or
+sync failed; the committer retries with a growing delay until all changes since the last durable record are
+written on top of it. While the store is failed, the newest value of each changed key is kept in memory, up
+to a limit. Past that limit, or if the log itself is damaged, only a restart recovers the store.
 """
 
 from __future__ import annotations
@@ -27,22 +28,24 @@
 
 log = logging.getLogger("frostport.store")
 
-BATCH = 512  # changes after which a batch ends; what was written in one call stays together
-NEARLY_FULL = 0.9  # of `store_bytes`: no new call is taken above this
-PENDING_MOST = 100_000  # changes that wait for a disk that hangs; past it the store has failed
-KEPT_MOST = 200_000  # keys kept for a store that has failed; past it only a restart helps
-RETRY_MS, RETRY_MOST_MS = 1000.0, 30_000.0  # between tries to write again
-CHANGES_A_STEP = 16  # one step of cleaning or checkpoint for so many changes, and one for each commit
+# A batch ends after so many changes; the changes of one call to `write` stay together.
+MAX_BATCH_CHANGES = 512
+NEARLY_FULL_RATIO = 0.9  # of `store_bytes`; above it no new call is accepted
+MAX_QUEUED_CHANGES = 100_000  # changes queued behind a hanging disk; past it the store is failed
+MAX_UNWRITTEN_KEYS = 200_000  # keys kept in memory while the store is failed; past it only a restart helps
+RETRY_MS, MAX_RETRY_MS = 1000.0, 30_000.0  # delay before the first and at most before any retry
+# After a commit, one background step runs, and one more for each so many changes in it.
+CHANGES_PER_BACKGROUND_STEP = 16
 
-Done = Callable[[], object]
+Callback = Callable[[], object]
 
 
 class Durability(Enum):
     """When a change counts as written."""
 
-    ALWAYS = "always"  # once it is synced
-    INTERVAL = "interval"  # at once; synced every so often
-    NONE = "none"  # at once; synced when a segment is full, and at the end
+    ALWAYS = "always"  # once synced
+    INTERVAL = "interval"  # at once; synced every `interval_ms`
+    NONE = "none"  # at once; synced when a segment is full and at the end
 
 
 class State(Enum):
@@ -55,56 +58,59 @@
 
 
 class Worker(Protocol):
-    """Runs jobs one after the other, away from the caller."""
+    """Runs jobs one after the other, off the caller's thread."""
 
     def submit(self, job: Callable[[], Callable[[], None]]) -> None:
-        """Runs `job`; what it returns runs on the caller's side."""
+        """Runs `job`, then what it returns on the caller's thread."""
 
     def finish(self) -> None:
-        """Waits for what was submitted, up to a bounded time."""
+        """Waits for all submitted jobs, for a bounded time."""
 
 
 class ThreadWorker:
-    """One thread; results come back through the reactor's `callFromThread`."""
+    """A worker with one thread; results return through the reactor's `callFromThread`."""
 
-    FINISH_S = 5.0
-    SWITCH_S = 0.0005
+    JOIN_TIMEOUT_S = 5.0
+    SWITCH_INTERVAL_S = 0.0005
 
     def __init__(self, call: Callable[[Callable[[], None]], object]) -> None:
-        # Guards the reactor's turns against waiting for the interpreter as long as Python lets a thread have
-        # it.
-        sys.setswitchinterval(self.SWITCH_S)
-        self._call = call
+        # By default a thread may hold the interpreter for 5 ms, for which the reactor would wait.
+        sys.setswitchinterval(self.SWITCH_INTERVAL_S)
+        self._call_in_reactor = call
         self._jobs: queue.SimpleQueue[Callable[[], Callable[[], None]] | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
 
     def _run(self) -> None:
         while (job := self._jobs.get()) is not None:
-            self._call(job())
+            self._call_in_reactor(job())
 
     def submit(self, job: Callable[[], Callable[[], None]]) -> None:
         self._jobs.put(job)
 
     def finish(self) -> None:
-        # Guards the program's end against a disk that hangs: the thread is left behind.
+        # The thread is abandoned if the disk hangs, so that the process can end.
         self._jobs.put(None)
-        self._thread.join(self.FINISH_S)
+        self._thread.join(self.JOIN_TIMEOUT_S)
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """What a commit came to; `failure` where it failed, `rejected` where a limit kept its batch out."""
+class CommitResult:
+    """The result of a job. `failure`: why it failed. `rejected`: the limit for which its batch was not
+    written."""
 
     failure: str | None = None
     rejected: str | None = None
-    more: bool = False  # there is more to tidy
-    written: int = 0  # the last record
-    synced: int = 0  # the last durable one
+    more_work: bool = False  # there is background work left
+    written: int = 0  # sequence number of the last record
+    synced: int = 0  # sequence number of the last durable record
 
 
 class Committer:
-    """Owns the engine once it is open. Called on the reactor's side only."""
+    """Owns the engine once it is open. Called on the reactor's thread only.
+
+    `on_state_change` is called with each new state and the reason; `nearly_full` is set while the live
+    data is close to the size limit."""
 
     def __init__(
         self,
@@ -119,224 +125,243 @@
         self.engine, self.worker, self.clock, self.deadlines = engine, worker, clock, deadlines
         self.durability, self.interval_ms, self.stall_ms = durability, interval_ms, stall_ms
         self.state = State.OPEN
-        self.changed: Callable[[State, str], None] = lambda state, why: None
+        self.on_state_change: Callable[[State, str], None] = lambda state, reason: None
         self.commits = self.written = 0
-        self.full = False
-        self._groups: list[Sequence[Change]] = []
-        self._count = 0  # changes in them
-        self._waiting: list[Done] = []
-        self._flush: Deadline | None = None
-        self._running: list[Done] | None = None  # who waits for the commit under way
-        self._began = 0.0
-        self._watch: Deadline | None = None
+        self.nearly_full = False
+        self._queued_groups: list[Sequence[Change]] = []
+        self._queued_changes = 0  # number of changes in them
+        self._queued_callbacks: list[Callback] = []
+        self._flush_timer: Deadline | None = None
+        # of the commit under way; None if there is none
+        self._running_callbacks: list[Callback] | None = None
+        self._commit_started_at = 0.0
+        self._stall_timer: Deadline | None = None
         self._unsynced = False
-        self._tidying = False
-        self._writing: list[Sequence[Change]] = []  # in the commit under way
-        self._unsure: deque[tuple[int, list[Sequence[Change]]]] = deque()  # written, not synced; last record
-        self._kept: dict[str, bytes | None] = {}  # what changed while the store has failed
-        self._lost = ""  # why only a restart helps
+        self._background_running = False
+        self._running_groups: list[Sequence[Change]] = []  # in the commit under way
+        # Written but not synced, each with the sequence number of its last record.
+        self._unsynced_groups: deque[tuple[int, list[Sequence[Change]]]] = deque()
+        # newest value of each key changed while the store is failed
+        self._unwritten: dict[str, bytes | None] = {}
+        self._unrecoverable_reason = ""  # why only a restart helps; empty if it does not take one
         self._retry_ms = RETRY_MS
-        self._retry: Deadline | None = None
-
-    def write(self, changes: Sequence[Change], then: Done | None = None) -> None:
-        """Records changes; `then` runs once they count as written, or at once where the store can't be used.
-
-        In order: what was written before is written, and heard of, before."""
-        at_once = not changes and self._running is None and not self._groups and not self._waiting
-        if self.state in (State.FAILED, State.CLOSED) or at_once:
+        self._retry_timer: Deadline | None = None
+
+    def write(self, changes: Sequence[Change], on_written: Callback | None = None) -> None:
+        """Queues changes; `on_written` runs once they count as written, or at once if the store can't be
+        used.
+
+        Changes are written, and their callbacks run, in the order of the calls."""
+        nothing_pending = (
+            not changes
+            and self._running_callbacks is None
+            and not self._queued_groups
+            and not self._queued_callbacks
+        )
+        if self.state in (State.FAILED, State.CLOSED) or nothing_pending:
             if self.state is State.FAILED:
-                self._keep(changes)
-            if then is not None:
-                then()
+                self._add_unwritten(changes)
+            if on_written is not None:
+                on_written()
             return
-        self._groups.append(changes)
-        self._count += len(changes)
-        if then is not None:
+        self._queued_groups.append(changes)
+        self._queued_changes += len(changes)
+        if on_written is not None:
             if self.durability is Durability.ALWAYS and self.state is State.OPEN:
-                self._waiting.append(then)
+                self._queued_callbacks.append(on_written)
             else:
-                then()
-        if self._count > PENDING_MOST:
-            self._fail(f"{self._count} changes wait for the disk")
-        elif self._flush is None and self._running is None:
-            self._flush = self.deadlines.set(self.clock.now(), self._start)
+                on_written()
+        if self._queued_changes > MAX_QUEUED_CHANGES:
+            self._fail(f"{self._queued_changes} changes wait for the disk")
+        elif self._flush_timer is None and self._running_callbacks is None:
+            self._flush_timer = self.deadlines.set(self.clock.now(), self._start_commit)
 
-    # A commit
+    # Commits
 
-    def _start(self) -> None:
-        self._flush = None
+    def _start_commit(self) -> None:
+        self._flush_timer = None
         if (
-            self._running is not None
+            self._running_callbacks is not None
             or self.state is State.FAILED
-            or not (self._groups or self._waiting or self._unsynced)
+            or not (self._queued_groups or self._queued_callbacks or self._unsynced)
         ):
             return
-        groups, count = self._take()
-        self._writing = groups
-        self._running, self._waiting = self._waiting, []
-        self._began = self.clock.now()
+        groups, count = self._take_queue()
+        self._running_groups = groups
+        self._running_callbacks, self._queued_callbacks = self._queued_callbacks, []
+        self._commit_started_at = self.clock.now()
         sync = self.durability is Durability.ALWAYS or (self.durability is Durability.INTERVAL and not groups)
         self._unsynced = bool(groups) and not sync
-        if self._watch is None:
-            self._watch = self.deadlines.set(self._began + self.stall_ms, self._stalled)
+        if self._stall_timer is None:
+            self._stall_timer = self.deadlines.set(self._commit_started_at + self.stall_ms, self._on_stall)
 
         def job() -> Callable[[], None]:
             outcome = commit(self.engine, groups, sync)
-            return lambda: self._finished(outcome, count)
+            return lambda: self._on_commit_done(outcome, count)
 
         self.worker.submit(job)
 
-    def _take(self) -> tuple[list[Sequence[Change]], int]:
-        groups, count, self._groups, self._count = self._groups, self._count, [], 0
+    def _take_queue(self) -> tuple[list[Sequence[Change]], int]:
+        groups, count, self._queued_groups, self._queued_changes = (
+            self._queued_groups,
+            self._queued_changes,
+            [],
+            0,
+        )
         return groups, count
 
-    def _tidy(self, steps: int) -> None:
-        """Cleans and checkpoints after a commit, so that its answers don't wait for it."""
-        if self._tidying or self.state in (State.FAILED, State.CLOSED):
+    def _start_background_work(self, steps: int) -> None:
+        """Cleans and checkpoints after a commit, so that the commit's callbacks don't wait for it."""
+        if self._background_running or self.state in (State.FAILED, State.CLOSED):
             return
-        self._tidying = True
+        self._background_running = True
 
         def job() -> Callable[[], None]:
-            outcome = tidy(self.engine, steps)
-            return lambda: self._tidied(outcome)
+            outcome = run_background_steps(self.engine, steps)
+            return lambda: self._on_background_done(outcome)
 
         self.worker.submit(job)
 
-    def _tidied(self, outcome: Outcome) -> None:
-        self._tidying = False
+    def _on_background_done(self, outcome: CommitResult) -> None:
+        self._background_running = False
         if self.state is State.CLOSED:
             return
         if outcome.failure is not None:
             self._fail(outcome.failure)
-        elif outcome.more and self._running is None:
-            self._tidy(1)
+        elif outcome.more_work and self._running_callbacks is None:
+            self._start_background_work(1)
 
-    def _finished(self, outcome: Outcome, count: int) -> None:
+    def _on_commit_done(self, outcome: CommitResult, count: int) -> None:
         if self.state is State.CLOSED:
             return
-        running, self._running = self._running or [], None
-        groups, self._writing = self._writing, []
-        if self._watch is not None:
-            self._watch.cancel()
-            self._watch = None
+        callbacks, self._running_callbacks = self._running_callbacks or [], None
+        groups, self._running_groups = self._running_groups, []
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
+            self._stall_timer = None
         self.commits, self.written = self.commits + 1, self.written + count
         if outcome.failure is not None:
-            self._waiting[:0] = running
-            self._writing = groups
+            self._queued_callbacks[:0] = callbacks
+            self._running_groups = groups
             self._fail(outcome.failure)
             return
         if groups and self.durability is not Durability.ALWAYS:
-            self._unsure.append((outcome.written, groups))
-        while self._unsure and self._unsure[0][0] <= outcome.synced:
-            self._unsure.popleft()
+            self._unsynced_groups.append((outcome.written, groups))
+        while self._unsynced_groups and self._unsynced_groups[0][0] <= outcome.synced:
+            self._unsynced_groups.popleft()
         if outcome.rejected is not None:
-            log.error("store: not recorded: %s", outcome.rejected)
-        self.full = self.engine.live_bytes > NEARLY_FULL * self.engine.limits.store_bytes
+            log.error("store: batch not written: %s", outcome.rejected)
+        self.nearly_full = self.engine.live_bytes > NEARLY_FULL_RATIO * self.engine.limits.store_bytes
         if self.state is State.STALLED:
-            self._enter(State.OPEN, "the disk answers again")
-        if outcome.more:
-            self._tidy(1 + count // CHANGES_A_STEP)
-        for done in running:
-            run(done)
-        if self._groups or self._waiting:
-            self._start()
-        elif self._unsynced and self.durability is Durability.INTERVAL and self._flush is None:
-            self._flush = self.deadlines.set(self.clock.now() + self.interval_ms, self._start)
-
-    # When the disk fails or hangs
-
-    def _stalled(self) -> None:
-        """Guards what was taken against a disk that hangs: its answers don't wait any longer."""
-        self._watch = None
-        if self._running is not None and self.state is State.OPEN:
-            self._enter(State.STALLED, f"a commit takes over {self.stall_ms:.0f} ms")
-            self._release()
-
-    def _fail(self, why: str) -> None:
+            self._set_state(State.OPEN, "the disk answers again")
+        if outcome.more_work:
+            self._start_background_work(1 + count // CHANGES_PER_BACKGROUND_STEP)
+        for callback in callbacks:
+            run_callback(callback)
+        if self._queued_groups or self._queued_callbacks:
+            self._start_commit()
+        elif self._unsynced and self.durability is Durability.INTERVAL and self._flush_timer is None:
+            self._flush_timer = self.deadlines.set(self.clock.now() + self.interval_ms, self._start_commit)
+
+    # Stalls and failures
+
+    def _on_stall(self) -> None:
+        """Runs the waiting callbacks although the disk hangs: calls must not wait any longer for it."""
+        self._stall_timer = None
+        if self._running_callbacks is not None and self.state is State.OPEN:
+            self._set_state(State.STALLED, f"a commit takes over {self.stall_ms:.0f} ms")
+            self._run_callbacks()
+
+    def _fail(self, reason: str) -> None:
         if self.state is not State.FAILED:
-            unsure = [group for _, groups in self._unsure for group in groups]
-            pending, _ = self._take()
-            self._enter(State.FAILED, why)
-            for group in (*unsure, *self._writing, *pending):
-                self._keep(group)
-            self._unsure.clear()
+            unsynced = [group for _, groups in self._unsynced_groups for group in groups]
+            pending, _ = self._take_queue()
+            self._set_state(State.FAILED, reason)
+            for group in (*unsynced, *self._running_groups, *pending):
+                self._add_unwritten(group)
+            self._unsynced_groups.clear()
             self._retry_ms = RETRY_MS
-            self._retry_later()
-        self._writing = []
-        self._release()
+            self._schedule_retry()
+        self._running_groups = []
+        self._run_callbacks()
 
-    # Going on after a failure
+    # Recovery from a failure
 
-    def _keep(self, changes: Sequence[Change]) -> None:
-        if self._lost:
+    def _add_unwritten(self, changes: Sequence[Change]) -> None:
+        if self._unrecoverable_reason:
             return
-        self._kept.update(changes)
-        if len(self._kept) > KEPT_MOST:
-            self._give_up(f"{len(self._kept)} records changed since it failed")
-
-    def _give_up(self, why: str) -> None:
-        self._kept, self._lost = {}, why
-        log.error("store: it can't go on without a restart: %s", why)
-
-    def _retry_later(self) -> None:
-        if self.state is State.FAILED and not self._lost:
-            self._retry = self.deadlines.set(self.clock.now() + self._retry_ms, self._revive)
-            self._retry_ms = min(2.0 * self._retry_ms, RETRY_MOST_MS)
-
-    def _revive(self) -> None:
-        """Tries to write what has changed since on top of what was durable."""
-        self._retry = None
-        if self.state is not State.FAILED or self._lost:
+        self._unwritten.update(changes)
+        if len(self._unwritten) > MAX_UNWRITTEN_KEYS:
+            self._stop_retrying(f"{len(self._unwritten)} records changed since it failed")
+
+    def _stop_retrying(self, reason: str) -> None:
+        self._unwritten, self._unrecoverable_reason = {}, reason
+        log.error("store: unusable until a restart: %s", reason)
+
+    def _schedule_retry(self) -> None:
+        if self.state is State.FAILED and not self._unrecoverable_reason:
+            self._retry_timer = self.deadlines.set(self.clock.now() + self._retry_ms, self._reopen_engine)
+            self._retry_ms = min(2.0 * self._retry_ms, MAX_RETRY_MS)
+
+    def _reopen_engine(self) -> None:
+        """Tries to write all changes since the failure on top of what was durable."""
+        self._retry_timer = None
+        if self.state is not State.FAILED or self._unrecoverable_reason:
             return
-        kept, self._kept = self._kept, {}
+        unwritten, self._unwritten = self._unwritten, {}
 
         def job() -> Callable[[], None]:
-            why, final = "", False
+            reason, permanent = "", False
             try:
-                self.engine = self.engine.revive(list(kept.items()))
+                self.engine = self.engine.reopen(list(unwritten.items()))
             except (DamagedError, UnknownFormatError, LimitError) as problem:
-                why, final = str(problem), True
+                reason, permanent = str(problem), True
             except OSError as problem:
-                why = str(problem)  # as full as before, say
+                reason = str(problem)  # for instance, the disk is still full
             except Exception as problem:
-                why = failure(self.engine, problem)
-            return lambda: self._revived(kept, why, final)
+                reason = record_failure(self.engine, problem)
+            return lambda: self._on_reopened(unwritten, reason, permanent)
 
         self.worker.submit(job)
 
-    def _revived(self, kept: dict[str, bytes | None], why: str, final: bool) -> None:
+    def _on_reopened(self, unwritten: dict[str, bytes | None], reason: str, permanent: bool) -> None:
         if self.state is not State.FAILED:
             return
-        since, self._kept = self._kept, {}
-        if final:
-            self._give_up(why)
-        elif why:
-            log.error("store: still failed: %s", why)
-            self._keep([*kept.items(), *since.items()])
-            self._retry_later()
+        changed_since, self._unwritten = self._unwritten, {}
+        if permanent:
+            self._stop_retrying(reason)
+        elif reason:
+            log.error("store: still failed, will retry: %s", reason)
+            self._add_unwritten([*unwritten.items(), *changed_since.items()])
+            self._schedule_retry()
         else:
-            self.written += len(kept)
-            self._enter(State.OPEN, f"{len(kept)} records that changed since it failed are written")
-            self.write(list(since.items()))
-
-    def _release(self) -> None:
-        running, self._running = self._running, None if self._running is None else []
-        waiting, self._waiting = [*(running or ()), *self._waiting], []
-        for done in waiting:
-            run(done)
-
-    def _enter(self, state: State, why: str) -> None:
+            self.written += len(unwritten)
+            self._set_state(State.OPEN, f"{len(unwritten)} records that changed since it failed are written")
+            self.write(list(changed_since.items()))
+
+    def _run_callbacks(self) -> None:
+        callbacks, self._running_callbacks = (
+            self._running_callbacks,
+            None if self._running_callbacks is None else [],
+        )
+        waiting, self._queued_callbacks = [*(callbacks or ()), *self._queued_callbacks], []
+        for callback in waiting:
+            run_callback(callback)
+
+    def _set_state(self, state: State, reason: str) -> None:
         self.state = state
-        log.log(logging.WARNING if state is State.OPEN else logging.ERROR, "store %s: %s", state.value, why)
-        self.changed(state, why)
+        log.log(
+            logging.WARNING if state is State.OPEN else logging.ERROR, "store %s: %s", state.value, reason
+        )
+        self.on_state_change(state, reason)
 
     def close(self) -> None:
-        """Writes what waits, closes the engine; waits for a bounded time."""
-        groups, _ = self._take()
+        """Writes what is queued and closes the engine; waits for a bounded time."""
+        groups, _ = self._take_queue()
         failed = self.state is State.FAILED
-        self._release()
+        self._run_callbacks()
         self.state = State.CLOSED
-        for deadline in (self._flush, self._watch, self._retry):
+        for deadline in (self._flush_timer, self._stall_timer, self._retry_timer):
             if deadline is not None:
                 deadline.cancel()
 
@@ -350,49 +375,57 @@
         self.worker.finish()
 
 
-def commit(engine: Engine, groups: Sequence[Sequence[Change]], sync: bool) -> Outcome:
-    """One commit; raises nothing."""
+def commit(engine: Engine, groups: Sequence[Sequence[Change]], sync: bool) -> CommitResult:
+    """Writes and, with `sync`, syncs queued changes on the worker's thread; raises nothing."""
     rejected = None
     try:
         batch: list[Change] = []
         for number, group in enumerate(groups):
             batch += group
-            if len(batch) >= BATCH or number == len(groups) - 1:
+            if len(batch) >= MAX_BATCH_CHANGES or number == len(groups) - 1:
                 try:
                     engine.append(batch)
                 except LimitError as problem:
-                    # Guards what makes room against what takes it: deletions are written all the same.
+                    # Deletions are written although the store is full: they free space.
                     rejected = str(problem)
                     engine.append([change for change in batch if change[1] is None])
                 batch = []
         if sync:
             engine.sync()
     except Exception as problem:
-        return Outcome(failure=failure(engine, problem))
-    return Outcome(rejected=rejected, more=engine.untidy(), written=engine.sequence, synced=engine.synced)
-
-
-def tidy(engine: Engine, steps: int) -> Outcome:
-    """Some steps of cleaning or of a checkpoint; raises nothing."""
-    more = True
+        return CommitResult(failure=record_failure(engine, problem))
+    return CommitResult(
+        rejected=rejected,
+        more_work=engine.has_background_work(),
+        written=engine.sequence,
+        synced=engine.synced,
+    )
+
+
+def run_background_steps(engine: Engine, steps: int) -> CommitResult:
+    """Runs up to `steps` steps of cleaning or checkpointing on the worker's thread; raises nothing."""
+    more_work = True
     try:
-        while more and steps > 0:
-            more, steps = engine.tidy(), steps - 1
+        while more_work and steps > 0:
+            more_work, steps = engine.run_background_step(), steps - 1
     except Exception as problem:
-        return Outcome(failure=failure(engine, problem))
-    return Outcome(more=more)
+        return CommitResult(failure=record_failure(engine, problem))
+    return CommitResult(more_work=more_work)
 
 
-def failure(engine: Engine, problem: Exception) -> str:
-    """Guards the thread: a fault in the engine is a store that failed."""
+def record_failure(engine: Engine, problem: Exception) -> str:
+    """Returns the reason of a failure. An unexpected exception marks the engine as failed, so that a fault
+    in it does not end the thread."""
     if not isinstance(problem, FailedError):
-        log.error("store: the engine failed", exc_info=problem)
+        log.error("store: unexpected error in the engine", exc_info=problem)
         engine.failure = engine.failure or repr(problem)
     return str(problem) or repr(problem)
 
 
-def run(done: Done) -> None:
+def run_callback(callback: Callback) -> None:
+    """Runs a callback; logs its exception, so that a fault in one call does not affect others of the same
+    commit."""
     try:
-        done()
-    except Exception:  # a fault in one call costs that call, not the others that were written with it
-        log.exception("store: what waited for a record failed")
+        callback()
+    except Exception:
+        log.exception("store: a callback of a written record failed")
--- a/frostport/store/errors.py
+++ b/frostport/store/errors.py
@@ -1,16 +1,17 @@
-"""What goes wrong with a store. Each message is one line that names the file and, where there is one, the
-offset."""
+"""The store's exceptions. Each message is one line that names the file and, where there is one, the
+offset.
+"""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """Anything that keeps a store from its work."""
+    """Base class of all errors of a store."""
 
 
 class DamagedError(StoreError):
-    """What the files hold can't be trusted: `file` and `offset` say where that shows (offset -1: the whole
-    file)."""
+    """The contents of the files can't be trusted. `file` and `offset` locate the damage; offset -1 stands
+    for the whole file."""
 
     def __init__(self, file: str, offset: int, problem: str) -> None:
         super().__init__(f"{file}:{offset}: {problem}" if offset >= 0 else f"{file}: {problem}")
@@ -18,17 +19,16 @@
 
 
 class UnknownFormatError(StoreError):
-    """Written by a version whose format is not known here: nothing was touched."""
+    """The store was written in a format version that this version does not know; nothing was changed."""
 
 
 class LockedError(StoreError):
-    """Another process writes to this store."""
+    """Another process holds the lock of this store."""
 
 
 class LimitError(StoreError):
-    """A record or the whole store would grow past its limit: nothing of the batch was written."""
+    """A record or the whole store would exceed its size limit; nothing of the batch was written."""
 
 
 class FailedError(StoreError):
-    """A write or a sync has failed before: nothing more is written, and nothing unsynced is called
-    durable."""
+    """An earlier write or sync failed: nothing more is written, and no unsynced record counts as durable."""
--- a/frostport/store/files.py
+++ b/frostport/store/files.py
@@ -1,5 +1,6 @@
-"""The file layer: all that the engine asks of a folder, small enough to be replaced by a stand-in in
-tests."""
+"""The file layer: all operations that the engine needs of a folder, few enough to be replaced by a fake in
+tests.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +15,7 @@
 
 
 class File(Protocol):
-    """One open file. Every method may raise OSError; after one from `append`, a part may have been
+    """One open file. Every method may raise OSError; if `append` does, a part of the data may have been
     written."""
 
     def append(self, data: bytes) -> None: ...
@@ -22,14 +23,14 @@
     def write_at(self, offset: int, data: bytes) -> None: ...
 
     def read_at(self, offset: int, size: int) -> bytes:
-        """Up to `size` bytes; fewer only at the end of the file."""
+        """Returns up to `size` bytes; fewer only at the end of the file."""
 
     def size(self) -> int: ...
 
     def truncate(self, size: int) -> None: ...
 
     def sync(self) -> None:
-        """Everything written so far is durable once this returns; if it raises, nothing is known of it."""
+        """Makes everything written so far durable. If it raises, nothing is known about what is on disk."""
 
     def close(self) -> None: ...
 
@@ -42,47 +43,48 @@
     def open(self, name: str, create: bool = False) -> File: ...
 
     def replace(self, old: str, new: str) -> None:
-        """Gives a file another's name, atomically; durable after `sync`."""
+        """Renames a file atomically, replacing a file of the new name; durable after `sync`."""
 
     def remove(self, name: str) -> None: ...
 
     def sync(self) -> None:
-        """The names themselves are durable."""
+        """Makes the file names durable."""
 
     def lock(self) -> None:
-        """Raises LockedError where another process holds it; held until `unlock` or the process's end."""
+        """Raises LockedError if another process holds the lock. It is held until `unlock` or the process's
+        end."""
 
     def unlock(self) -> None: ...
 
     def database(self, name: str) -> sqlite3.Connection:
-        """The index file, opened by its library."""
+        """Opens the index file with SQLite."""
 
     def committed(self, name: str, database: sqlite3.Connection) -> None:
-        """The index file has been written to."""
+        """Called after each commit to the index file."""
 
 
 class DiskFile:
-    """A file of the system, by its descriptor: no buffer but the system's own."""
+    """A file on disk, accessed through its descriptor and not buffered in the process."""
 
     def __init__(self, path: pathlib.Path, create: bool) -> None:
-        self._number = os.open(path, os.O_RDWR | os.O_CLOEXEC | (os.O_CREAT if create else 0), 0o640)
-        self._end = os.fstat(self._number).st_size
+        self._descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC | (os.O_CREAT if create else 0), 0o640)
+        self._end = os.fstat(self._descriptor).st_size
 
     def append(self, data: bytes) -> None:
         view = memoryview(data)
-        while view:  # guards against short writes: what is missing is written, or an error says why not
-            done = os.pwrite(self._number, view, self._end)
-            self._end += done
-            view = view[done:]
+        while view:  # after a short write, writes the rest or raises the error that explains it
+            written_bytes = os.pwrite(self._descriptor, view, self._end)
+            self._end += written_bytes
+            view = view[written_bytes:]
 
     def write_at(self, offset: int, data: bytes) -> None:
-        if os.pwrite(self._number, data, offset) != len(data):
+        if os.pwrite(self._descriptor, data, offset) != len(data):
             raise OSError(5, "short write")
         self._end = max(self._end, offset + len(data))
 
     def read_at(self, offset: int, size: int) -> bytes:
         parts = []
-        while size > 0 and (part := os.pread(self._number, size, offset)):
+        while size > 0 and (part := os.pread(self._descriptor, size, offset)):
             parts.append(part)
             offset, size = offset + len(part), size - len(part)
         return b"".join(parts)
@@ -91,22 +93,22 @@
         return self._end
 
     def truncate(self, size: int) -> None:
-        os.ftruncate(self._number, size)
+        os.ftruncate(self._descriptor, size)
         self._end = size
 
     def sync(self) -> None:
-        os.fdatasync(self._number)
+        os.fdatasync(self._descriptor)
 
     def close(self) -> None:
-        if self._number >= 0:
-            os.close(self._number)
-            self._number = -1
+        if self._descriptor >= 0:
+            os.close(self._descriptor)
+            self._descriptor = -1
 
 
 class DiskFolder:
-    """A folder of the system; made if it is not there."""
+    """A folder on disk; created if it does not exist, unless `make` is false."""
 
-    LOCK = "lock"
+    LOCK_NAME = "lock"
 
     def __init__(self, path: pathlib.Path, make: bool = True) -> None:
         self.path = path
@@ -128,20 +130,20 @@
             os.unlink(self.path / name)
 
     def sync(self) -> None:
-        number = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
+        descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(number)
+            os.fsync(descriptor)
         finally:
-            os.close(number)
+            os.close(descriptor)
 
     def lock(self) -> None:
-        number = os.open(self.path / self.LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
+        descriptor = os.open(self.path / self.LOCK_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
         try:
-            fcntl.flock(number, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(number)
-            raise LockedError(f"{self.path / self.LOCK}: another process writes to this store") from None
-        self._lock = number
+            os.close(descriptor)
+            raise LockedError(f"{self.path / self.LOCK_NAME}: another process writes to this store") from None
+        self._lock = descriptor
 
     def unlock(self) -> None:
         if self._lock >= 0:
@@ -152,4 +154,4 @@
         return sqlite3.connect(self.path / name, isolation_level=None, check_same_thread=False)
 
     def committed(self, name: str, database: sqlite3.Connection) -> None:
-        pass  # the library has written the file itself
+        pass  # SQLite has written the file itself
--- a/frostport/store/frames.py
+++ b/frostport/store/frames.py
@@ -1,10 +1,8 @@
-"""The forms on disk: frames of the log, heads of segments, the mark, the manifest. Nothing here opens a file.
+"""Binary layouts on disk: frames of the log, segment headers, the watermark, the manifest. Opens no file.
 
-A frame is `crc u32, length u32, sequence u64, flags u8`, little-endian, then the payload: a msgpack array of
-key
-and value, the value nil where the key is deleted. The CRC-32C covers all but itself. LAST ends a batch: a
-batch
-is whole or it is not there.
+A frame is `crc u32, length u32, sequence u64, flags u8`, little-endian, followed by the payload: a msgpack
+array of key and value; the value is nil if the key is deleted. The CRC-32C covers all of the frame but
+itself. The flag LAST_IN_BATCH marks the last frame of a batch; a batch without it is ignored as a whole.
 """
 
 from __future__ import annotations
@@ -16,24 +14,24 @@
 import google_crc32c
 import msgspec
 
-FORMAT = 1
-LAST = 1  # the frame that ends a batch
-FRAME = struct.Struct("<IIQB")
+FORMAT_VERSION = 1
+LAST_IN_BATCH = 1  # flag of the frame that ends a batch
+FRAME_HEADER = struct.Struct("<IIQB")
 CRC = struct.Struct("<I")
-COVERED = struct.Struct("<IQB")  # the head after the CRC
-SEGMENT = struct.Struct("<8sIIQQI")  # magic, format, store, number, first sequence, crc
-MARK = struct.Struct("<8sIQI")  # magic, store, sequence, crc
+CHECKED_HEADER = struct.Struct("<IQB")  # the part of the header that the CRC covers
+SEGMENT_HEADER = struct.Struct("<8sIIQQI")  # magic, format, store, number, first sequence, crc
+WATERMARK_SLOT = struct.Struct("<8sIQI")  # magic, store, sequence, crc
 MANIFEST = struct.Struct("<8sIIQQI")  # magic, format, store, oldest segment, its first sequence, crc
-SEGMENT_MAGIC, MARK_MAGIC, MANIFEST_MAGIC = b"fpseg\r\n\0", b"fpmrk\r\n\0", b"fpman\r\n\0"
+SEGMENT_MAGIC, WATERMARK_MAGIC, MANIFEST_MAGIC = b"fpseg\r\n\0", b"fpmrk\r\n\0", b"fpman\r\n\0"
 
-Change = tuple[str, bytes | None]  # a key and its new value; None deletes it
+Change = tuple[str, bytes | None]  # a key and its new value; None deletes the key
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(tuple[str, bytes | None]).decode
 
 
 class Frame(NamedTuple):
-    """One record as it stands in a segment; `size` counts its head."""
+    """One record as stored in a segment. `size` includes the frame's header."""
 
     sequence: int
     offset: int
@@ -44,57 +42,62 @@
 
 
 def checksum(data: bytes) -> int:
+    """Returns the CRC-32C."""
     return int(google_crc32c.value(data))
 
 
 def encode(change: Change, sequence: int, last: bool) -> bytes:
+    """Encodes one change as a frame; `last`: it ends a batch."""
     payload: bytes = _encode(change)
-    flags = LAST if last else 0
-    body = COVERED.pack(len(payload), sequence, flags) + payload
+    flags = LAST_IN_BATCH if last else 0
+    body = CHECKED_HEADER.pack(len(payload), sequence, flags) + payload
     return CRC.pack(google_crc32c.value(body)) + body
 
 
-def decode(data: bytes, at: int, base: int = 0) -> Frame | None:
-    """The frame at a place in `data`, which begins at offset `base` of its file; None if no sound one is
-    there."""
-    if at + FRAME.size > len(data):
+def decode(data: bytes, position: int, base: int = 0) -> Frame | None:
+    """Decodes the frame at `position` of `data`, which begins at offset `base` of its file; None if there
+    is no sound frame."""
+    if position + FRAME_HEADER.size > len(data):
         return None
-    crc, length, sequence, flags = FRAME.unpack_from(data, at)
-    end = at + FRAME.size + length
-    if end > len(data) or flags & ~LAST:
+    crc, length, sequence, flags = FRAME_HEADER.unpack_from(data, position)
+    end = position + FRAME_HEADER.size + length
+    if end > len(data) or flags & ~LAST_IN_BATCH:
         return None
-    if google_crc32c.value(data[at + CRC.size : end]) != crc:
+    if google_crc32c.value(data[position + CRC.size : end]) != crc:
         return None
     try:
-        key, value = _decode(data[at + FRAME.size : end])
+        key, value = _decode(data[position + FRAME_HEADER.size : end])
     except (msgspec.DecodeError, UnicodeDecodeError):
         return None
-    return Frame(sequence, base + at, FRAME.size + length, bool(flags & LAST), key, value)
+    return Frame(
+        sequence, base + position, FRAME_HEADER.size + length, bool(flags & LAST_IN_BATCH), key, value
+    )
 
 
-def walk(data: bytes, at: int, sequence: int, base: int = 0) -> Iterator[Frame]:
-    """Frames one after the other, from a place and a sequence number on, up to the first that is not
+def iter_frames(data: bytes, position: int, sequence: int, base: int = 0) -> Iterator[Frame]:
+    """Yields consecutive frames from a position and a sequence number on, up to the first that is not
     sound."""
-    while (frame := decode(data, at, base)) is not None and frame.sequence == sequence:
+    while (frame := decode(data, position, base)) is not None and frame.sequence == sequence:
         yield frame
-        at, sequence = at + frame.size, sequence + 1
+        position, sequence = position + frame.size, sequence + 1
 
 
-def with_crc(form: struct.Struct, *fields: object) -> bytes:
-    head = form.pack(*fields, 0)[:-4]
+def pack_with_crc(layout: struct.Struct, *fields: object) -> bytes:
+    """Packs the fields, followed by the CRC-32C over them."""
+    head = layout.pack(*fields, 0)[:-4]
     return head + CRC.pack(checksum(head))
 
 
-def read_fixed(form: struct.Struct, magic: bytes, data: bytes) -> tuple[int, ...] | None:
-    """The fields between magic and CRC, or None where these are not sound."""
-    if len(data) < form.size or data[:8] != magic:
+def unpack_with_crc(layout: struct.Struct, magic: bytes, data: bytes) -> tuple[int, ...] | None:
+    """Returns the fields between magic and CRC, or None if the magic or the CRC is wrong."""
+    if len(data) < layout.size or data[:8] != magic:
         return None
-    *fields, crc = form.unpack(data[: form.size])
-    return tuple(fields[1:]) if checksum(data[: form.size - 4]) == crc else None
+    *fields, crc = layout.unpack(data[: layout.size])
+    return tuple(fields[1:]) if checksum(data[: layout.size - 4]) == crc else None
 
 
-def segment_head(store: int, number: int, first: int) -> bytes:
-    return with_crc(SEGMENT, SEGMENT_MAGIC, FORMAT, store, number, first)
+def segment_header(store_id: int, number: int, first_sequence: int) -> bytes:
+    return pack_with_crc(SEGMENT_HEADER, SEGMENT_MAGIC, FORMAT_VERSION, store_id, number, first_sequence)
 
 
 def segment_name(number: int) -> str:
@@ -102,5 +105,6 @@
 
 
 def segment_number(name: str) -> int | None:
+    """Returns the number in a segment's file name; None for any other name."""
     digits = name[4:]
     return int(digits) if name.startswith("log-") and len(digits) == 10 and digits.isdecimal() else None
--- a/frostport/store/index.py
+++ b/frostport/store/index.py
@@ -1,10 +1,8 @@
-"""The index on disk: where each live record stands, in SQLite. It is never trusted.
+"""The index on disk, in SQLite: the location of each live record. It is never trusted.
 
-It only spares a restart the reading of the whole log. Beside the rows stand their number and a digest over
-all of
-them; what differs from it, can't be read, or points to what is not in the log, costs the index, not the
-store:
-it is made again from the log.
+It only saves reading the whole log at a restart. The number of its rows and a digest over them are stored
+with it. If they don't match, if the file can't be read, or if a row points to a record that is not in the
+log, the index is discarded and rebuilt from the log; the store itself is not affected.
 """
 
 from __future__ import annotations
@@ -20,8 +18,9 @@
 
 log = logging.getLogger("frostport.store")
 
-NAME = "index.db"
-# The file is no promise: no sync, and a journal only against a process that dies in the middle.
+FILE_NAME = "index.db"
+# The index need not survive a crash of the system, so nothing is synced. The journal only covers a process
+# that ends in the middle of a transaction.
 PRAGMAS = (
     "page_size=1024",
     "journal_mode=TRUNCATE",
@@ -38,18 +37,18 @@
 )
 
 
-# Where a live record stands: sequence, segment, offset, size. A plain tuple, which the collector of cycles
-# lets
-# alone: a hundred thousand objects of any other kind would be looked through, at a stall, again and again.
-Place = tuple[int, int, int, int]
+# The location of a live record: sequence, segment, offset, size. A plain tuple of integers, which the garbage
+# collector stops tracking: it would traverse a hundred thousand objects of any other type again and again,
+# and hold up the process.
+Location = tuple[int, int, int, int]
 SEQUENCE, SEGMENT, OFFSET, SIZE = range(4)
 
 
 @dataclass(frozen=True, slots=True)
-class Point:
+class Checkpoint:
     """What a checkpoint covers: all records up to `sequence`; the next frame is at `offset` of `segment`."""
 
-    store: int
+    store_id: int
     sequence: int
     segment: int
     offset: int
@@ -57,49 +56,51 @@
     digest: int
 
     def fields(self) -> tuple[int, ...]:
-        return self.store, self.sequence, self.segment, self.offset, self.count, self.digest
+        """Returns all fields, in the order that the CRC covers."""
+        return self.store_id, self.sequence, self.segment, self.offset, self.count, self.digest
 
     def crc(self) -> int:
         return int(google_crc32c.value(repr(self.fields()).encode()))
 
 
-def grain(sequence: int) -> int:
-    """One record's part of the digest, which is the sum of them all.
+def digest_term(sequence: int) -> int:
+    """Returns one record's term of the digest, which is the sum of all terms.
 
-    The sequence stands for the record: that it is the key's is checked where the log is read."""
+    The sequence number stands for the record: reading the log verifies that it belongs to the key."""
     return sequence * sequence
 
 
 class Index:
-    """Owns the database. No method raises: an index that fails is left, and the store goes on without."""
+    """Owns the database. No method raises: if the index fails, it is closed and the store runs without it."""
 
     def __init__(self, folder: Folder) -> None:
         self.folder = folder
         self.database: sqlite3.Connection | None = None
-        self.writing = False
+        self.in_transaction = False
 
     def open(self) -> None:
+        """Opens the database and creates its tables; discards the file if that fails."""
         try:
-            self.database = self.folder.database(NAME)
+            self.database = self.folder.database(FILE_NAME)
             for pragma in PRAGMAS:
                 self.database.execute(f"PRAGMA {pragma}")
             for table in TABLES:
                 self.database.execute(table)
         except (sqlite3.Error, OSError, ValueError) as problem:
-            self.lose(f"not usable: {problem}")
+            self.discard(f"not usable: {problem}")
 
-    def lose(self, why: str) -> None:
-        """Throws the file away, to be made anew."""
-        log.warning("store: %s: %s", NAME, why)
+    def discard(self, reason: str) -> None:
+        """Closes and deletes the index file; a later checkpoint or start creates it again."""
+        log.warning("store: %s: %s", FILE_NAME, reason)
         self.close()
-        for name in (NAME, f"{NAME}-journal"):
+        for name in (FILE_NAME, f"{FILE_NAME}-journal"):
             try:
                 self.folder.remove(name)
             except OSError as problem:
                 log.warning("store: %s: not removed: %s", name, problem)
 
-    def point(self, store: int) -> Point | None:
-        """What the last checkpoint says of itself, its rows not yet looked at."""
+    def checkpoint(self, store_id: int) -> Checkpoint | None:
+        """Returns the last checkpoint as it is stored; its rows are not verified yet."""
         if self.database is None:
             return None
         try:
@@ -108,78 +109,79 @@
             ).fetchone()
             if row is None:
                 return None
-            # The digest outgrows SQLite's integers, and is kept as text.
+            # The digest exceeds SQLite's 64-bit integers and is stored as text.
             if not all(isinstance(value, int) for value in (*row[:5], row[6])) or not isinstance(row[5], str):
-                raise ValueError("the checkpoint's row is damaged")
+                raise ValueError("the checkpoint's row has a wrong type")
             written, sequence, segment, offset, count, digest, crc = row
-            point = Point(written, sequence, segment, offset, count, int(digest))
-            if crc != point.crc() or written != store:
-                raise ValueError("the checkpoint is damaged, or another store's")
+            checkpoint = Checkpoint(written, sequence, segment, offset, count, int(digest))
+            if crc != checkpoint.crc() or written != store_id:
+                raise ValueError("the checkpoint is damaged or belongs to another store")
         except (sqlite3.Error, ValueError, OSError, OverflowError) as problem:
-            self.lose(f"in doubt, made again from the log: {problem}")
+            self.discard(f"damaged, rebuilding it from the log: {problem}")
             return None
-        return point
+        return checkpoint
 
-    def rows(self, point: Point) -> dict[str, Place] | None:
-        """The rows of a checkpoint, if they agree with it."""
+    def rows(self, checkpoint: Checkpoint) -> dict[str, Location] | None:
+        """Returns the rows of a checkpoint, or None if they don't agree with its count and digest."""
         if self.database is None:
             return None
         try:
-            rows: dict[str, Place] = {}
+            rows: dict[str, Location] = {}
             total = 0
             for key, sequence, segment, offset, size in self.database.execute(
                 "SELECT key, sequence, segment, offset, size FROM live"
             ):
                 if not isinstance(key, str) or not isinstance(sequence, int):
-                    raise ValueError("a row is damaged")
+                    raise ValueError("a row has a wrong type")
                 rows[key] = (sequence, segment, offset, size)
-                total += grain(sequence)
-            if point.count != len(rows) or point.digest != total:
-                raise ValueError("rows and digest differ")
+                total += digest_term(sequence)
+            if checkpoint.count != len(rows) or checkpoint.digest != total:
+                raise ValueError("rows don't match their count and digest")
         except (sqlite3.Error, ValueError, OSError, OverflowError) as problem:
-            self.lose(f"in doubt, made again from the log: {problem}")
+            self.discard(f"damaged, rebuilding it from the log: {problem}")
             return None
         return rows
 
-    def write(self, rows: Iterable[tuple[str, Place | None]]) -> None:
-        """A part of a checkpoint; nothing of it holds before `finish`."""
+    def write(self, rows: Iterable[tuple[str, Location | None]]) -> None:
+        """Writes a part of a checkpoint; none of it takes effect before `commit`."""
         if self.database is None:
             return
         try:
-            if not self.writing:
+            if not self.in_transaction:
                 self.database.execute("BEGIN")
-                self.writing = True
-            gone, there = [], []
-            for key, place in rows:
-                if place is None:
-                    gone.append((key,))
+                self.in_transaction = True
+            deleted, live = [], []
+            for key, location in rows:
+                if location is None:
+                    deleted.append((key,))
                 else:
-                    there.append((key, *place))
-            self.database.executemany("DELETE FROM live WHERE key = ?", gone)
-            self.database.executemany("INSERT OR REPLACE INTO live VALUES (?, ?, ?, ?, ?)", there)
+                    live.append((key, *location))
+            self.database.executemany("DELETE FROM live WHERE key = ?", deleted)
+            self.database.executemany("INSERT OR REPLACE INTO live VALUES (?, ?, ?, ?, ?)", live)
         except (sqlite3.Error, OSError, ValueError) as problem:
-            self.lose(f"not written: {problem}")
+            self.discard(f"not written: {problem}")
 
-    def finish(self, point: Point) -> None:
+    def commit(self, checkpoint: Checkpoint) -> None:
+        """Stores the checkpoint itself and commits its rows."""
         if self.database is None:
             return
         try:
-            if not self.writing:
+            if not self.in_transaction:
                 self.database.execute("BEGIN")
             self.database.execute(
                 "INSERT OR REPLACE INTO point VALUES (1, ?, ?, ?, ?, ?, ?, ?)",
-                (*point.fields()[:5], str(point.digest), point.crc()),
+                (*checkpoint.fields()[:5], str(checkpoint.digest), checkpoint.crc()),
             )
             self.database.execute("COMMIT")
-            self.writing = False
-            self.folder.committed(NAME, self.database)
+            self.in_transaction = False
+            self.folder.committed(FILE_NAME, self.database)
         except (sqlite3.Error, OSError, ValueError) as problem:
-            self.lose(f"not written: {problem}")
+            self.discard(f"not written: {problem}")
 
     def close(self) -> None:
-        database, self.database, self.writing = self.database, None, False
+        database, self.database, self.in_transaction = self.database, None, False
         if database is not None:
             try:
                 database.close()
             except sqlite3.Error as problem:
-                log.warning("store: %s: not closed: %s", NAME, problem)
+                log.warning("store: %s: not closed: %s", FILE_NAME, problem)
--- a/frostport/store/recovery.py
+++ b/frostport/store/recovery.py
@@ -1,7 +1,7 @@
-"""How a store comes back: what its files hold, or why they can't be used. Reads only; the engine then
-repairs.
+"""Recovery: reads what a store's files hold, or says why they can't be used. It only reads; the engine
+then repairs.
 
-The order of the steps, and what each may conclude, is the numbered list of docs/design/store.md.
+The order of the steps, and what may be concluded from each, is the numbered list in docs/design/store.md.
 """
 
 from __future__ import annotations
@@ -11,92 +11,102 @@
 import logging
 from dataclasses import dataclass, field
 
-from frostport.store import frames, mark
+from frostport.store import frames, watermark
 from frostport.store.errors import DamagedError, UnknownFormatError
 from frostport.store.files import Folder
 from frostport.store.frames import MANIFEST, Frame
-from frostport.store.index import OFFSET, SEGMENT, SEQUENCE, SIZE, Index, Place, Point, grain
+from frostport.store.index import OFFSET, SEGMENT, SEQUENCE, SIZE, Checkpoint, Index, Location, digest_term
 
 log = logging.getLogger("frostport.store")
 
 MANIFEST_NAME = "manifest"
-WORTH = 2  # the index is used where the log has so many times the records that are live; else it is slower
+# The index is used if the log has at least so many times as many records as are live; else reading the whole
+# log is faster.
+INDEX_MIN_LOG_RATIO = 2
 
 
 @dataclass(slots=True)
 class Segment:
-    """One file of the log: its first record, how far it is sound, and the keys whose newest record it
-    holds."""
+    """One file of the log: its first sequence number, the size up to which it is sound, and the keys whose
+    newest record it holds."""
 
     number: int
-    first: int
+    first_sequence: int
     size: int
-    live: dict[str, None] = field(default_factory=dict)
+    live_keys: dict[str, None] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Contents:
-    """What a store holds: the live records and their places, the segments, and what is torn off at the
-    end."""
+    """What a store holds: the live records with their locations, the segments, and the size of a torn
+    tail."""
 
-    store: int
+    store_id: int
     acknowledged: int
     segments: list[Segment] = field(default_factory=list)
-    places: dict[str, Place] = field(default_factory=dict)
+    locations: dict[str, Location] = field(default_factory=dict)
     values: dict[str, bytes] = field(default_factory=dict)
-    sequence: int = 0  # the last whole batch's last record
-    torn: int = 0  # bytes after it
-    point: Point | None = None  # the last checkpoint, its index not yet held against the log
-    from_index: Point | None = None  # the same, once the index agrees with the log
-    changed: dict[str, None] = field(default_factory=dict)  # the keys changed since
-    leavings: list[str] = field(default_factory=list)  # files of no more use
+    sequence: int = 0  # last record of the last complete batch
+    torn_bytes: int = 0  # size of the incomplete tail after it
+    checkpoint: Checkpoint | None = None  # the last one in the index, not yet compared with the log
+    verified_checkpoint: Checkpoint | None = None  # the same, once it agrees with the log
+    changed_keys: dict[str, None] = field(default_factory=dict)  # since that checkpoint
+    obsolete_files: list[str] = field(default_factory=list)  # to be removed
 
     def put(self, segment: Segment, frame: Frame) -> None:
-        self.changed[frame.key] = None
-        old = self.places.pop(frame.key, None)
+        """Applies one record: a new value of its key, or its deletion."""
+        self.changed_keys[frame.key] = None
+        old = self.locations.pop(frame.key, None)
         if old is not None:
             self.values.pop(frame.key, None)
         if frame.value is not None:
-            self.places[frame.key] = (frame.sequence, segment.number, frame.offset, frame.size)
+            self.locations[frame.key] = (frame.sequence, segment.number, frame.offset, frame.size)
             self.values[frame.key] = frame.value
 
-    def ended(self, sequence: int) -> None:
-        """A batch is taken in. Where the checkpoint was made, the index either agrees or is in doubt."""
+    def end_batch(self, sequence: int) -> None:
+        """Completes a batch. At the checkpoint's sequence number, compares the records read so far with
+        the checkpoint: the index can be used further only if count and digest agree."""
         self.sequence = sequence
         if (
-            self.point is not None
-            and sequence == self.point.sequence
-            and self.from_index is None
-            and self.point.count == len(self.places)
-            and self.point.digest == sum(grain(place[SEQUENCE]) for place in self.places.values())
+            self.checkpoint is not None
+            and sequence == self.checkpoint.sequence
+            and self.verified_checkpoint is None
+            and self.checkpoint.count == len(self.locations)
+            and self.checkpoint.digest
+            == sum(digest_term(location[SEQUENCE]) for location in self.locations.values())
         ):
-            self.from_index = self.point
-            self.changed.clear()
+            self.verified_checkpoint = self.checkpoint
+            self.changed_keys.clear()
 
 
-def manifest(folder: Folder) -> tuple[int, int, int] | None:
-    """Store id, the oldest segment and its first sequence; None where there is no store yet."""
+def read_manifest(folder: Folder) -> tuple[int, int, int] | None:
+    """Returns store id, oldest segment and its first sequence number; None if there is no store yet."""
     names = folder.names()
     if MANIFEST_NAME not in names:
-        whole = [name for name in names if frames.segment_number(name) is not None]
-        # A creation that was cut short has left one segment at most, with its head alone.
-        if len(whole) > 1 or any(size_of(folder, name) > frames.SEGMENT.size for name in whole):
+        segment_files = [name for name in names if frames.segment_number(name) is not None]
+        # An interrupted creation leaves at most one segment, with only its header.
+        if len(segment_files) > 1 or any(
+            file_size(folder, name) > frames.SEGMENT_HEADER.size for name in segment_files
+        ):
             raise DamagedError(MANIFEST_NAME, -1, "missing, and there is a log")
         return None
-    data = whole_file(folder, MANIFEST_NAME)
+    data = read_file(folder, MANIFEST_NAME)
     if (
         data[:8] == frames.MANIFEST_MAGIC
         and len(data) >= 12
-        and (written := int.from_bytes(data[8:12], "little")) != frames.FORMAT
+        and (written := int.from_bytes(data[8:12], "little")) != frames.FORMAT_VERSION
     ):
-        raise UnknownFormatError(f"{MANIFEST_NAME}:8: format {written}, only {frames.FORMAT} is known here")
-    fields = frames.read_fixed(MANIFEST, frames.MANIFEST_MAGIC, data)
+        raise UnknownFormatError(
+            f"{MANIFEST_NAME}:8: format {written}, only {frames.FORMAT_VERSION} is known here"
+        )
+    fields = frames.unpack_with_crc(MANIFEST, frames.MANIFEST_MAGIC, data)
     if fields is None or len(data) != MANIFEST.size:
         raise DamagedError(MANIFEST_NAME, 0, "not readable")
     return fields[1], fields[2], fields[3]
 
 
-def size_of(folder: Folder, name: str) -> int:
+def file_size(folder: Folder, name: str) -> int:
+    """Returns a file's size in bytes."""
     file = folder.open(name)
     try:
         return file.size()
@@ -104,7 +114,8 @@
         file.close()
 
 
-def whole_file(folder: Folder, name: str) -> bytes:
+def read_file(folder: Folder, name: str) -> bytes:
+    """Returns a file's whole contents."""
     file = folder.open(name)
     try:
         return file.read_at(0, file.size())
@@ -112,49 +123,57 @@
         file.close()
 
 
-def read(folder: Folder, index: Index | None = None) -> Contents | None:
-    """All of a store, by its index where that holds, else by its whole log; None where there is none yet.
+def read_store(folder: Folder, index: Index | None = None) -> Contents | None:
+    """Reads a whole store, through its index if that agrees with the log, else from the log alone; None if
+    there is none.
 
-    Raises DamagedError where anything acknowledged may be missing, UnknownFormatError, OSError."""
+    Raises DamagedError if an acknowledged record may be missing, UnknownFormatError, OSError."""
     collecting = gc.isenabled()
-    gc.disable()  # guards a large store against a collector that looks through all of it again and again
+    gc.disable()  # the collector would traverse all records of a large store repeatedly
     try:
-        return read_all(folder, index)
+        return read_store_files(folder, index)
     finally:
         if collecting:
             gc.enable()
 
 
-def read_all(folder: Folder, index: Index | None) -> Contents | None:
-    found = manifest(folder)
+def read_store_files(folder: Folder, index: Index | None) -> Contents | None:
+    """Does the work of `read_store`, with the garbage collector off."""
+    found = read_manifest(folder)
     if found is None:
         return None
-    store, oldest, first = found
-    acknowledged = mark.Mark.load(folder, store)
+    store_id, oldest, first_sequence = found
+    acknowledged = watermark.Watermark.load(folder, store_id)
     acknowledged.close()
     numbers = sorted(number for name in folder.names() if (number := frames.segment_number(name)) is not None)
-    listed = [number for number in numbers if number >= oldest]
-    if not listed or listed[0] != oldest:
+    numbers_in_use = [number for number in numbers if number >= oldest]
+    if not numbers_in_use or numbers_in_use[0] != oldest:
         raise DamagedError(frames.segment_name(oldest), -1, "missing, and the manifest names it")
-    for before, after in itertools.pairwise(listed):
+    for before, after in itertools.pairwise(numbers_in_use):
         if after != before + 1:
             raise DamagedError(frames.segment_name(before + 1), -1, "missing")
-    contents = Contents(store, acknowledged.sequence)
-    contents.leavings = [frames.segment_name(number) for number in numbers if number < oldest]
-    contents.leavings += [name for name in folder.names() if name.endswith(".new")]
-    contents.point = point = index.point(store) if index is not None else None
-    done = False
-    if index is not None and point is not None and WORTH * point.count <= point.sequence - first + 1:
-        rows = index.rows(point)
-        done = rows is not None and by_index(folder, contents, listed, first, point, rows)
-        if not done:
-            contents.segments, contents.places, contents.values, contents.changed = [], {}, {}, {}
-            contents.from_index = contents.point = None
-    if not done:
-        contents.sequence = first - 1
-        by_log(folder, contents, listed, 0)
-    if index is not None and point is not None and contents.from_index is None:
-        index.lose("in doubt, made again from the log")
+    contents = Contents(store_id, acknowledged.sequence)
+    contents.obsolete_files = [frames.segment_name(number) for number in numbers if number < oldest]
+    contents.obsolete_files += [name for name in folder.names() if name.endswith(".new")]
+    contents.checkpoint = checkpoint = index.checkpoint(store_id) if index is not None else None
+    used_index = False
+    if (
+        index is not None
+        and checkpoint is not None
+        and INDEX_MIN_LOG_RATIO * checkpoint.count <= checkpoint.sequence - first_sequence + 1
+    ):
+        rows = index.rows(checkpoint)
+        used_index = rows is not None and read_from_index(
+            folder, contents, numbers_in_use, first_sequence, checkpoint, rows
+        )
+        if not used_index:
+            contents.segments, contents.locations, contents.values, contents.changed_keys = [], {}, {}, {}
+            contents.verified_checkpoint = contents.checkpoint = None
+    if not used_index:
+        contents.sequence = first_sequence - 1
+        read_from_log(folder, contents, numbers_in_use, 0)
+    if index is not None and checkpoint is not None and contents.verified_checkpoint is None:
+        index.discard("does not match the log, rebuilding it")
     if contents.sequence < contents.acknowledged:
         last = contents.segments[-1]
         raise DamagedError(
@@ -162,96 +181,112 @@
             last.size,
             f"the log ends at record {contents.sequence}, but {contents.acknowledged} was acknowledged",
         )
-    for key, place in contents.places.items():
-        contents.segments[place[SEGMENT] - oldest].live[key] = None
+    for key, location in contents.locations.items():
+        contents.segments[location[SEGMENT] - oldest].live_keys[key] = None
     return contents
 
 
-def head(folder: Folder, contents: Contents, number: int, data: bytes) -> int | None:
-    """The first sequence that a segment's head names; None where the head is not sound."""
-    fields = frames.read_fixed(frames.SEGMENT, frames.SEGMENT_MAGIC, data)
-    if fields is None or fields[0] != frames.FORMAT or fields[1] != contents.store or fields[2] != number:
+def read_segment_header(folder: Folder, contents: Contents, number: int, data: bytes) -> int | None:
+    """Returns the first sequence number named in a segment's header; None if the header is not sound."""
+    fields = frames.unpack_with_crc(frames.SEGMENT_HEADER, frames.SEGMENT_MAGIC, data)
+    if (
+        fields is None
+        or fields[0] != frames.FORMAT_VERSION
+        or fields[1] != contents.store_id
+        or fields[2] != number
+    ):
         return None
     return fields[3]
 
 
-def by_log(folder: Folder, contents: Contents, listed: list[int], skip: int) -> None:
-    """Reads segments from the `skip`th on to the end; from `skip` on they must follow what was read already.
+def read_from_log(folder: Folder, contents: Contents, numbers_in_use: list[int], skip: int) -> None:
+    """Reads segments from the `skip`th on to the end; each must continue the sequence of the one before.
 
-    Only the last one may end in what is not whole: each other was synced before its successor was made."""
-    for number in listed[skip:]:
-        name, last = frames.segment_name(number), number == listed[-1]
-        data = whole_file(folder, name)
-        first = head(folder, contents, number, data)
-        if first is None and last and number != listed[0]:
-            # Made and not yet written when the power went: nothing in it was acknowledged, or the mark says
-            # so.
-            contents.leavings.append(name)
+    Only the last one may have a torn tail: each of the others was synced before its successor was created."""
+    for number in numbers_in_use[skip:]:
+        name, last = frames.segment_name(number), number == numbers_in_use[-1]
+        data = read_file(folder, name)
+        first_sequence = read_segment_header(folder, contents, number, data)
+        if first_sequence is None and last and number != numbers_in_use[0]:
+            # Created, but its header was not yet durable when the power failed: it holds no acknowledged
+            # record, or the comparison with the watermark reveals it.
+            contents.obsolete_files.append(name)
             return
-        if first is None:
+        if first_sequence is None:
             raise DamagedError(name, 0, "its head is not readable")
-        if first != contents.sequence + 1:
-            raise DamagedError(name, 0, f"begins at record {first}, not {contents.sequence + 1}")
-        segment = Segment(number, first, frames.SEGMENT.size)
+        if first_sequence != contents.sequence + 1:
+            raise DamagedError(name, 0, f"begins at record {first_sequence}, not {contents.sequence + 1}")
+        segment = Segment(number, first_sequence, frames.SEGMENT_HEADER.size)
         contents.segments.append(segment)
-        follow(contents, segment, data, frames.SEGMENT.size)
-        contents.torn = len(data) - segment.size
-        if contents.torn and not last:
+        apply_batches(contents, segment, data, frames.SEGMENT_HEADER.size)
+        contents.torn_bytes = len(data) - segment.size
+        if contents.torn_bytes and not last:
             raise DamagedError(name, segment.size, "not readable")
 
 
-def follow(contents: Contents, segment: Segment, data: bytes, at: int, base: int = 0) -> None:
-    """Takes in a segment's whole batches from a place on."""
+def apply_batches(contents: Contents, segment: Segment, data: bytes, position: int, base: int = 0) -> None:
+    """Applies a segment's complete batches from a position on. `data` begins at offset `base` of the file."""
     batch: list[Frame] = []
-    for frame in frames.walk(data, at, contents.sequence + 1, base):
+    for frame in frames.iter_frames(data, position, contents.sequence + 1, base):
         batch.append(frame)
         if frame.last:
-            for one in batch:
-                contents.put(segment, one)
+            for change in batch:
+                contents.put(segment, change)
             segment.size = frame.offset + frame.size
-            contents.ended(frame.sequence)
+            contents.end_batch(frame.sequence)
             batch.clear()
 
 
-def by_index(
-    folder: Folder, contents: Contents, listed: list[int], first: int, point: Point, rows: dict[str, Place]
+def read_from_index(
+    folder: Folder,
+    contents: Contents,
+    numbers_in_use: list[int],
+    first_sequence: int,
+    checkpoint: Checkpoint,
+    rows: dict[str, Location],
 ) -> bool:
-    """The live records where the index says they are, then the log's end after it; False where it is in
-    doubt."""
-    if point.segment not in listed or point.sequence < first - 1:
+    """Reads the live records at the locations in the index, then the log after the checkpoint. Returns
+    False if the index does not match the log."""
+    if checkpoint.segment not in numbers_in_use or checkpoint.sequence < first_sequence - 1:
         return False
-    wanted: dict[int, list[tuple[int, str, Place]]] = {}
-    for key, place in rows.items():
-        wanted.setdefault(place[SEGMENT], []).append((place[OFFSET], key, place))
-    if not wanted.keys() <= set(listed) or sum(map(len, wanted.values())) != len(rows):
+    rows_by_segment: dict[int, list[tuple[int, str, Location]]] = {}
+    for key, location in rows.items():
+        rows_by_segment.setdefault(location[SEGMENT], []).append((location[OFFSET], key, location))
+    if not rows_by_segment.keys() <= set(numbers_in_use) or sum(map(len, rows_by_segment.values())) != len(
+        rows
+    ):
         return False
-    for number in listed[: listed.index(point.segment) + 1]:
+    for number in numbers_in_use[: numbers_in_use.index(checkpoint.segment) + 1]:
         name = frames.segment_name(number)
-        data = whole_file(folder, name)
-        begins = head(folder, contents, number, data)
-        if begins is None:
+        data = read_file(folder, name)
+        segment_first_sequence = read_segment_header(folder, contents, number, data)
+        if segment_first_sequence is None:
             return False
-        segment = Segment(number, begins, len(data))
+        segment = Segment(number, segment_first_sequence, len(data))
         contents.segments.append(segment)
-        for offset, key, place in sorted(wanted.get(number, ())):
-            # Guards against a row that has been damaged into something else that an index could hold.
+        for offset, key, location in sorted(rows_by_segment.get(number, ())):
+            # A damaged row may hold any type that SQLite can store.
             frame = frames.decode(data, offset) if isinstance(offset, int) and offset >= 0 else None
             if (
                 frame is None
                 or frame.key != key
                 or frame.value is None
-                or frame.sequence > point.sequence
-                or (frame.sequence, frame.size) != (place[SEQUENCE], place[SIZE])
+                or frame.sequence > checkpoint.sequence
+                or (frame.sequence, frame.size) != (location[SEQUENCE], location[SIZE])
             ):
                 return False
-            contents.places[key], contents.values[key] = place, frame.value
-    if point.offset > len(data):
+            contents.locations[key], contents.values[key] = location, frame.value
+    if checkpoint.offset > len(data):
         return False
-    contents.sequence, segment.size, contents.from_index = point.sequence, point.offset, point
-    follow(contents, segment, data, point.offset)
-    contents.torn = len(data) - segment.size
-    if number != listed[-1]:
-        if contents.torn:
+    contents.sequence, segment.size, contents.verified_checkpoint = (
+        checkpoint.sequence,
+        checkpoint.offset,
+        checkpoint,
+    )
+    apply_batches(contents, segment, data, checkpoint.offset)
+    contents.torn_bytes = len(data) - segment.size
+    if number != numbers_in_use[-1]:
+        if contents.torn_bytes:
             return False
-        by_log(folder, contents, listed, listed.index(number) + 1)
+        read_from_log(folder, contents, numbers_in_use, numbers_in_use.index(number) + 1)
     return True
--- a/frostport/store/tools.py
+++ b/frostport/store/tools.py
@@ -1,4 +1,4 @@
-"""What the `store` commands do: verify, dump, backup, compact, repair. Each raises StoreError or OSError."""
+"""The `store` commands: verify, dump, backup, compact, repair. Each raises StoreError or OSError."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from frostport.store import frames, mark, recovery
-from frostport.store.engine import Engine, Limits, create, start_segment, write_manifest
+from frostport.store import frames, recovery, watermark
+from frostport.store.engine import Engine, Limits, create_segment, create_store, write_manifest
 from frostport.store.errors import DamagedError, LockedError, StoreError
 from frostport.store.files import DiskFolder, Folder
-from frostport.store.frames import FRAME, SEGMENT, Frame
+from frostport.store.frames import FRAME_HEADER, SEGMENT_HEADER, Frame
 from frostport.store.index import SIZE
-from frostport.store.mark import Mark
 from frostport.store.recovery import MANIFEST_NAME, Contents, Segment
+from frostport.store.watermark import Watermark
 
-TRIES = 20  # a running agent may clean a segment while it is copied: the copy then begins anew
-BATCH = 256  # records a batch of a repaired store
+MAX_ATTEMPTS = 20  # A running agent may clean a segment while it is copied; the copy then starts again.
+REPAIR_BATCH_RECORDS = 256  # per batch of a repaired store
 
 
 @dataclass(frozen=True, slots=True)
-class Verified:
-    """What `verify` found sound. Sizes in bytes."""
+class VerifyResult:
+    """Summary of a sound store. Sizes in bytes."""
 
     records: int
     segments: int
@@ -33,20 +33,21 @@
     torn_bytes: int
 
 
-def existing(path: pathlib.Path) -> DiskFolder:
+def open_existing(path: pathlib.Path) -> DiskFolder:
+    """Opens a folder; raises StoreError if it does not exist."""
     if not path.is_dir():
         raise StoreError(f"{path}: no such folder")
     return DiskFolder(path, make=False)
 
 
 def contents(path: pathlib.Path) -> Contents:
-    """All of a store, read by its whole log and without a lock; nothing is changed."""
-    for _ in range(TRIES):
+    """Reads a whole store from its log, without a lock; changes nothing."""
+    for _ in range(MAX_ATTEMPTS):
         try:
-            found = recovery.read(existing(path))
+            found = recovery.read_store(open_existing(path))
         except (FileNotFoundError, DamagedError):
-            # Guards against an agent that cleans while we read: a damage is one only if it stays.
-            if not moving(path):
+            # A running agent may clean a segment while it is read: it counts as damage only if no agent runs.
+            if not is_being_written(path):
                 raise
             continue
         if found is None:
@@ -55,9 +56,9 @@
     raise StoreError(f"{path}: changes faster than it can be read; take a backup instead")
 
 
-def moving(path: pathlib.Path) -> bool:
-    """Whether somebody writes to the store now."""
-    folder = existing(path)
+def is_being_written(path: pathlib.Path) -> bool:
+    """Returns whether another process holds the store's lock."""
+    folder = open_existing(path)
     try:
         folder.lock()
     except LockedError:
@@ -66,31 +67,34 @@
     return False
 
 
-def verify(path: pathlib.Path) -> Verified:
+def verify(path: pathlib.Path) -> VerifyResult:
+    """Reads the whole store and summarizes it."""
     found = contents(path)
-    return Verified(
-        len(found.places),
+    return VerifyResult(
+        len(found.locations),
         len(found.segments),
         sum(segment.size for segment in found.segments),
-        sum(place[SIZE] for place in found.places.values()),
+        sum(location[SIZE] for location in found.locations.values()),
         found.sequence,
         found.acknowledged,
-        found.torn,
+        found.torn_bytes,
     )
 
 
 def dump(path: pathlib.Path) -> Iterator[tuple[str, bytes]]:
+    """Yields all live records, sorted by key."""
     found = contents(path)
     yield from sorted(found.values.items())
 
 
-def backup(path: pathlib.Path, target: pathlib.Path) -> Verified:
-    """A copy that is as good as the store was at some moment during it, also beside a running agent."""
-    source = existing(path)
+def backup(path: pathlib.Path, target: pathlib.Path) -> VerifyResult:
+    """Copies a store, also while an agent uses it. The copy is the store as it was at some moment during
+    the copying."""
+    source = open_existing(path)
     copy = DiskFolder(target)
     if copy.names():
         raise StoreError(f"{target}: not empty")
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         for name in copy.names():
             copy.remove(name)
         try:
@@ -98,19 +102,19 @@
             copy.sync()
             return verify(target)
         except (FileNotFoundError, DamagedError):
-            if not moving(path):
+            if not is_being_written(path):
                 raise
     raise StoreError(f"{path}: changes faster than it can be copied")
 
 
 def copy_once(source: Folder, copy: Folder) -> None:
-    """The mark first: what it names is in any copy of the log that is taken after it.
+    """Copies the watermark before the segments: every record that it names is then in the copied log.
 
-    The segments that are there now are copied, and no later one: all but the last are whole."""
+    Only the segments that exist at the start are copied. All but the last one are complete."""
     numbers = sorted(number for name in source.names() if (number := frames.segment_number(name)) is not None)
-    for name in (MANIFEST_NAME, mark.NAME, *(frames.segment_name(number) for number in numbers)):
-        data = recovery.whole_file(source, name)
-        if name != MANIFEST_NAME and name != mark.NAME and not data:
+    for name in (MANIFEST_NAME, watermark.FILE_NAME, *(frames.segment_name(number) for number in numbers)):
+        data = recovery.read_file(source, name)
+        if name != MANIFEST_NAME and name != watermark.FILE_NAME and not data:
             continue
         file = copy.open(name, create=True)
         file.append(data)
@@ -119,8 +123,8 @@
 
 
 def compact(path: pathlib.Path, limits: Limits | None = None) -> tuple[int, int]:
-    """Cleans all segments of a store that nobody uses; its size before and after."""
-    existing(path)
+    """Cleans all segments of a store that no process uses. Returns its size in bytes before and after."""
+    open_existing(path)
     engine = Engine.open(DiskFolder(path), limits)
     try:
         before = engine.total_bytes
@@ -135,7 +139,7 @@
 
 @dataclass(slots=True)
 class Salvage:
-    """What can still be read of a store, and a line for everything that can't."""
+    """The records that are still readable, and a line for each thing that is not."""
 
     values: dict[str, bytes]
     dropped: list[str]
@@ -143,33 +147,34 @@
 
 
 def repair(path: pathlib.Path) -> list[str]:
-    """Makes a store of all that can still be read, and puts the damaged one aside, whole.
+    """Builds a store of all records that are still readable, and keeps the damaged one under another name.
 
-    Returns a line for each thing dropped, with file and offset; none if the store was sound, and is as it
-    was."""
-    folder = existing(path)
+    Returns a line for each thing dropped, with file and offset; none if the store was sound, which is then
+    unchanged."""
+    folder = open_existing(path)
     folder.lock()
     try:
         try:
-            if recovery.read(folder) is not None:
+            if recovery.read_store(folder) is not None:
                 return []
         except DamagedError:
             pass
-        salvage = read_what_can_be(folder)
-        fresh = path.with_name(f"{path.name}.repaired-{secrets.token_hex(4)}")
-        write_anew(DiskFolder(fresh), salvage)
-        aside = path.with_name(f"{path.name}.damaged-{secrets.token_hex(4)}")
-        path.rename(aside)
-        fresh.rename(path)
-        return [*salvage.dropped, f"the damaged store is kept as {aside.name}"]
+        salvage = salvage_records(folder)
+        repaired = path.with_name(f"{path.name}.repaired-{secrets.token_hex(4)}")
+        write_repaired_store(DiskFolder(repaired), salvage)
+        damaged = path.with_name(f"{path.name}.damaged-{secrets.token_hex(4)}")
+        path.rename(damaged)
+        repaired.rename(path)
+        return [*salvage.dropped, f"the damaged store is kept as {damaged.name}"]
     finally:
         folder.unlock()
 
 
-def read_what_can_be(folder: Folder) -> Salvage:
+def salvage_records(folder: Folder) -> Salvage:
+    """Reads every sound record of the log, and lists what was skipped."""
     salvage = Salvage({}, [])
     try:
-        found = recovery.manifest(folder)
+        found = recovery.read_manifest(folder)
     except DamagedError as problem:
         found = None
         salvage.dropped.append(str(problem))
@@ -178,47 +183,59 @@
     batch: list[Frame] = []
     for number in [number for number in numbers if number >= oldest]:
         name = frames.segment_name(number)
-        data = recovery.whole_file(folder, name)
-        at = SEGMENT.size if frames.read_fixed(SEGMENT, frames.SEGMENT_MAGIC, data) is not None else 0
-        if not at:
+        data = recovery.read_file(folder, name)
+        position = (
+            SEGMENT_HEADER.size
+            if frames.unpack_with_crc(SEGMENT_HEADER, frames.SEGMENT_MAGIC, data) is not None
+            else 0
+        )
+        if not position:
             salvage.dropped.append(f"{name}:0: its head")
-        while at < len(data):
-            frame = frames.decode(data, at)
+        while position < len(data):
+            frame = frames.decode(data, position)
             if frame is None or frame.sequence <= salvage.sequence:
-                end = next_frame(data, at + 1, salvage.sequence)
-                salvage.dropped.append(f"{name}:{at}: {end - at} bytes that hold no sound record")
-                at = end
+                end = find_next_frame(data, position + 1, salvage.sequence)
+                salvage.dropped.append(f"{name}:{position}: {end - position} bytes that hold no sound record")
+                position = end
                 continue
             if batch and frame.sequence != batch[-1].sequence + 1:
                 drop_batch(salvage, name, batch)
             lost = frame.sequence - salvage.sequence - 1
             if lost and salvage.sequence:
                 salvage.dropped.append(
-                    f"{name}:{at}: {lost} records before {frame.sequence} are lost: "
+                    f"{name}:{position}: {lost} records before {frame.sequence} are lost: "
                     "what they changed or deleted is as it was before them"
                 )
             salvage.sequence = frame.sequence
             batch.append(frame)
-            at += frame.size
+            position += frame.size
             if frame.last:
-                for one in batch:
-                    salvage.values.pop(one.key, None)
-                    if one.value is not None:
-                        salvage.values[one.key] = one.value
+                for change in batch:
+                    salvage.values.pop(change.key, None)
+                    if change.value is not None:
+                        salvage.values[change.key] = change.value
                 batch.clear()
     if batch:
         drop_batch(salvage, "the end", batch)
-    place = mark.read(recovery.whole_file(folder, mark.NAME)) if mark.NAME in folder.names() else None
-    if place is None:
-        salvage.dropped.append(f"{mark.NAME}:0: not readable: what was acknowledged can't be checked")
-    elif place[1] > salvage.sequence:
+    slot = (
+        watermark.read_slots(recovery.read_file(folder, watermark.FILE_NAME))
+        if watermark.FILE_NAME in folder.names()
+        else None
+    )
+    if slot is None:
+        salvage.dropped.append(
+            f"{watermark.FILE_NAME}:0: not readable: what was acknowledged can't be checked"
+        )
+    elif slot[1] > salvage.sequence:
         salvage.dropped.append(
-            f"{mark.NAME}:0: records {salvage.sequence + 1} to {place[1]} were acknowledged and are lost"
+            f"{watermark.FILE_NAME}:0: records {salvage.sequence + 1} to {slot[1]} "
+            "were acknowledged and are lost"
         )
     return salvage
 
 
 def drop_batch(salvage: Salvage, name: str, batch: list[Frame]) -> None:
+    """Lists a batch that has no end as dropped, and clears it."""
     salvage.dropped.append(
         f"{name}: records {batch[0].sequence} to {batch[-1].sequence}: "
         "a batch without its end: " + ", ".join(frame.key for frame in batch)
@@ -226,31 +243,31 @@
     batch.clear()
 
 
-def next_frame(data: bytes, at: int, sequence: int) -> int:
-    """Where the next sound frame begins, or the end."""
-    while at < len(data) - FRAME.size:
-        _, length, number, flags = FRAME.unpack_from(data, at)
+def find_next_frame(data: bytes, position: int, sequence: int) -> int:
+    """Returns the position of the next sound frame with a higher sequence number, or the end."""
+    while position < len(data) - FRAME_HEADER.size:
+        _, length, number, flags = FRAME_HEADER.unpack_from(data, position)
         if (
-            flags <= frames.LAST
+            flags <= frames.LAST_IN_BATCH
             and number > sequence
-            and at + FRAME.size + length <= len(data)
-            and frames.decode(data, at) is not None
+            and position + FRAME_HEADER.size + length <= len(data)
+            and frames.decode(data, position) is not None
         ):
-            return at
-        at += 1
+            return position
+        position += 1
     return len(data)
 
 
-def write_anew(folder: Folder, salvage: Salvage) -> None:
-    """A store with these records, their sequence numbers after those of the old one."""
-    store = secrets.randbits(32)
-    create(folder, store)
-    segment = Segment(1, salvage.sequence + 1, SEGMENT.size)
-    file = start_segment(folder, store, segment)
+def write_repaired_store(folder: Folder, salvage: Salvage) -> None:
+    """Creates a store with the salvaged records. Their sequence numbers follow those of the damaged store."""
+    store_id = secrets.randbits(32)
+    create_store(folder, store_id)
+    segment = Segment(1, salvage.sequence + 1, SEGMENT_HEADER.size)
+    file = create_segment(folder, store_id, segment)
     changes = list(salvage.values.items())
     sequence = salvage.sequence
-    for at in range(0, len(changes), BATCH):
-        part = changes[at : at + BATCH]
+    for position in range(0, len(changes), REPAIR_BATCH_RECORDS):
+        part = changes[position : position + REPAIR_BATCH_RECORDS]
         data = b"".join(
             frames.encode(change, sequence + 1 + number, number == len(part) - 1)
             for number, change in enumerate(part)
@@ -259,8 +276,8 @@
         file.append(data)
     file.sync()
     file.close()
-    write_manifest(folder, store, segment)
-    written = Mark.load(folder, store)
+    write_manifest(folder, store_id, segment)
+    written = Watermark.load(folder, store_id)
     written.sequence = sequence
-    written.settle()
+    written.write_both_slots()
     written.close()
--- a/standins/faulty.py
+++ b/standins/faulty.py
@@ -34,7 +34,7 @@
     real = DiskFile.append
 
     def append(self: DiskFile, data: bytes) -> None:
-        here = pathlib.Path(os.readlink(f"/proc/self/fd/{self._number}"))
+        here = pathlib.Path(os.readlink(f"/proc/self/fd/{self._descriptor}"))
         if flag.exists() and here.is_relative_to(folder):
             with flag.open("a", encoding="utf-8") as file:
                 file.write(f"{len(data)} bytes of {here.name}\n")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -24,7 +24,7 @@
 from frostport.store import tools
 from frostport.store.engine import Engine, Limits
 from frostport.store.files import DiskFolder
-from frostport.store.follow import Follower
+from frostport.store.follower import Follower
 from standins.files import MemoryFolder
 from standins.lobby import Books, Caller, Lobby, configuration
 from standins.ports import free_ports
@@ -75,10 +75,10 @@
         )
         if chance.random() < 0.5:
             engine.sync()
-        engine.tidy()
+        engine.run_background_step()
         if chance.random() < 0.05:
             engine.sync()
-            engine = engine.revive([("k0", chance.randbytes(8))])
+            engine = engine.reopen([("k0", chance.randbytes(8))])
         if chance.random() < 0.3:
             for key, value in follower.poll().items():
                 seen.pop(key, None)
@@ -339,7 +339,7 @@
     assert books.faults == []
     assert "Traceback" not in log and "stopped:" not in log, log[-2000:]
     found = tools.contents(tmp_path / "s.store")
-    assert found.torn == 0
+    assert found.torn_bytes == 0
     standing = [
         key
         for key, value in found.values.items()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -910,7 +910,7 @@
     told = world.agent.rules.servers["h0"]
     assert told.stop_at == START_MS
     assert world.agent.durability is not None
-    assert not [key for key in world.agent.durability.engine.places if key.startswith("call/")]
+    assert not [key for key in world.agent.durability.engine.locations if key.startswith("call/")]
 
 
 def test_a_record_of_a_later_version_is_named() -> None:
@@ -1118,7 +1118,7 @@
         self.wait(10_000.0)
         assert agent.durability is not None
         tables = ("call/", "owed/", "release/")
-        kept = [key for key in agent.durability.engine.places if key.startswith(tables)]
+        kept = [key for key in agent.durability.engine.locations if key.startswith(tables)]
         assert len(kept) <= 2, f"{kept} are never forgotten"
 
 
--- a/tests/test_sigkill.py
+++ b/tests/test_sigkill.py
@@ -118,7 +118,7 @@
     log = (tmp_path / "log").read_text(encoding="utf-8")
     assert "Traceback" not in log and "stopped:" not in log
     found = tools.contents(tmp_path / "s.store")
-    assert found.sequence > 1000 and found.torn == 0
+    assert found.sequence > 1000 and found.torn_bytes == 0
     standing = [
         key
         for key, value in found.values.items()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,8 +1,8 @@
-"""The store's engine under cuts, flipped bits, lost power and failing files, beside a plain dictionary.
+"""The store's engine under truncated files, flipped bits, power loss and I/O errors, compared with a plain
+dictionary.
 
-What every restart owes: the contents after some whole batch, none of the acknowledged ones missing, or a
-refusal
-that names the file. Lost power alone is never a reason to refuse.
+After every restart, the contents are those after some complete batch and no acknowledged batch is missing,
+or the store refuses to open and names the file. Power loss alone never leads to a refusal.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 from frostport.core.clock import SetClock
 from frostport.core.deadlines import Deadlines
-from frostport.store import committer, frames, mark, recovery, tools
-from frostport.store.engine import CLEAN, SPACE, Engine, Limits
+from frostport.store import committer, frames, recovery, tools, watermark
+from frostport.store.engine import CLEAN_RATIO, MAX_SPACE_RATIO, Engine, Limits
 from frostport.store.errors import (
     DamagedError,
     FailedError,
@@ -38,6 +38,7 @@
 
 
 def applied(model: Model, changes: list[frames.Change]) -> Model:
+    """The model after a batch."""
     after = dict(model)
     for key, value in changes:
         after.pop(key, None)
@@ -47,6 +48,7 @@
 
 
 def batches(chance: random.Random, count: int, keys: int = 9) -> Iterator[list[frames.Change]]:
+    """Draws batches of changes, with deletions."""
     for number in range(count):
         yield [
             (
@@ -58,23 +60,23 @@
 
 
 def small_store() -> tuple[MemoryFolder, Model, Model]:
-    """Several segments, a checkpoint, a cleaning under way, one batch not acknowledged; before and with
-    it."""
+    """A store with several segments, a checkpoint, an unfinished cleaning and one unacknowledged batch.
+    Returns its files, and the model without and with that batch."""
     folder, model = MemoryFolder(), Model()
-    engine = Engine.open(folder, SMALL, store=77)
+    engine = Engine.open(folder, SMALL, store_id=77)
     for number, changes in enumerate(batches(random.Random(5), 200, 40)):
         model = applied(model, changes)
         engine.append(changes)
         engine.sync()
         if number == 45:
             engine.checkpoint()
-        if number >= 60 and len(engine.segments[0].live) > 2:
+        if number >= 60 and len(engine.segments[0].live_keys) > 2:
             break
     oldest = engine.segments[0]
-    with mock.patch("frostport.store.engine.COPIES", 2):
-        engine._clean()
+    with mock.patch("frostport.store.engine.CLEAN_STEP_RECORDS", 2):
+        engine._clean_step()
     engine.sync()
-    assert engine.segments[0] is oldest and oldest.live  # some of it is copied, and it is still there
+    assert engine.segments[0] is oldest and oldest.live_keys  # partly copied, and still there
     last: list[frames.Change] = [("call/x", b"never acknowledged"), ("call/1", None)]
     engine.append(last)
     assert len(engine.segments) >= 3 and engine.checkpoints
@@ -82,11 +84,14 @@
 
 
 def reopened(folder: Folder) -> Model:
+    """Opens a store, verifies that it can be written to, and returns its contents."""
     engine = Engine.open(folder, SMALL)
     contents = engine.take_recovered()
     assert contents == dict(engine.values())
-    assert engine.digest >= 0 and engine.live_bytes == sum(place[SIZE] for place in engine.places.values())
-    engine.append([("after", b"1")])  # what came back can be written to
+    assert engine.digest >= 0 and engine.live_bytes == sum(
+        location[SIZE] for location in engine.locations.values()
+    )
+    engine.append([("after", b"1")])  # the recovered store accepts writes
     engine.sync()
     folder.unlock()
     return contents
@@ -97,12 +102,13 @@
 
 
 @pytest.mark.parametrize("how", ["cut", "flipped"])
-@pytest.mark.parametrize("worth", [0, 10**6], ids=["by index", "by log"])
+@pytest.mark.parametrize("min_log_ratio", [0, 10**6], ids=["by index", "by log"])
 def test_every_file_cut_and_flipped_at_every_byte(
-    how: str, worth: int, monkeypatch: pytest.MonkeyPatch
+    how: str, min_log_ratio: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A cut and a flipped bit are not a lost power: what was acknowledged is there, or the store says no."""
-    monkeypatch.setattr(recovery, "WORTH", worth)
+    """Truncation and flipped bits are damage, not power loss: the acknowledged records are there, or the
+    store refuses to open."""
+    monkeypatch.setattr(recovery, "INDEX_MIN_LOG_RATIO", min_log_ratio)
     folder, acknowledged, written = small_store()
     files = folder.contents()
     refused = came_back = 0
@@ -115,7 +121,7 @@
             except (DamagedError, UnknownFormatError) as problem:
                 refused += 1
                 assert str(problem).partition(":")[0] in {*files, "manifest", "mark"}
-                kept = found.contents()  # refused cleanly: the log is as it was
+                kept = found.contents()  # a refusal leaves the files unchanged, except for the index
                 assert all(kept[name] == before[name] for name in before if name != "index.db")
             else:
                 came_back += 1
@@ -125,7 +131,7 @@
 
 
 def test_files_cut_and_flipped_on_a_disk(tmp_path: pathlib.Path) -> None:
-    """The same through the real file layer, at every 23rd byte, the index being a file of SQLite itself."""
+    """The same on a real folder with a real SQLite file, at every 23rd byte."""
     folder, acknowledged, written = small_store()
     files = {**folder.contents(), "index.db": b""}
     base = tmp_path / "base"
@@ -165,71 +171,71 @@
                 Engine.open(MemoryFolder(left), SMALL)
 
 
-def life(folder: MemoryFolder, seed: int, told: dict[str, int], models: list[Model]) -> None:
-    """A store's life from its making: writes, syncs, cleanings, checkpoints, a clean end and a second
-    start."""
+def run_store(folder: MemoryFolder, seed: int, progress: dict[str, int], models: list[Model]) -> None:
+    """Creates a store, writes, syncs, cleans, checkpoints and closes it, then starts it once more."""
     chance = random.Random(seed)
     for _ in range(2):
-        engine = Engine.open(folder, SMALL, store=5)
+        engine = Engine.open(folder, SMALL, store_id=5)
         for changes in batches(chance, 14):
             models.append(applied(models[-1], changes))
             engine.append(changes)
             if chance.random() < 0.5:
                 engine.sync()
-                told["acknowledged"] = len(models) - 1
-            engine.tidy()
+                progress["acknowledged"] = len(models) - 1
+            engine.run_background_step()
         if chance.random() < 0.5:
             engine.compact()
         engine.close()
         assert engine.failure is None
-        told["acknowledged"] = len(models) - 1
+        progress["acknowledged"] = len(models) - 1
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_power_lost_at_every_step_of_a_life(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """At each operation on a file the power goes; the restart itself loses power, too, before it succeeds."""
-    monkeypatch.setattr(recovery, "WORTH", seed)
-    monkeypatch.setattr(mark, "SYNC_EVERY", 2)
+    """Power fails at each file operation, and again during the restarts that follow."""
+    monkeypatch.setattr(recovery, "INDEX_MIN_LOG_RATIO", seed)
+    monkeypatch.setattr(watermark, "WRITES_PER_SYNC", 2)
     whole = MemoryFolder()
-    life(whole, seed, {}, [{}])
+    run_store(whole, seed, {}, [{}])
     assert {"replace manifest", "remove log-0000000001", "image index.db"} <= set(whole.log)
     for step in range(1, whole.steps + 1):
         folder = MemoryFolder(chance=random.Random(step))
         folder.fail(step, PowerLostError)
-        told, models = {"acknowledged": 0}, [Model()]
+        progress, models = {"acknowledged": 0}, [Model()]
         with pytest.raises(PowerLostError):
-            life(folder, seed, told, models)
+            run_store(folder, seed, progress, models)
         for restart in range(4):
             chance = random.Random(f"{seed} {step} {restart}")
             found = folder.crash(chance)
             if restart < 3:
                 found.fail(chance.randint(1, 6), PowerLostError)
             try:
-                engine = Engine.open(found, SMALL, store=5)
+                engine = Engine.open(found, SMALL, store_id=5)
                 folder = found
                 contents = engine.take_recovered()
-                assert contents in models[told["acknowledged"] :], (step, restart)
-                told["acknowledged"] = len(models) - 1 - models[::-1].index(contents)
-                models = models[: told["acknowledged"] + 1]
+                assert contents in models[progress["acknowledged"] :], (step, restart)
+                progress["acknowledged"] = len(models) - 1 - models[::-1].index(contents)
+                models = models[: progress["acknowledged"] + 1]
                 engine.append([("later", b"%d" % restart)])
                 models.append(applied(models[-1], [("later", b"%d" % restart)]))
                 engine.sync()
-                told["acknowledged"] = len(models) - 1
+                progress["acknowledged"] = len(models) - 1
                 engine.compact()
             except PowerLostError:
                 folder = found
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """Any order of writes, syncs, steps in the background, faults and crashes, beside plain dictionaries."""
+    """Any order of writes, syncs, background steps, I/O errors and crashes, compared with plain
+    dictionaries."""
 
     @initialize(seed=st.integers(0, 2**32))
     def begin(self, seed: int) -> None:
         self.chance = random.Random(seed)
         self.folder = MemoryFolder(chance=self.chance)
         self.models: list[Model] = [{}]
-        self.acknowledged = 0  # the model that a restart has to come back with at least
-        self.engine = Engine.open(self.folder, SMALL, store=9)
+        self.acknowledged = 0  # the oldest model that a restart may bring back
+        self.engine = Engine.open(self.folder, SMALL, store_id=9)
 
     def guarded(self, action: str) -> bool:
         try:
@@ -250,7 +256,7 @@
         except LimitError:
             return
         except FailedError:
-            # A part of it may have been written: a restart may find it whole, where it was only not synced.
+            # A part of the batch may have been written: a restart may find all of it if only the sync failed.
             self.models.append(applied(self.models[-1], changes))
             return
         self.models.append(applied(self.models[-1], changes))
@@ -265,7 +271,7 @@
     @rule(steps=st.integers(1, 6))
     def tidy(self, steps: int) -> None:
         for _ in range(steps):
-            self.guarded("tidy")
+            self.guarded("run_background_step")
 
     @rule()
     def compact(self) -> None:
@@ -274,7 +280,7 @@
     @precondition(lambda self: self.engine.failure is None)
     @rule(after=st.integers(1, 12), number=st.sampled_from([5, 28]), lasting=st.booleans())
     def fault(self, after: int, number: int, lasting: bool) -> None:
-        """EIO or ENOSPC, some operations from now."""
+        """An I/O error (EIO) or a full disk (ENOSPC), some operations from now."""
         self.folder.fail(after, lambda: OSError(number, "scripted"), lasting)
 
     @rule(power=st.booleans())
@@ -292,7 +298,7 @@
         self.come_back()
 
     def come_back(self) -> None:
-        self.engine = Engine.open(self.folder, SMALL, store=9)
+        self.engine = Engine.open(self.folder, SMALL, store_id=9)
         contents = self.engine.take_recovered()
         assert contents in self.models[self.acknowledged :]
         self.models, self.acknowledged = [contents], 0
@@ -303,9 +309,12 @@
             return
         engine = self.engine
         assert engine.total_bytes == sum(segment.size for segment in engine.segments)
-        assert engine.total_bytes <= SPACE * engine.live_bytes + SMALL.segment_bytes + 2 * SMALL.record_bytes
+        assert (
+            engine.total_bytes
+            <= MAX_SPACE_RATIO * engine.live_bytes + SMALL.segment_bytes + 2 * SMALL.record_bytes
+        )
         assert dict(engine.values()) == self.models[-1]
-        assert {key for segment in engine.segments for key in segment.live} == engine.places.keys()
+        assert {key for segment in engine.segments for key in segment.live_keys} == engine.locations.keys()
         assert engine.live_bytes <= SMALL.store_bytes
 
 
@@ -328,11 +337,11 @@
             [(f"call/{(number * 16 + at) % 400}", bytes(90)) for at in range(16)]
             + [(f"cold/{number}", bytes(90))] * (number < 200)
         )
-        engine.tidy()
+        engine.run_background_step()
         on_disk = sum(path.stat().st_size for path in tmp_path.glob("log-*"))
         assert on_disk == engine.total_bytes
         worst = max(worst, (on_disk - limits.segment_bytes) / engine.live_bytes)
-    assert CLEAN - 1.0 < worst <= SPACE
+    assert CLEAN_RATIO - 1.0 < worst <= MAX_SPACE_RATIO
     assert engine.cleaned > 20 and engine.checkpoints > 5
     engine.close()
 
@@ -347,11 +356,11 @@
     for action in (engine.sync, lambda: engine.append([("b", b"2")])):
         with pytest.raises(FailedError):
             action()
-    assert engine.synced == 0 and not engine.tidy()
+    assert engine.synced == 0 and not engine.run_background_step()
 
 
-class Turns:
-    """A worker whose jobs run when told."""
+class ManualWorker:
+    """A worker that runs its jobs only in `run` and `finish`."""
 
     def __init__(self) -> None:
         self.jobs: list[Callable[[], Callable[[], None]]] = []
@@ -370,59 +379,60 @@
 @pytest.mark.parametrize("how", committer.Durability)
 @pytest.mark.parametrize("seed", range(20))
 def test_a_store_that_failed_goes_on_with_all_that_changed(seed: int, how: committer.Durability) -> None:
-    """Random faults at any operation, some lasting: whenever the store says open again, a restart after power
-    loss brings back everything told before the last promise, and nothing older than it."""
+    """I/O errors at random operations, some lasting. Whenever the store reports that it is open again, a
+    restart after power loss brings back all that was written before the last acknowledgement, and nothing
+    older."""
     chance = random.Random(seed)
-    folder, worker, revived = MemoryFolder(chance=chance), Turns(), 0
+    folder, worker, revived = MemoryFolder(chance=chance), ManualWorker(), 0
     limits = Limits(segment_bytes=2048, record_bytes=256, store_bytes=64 * 1024, checkpoint_records=20)
     clock, deadlines = SetClock(), Deadlines()
-    at = committer.Committer(Engine.open(folder, limits), worker, clock, deadlines, how)
+    store_committer = committer.Committer(Engine.open(folder, limits), worker, clock, deadlines, how)
     model, promised = Model(), Model()
     for _ in range(300):
         if chance.random() < 0.03:
             folder.fail(chance.randint(1, 12), lambda: OSError(28, "no space"), chance.random() < 0.5)
-        if at.state is committer.State.FAILED and chance.random() < 0.2:
+        if store_committer.state is committer.State.FAILED and chance.random() < 0.2:
             folder.fails_at, folder.lasting = -1, False
         changes: list[frames.Change] = [
             (f"k{chance.randrange(9)}", None if chance.random() < 0.3 else chance.randbytes(20))
             for _ in range(chance.randint(1, 4))
         ]
         model = applied(model, changes)
-        told = dict(model)
+        current = dict(model)
         heard: list[bool] = []
-        before = at.state
-        at.write(changes, lambda heard=heard: heard.append(True))  # type: ignore[misc]
+        before = store_committer.state
+        store_committer.write(changes, lambda heard=heard: heard.append(True))  # type: ignore[misc]
         clock.at += chance.choice((1.0, 200.0, 1100.0))
         for _ in range(3):
             deadlines.run(clock.at)
             worker.run()
-        revived += before is committer.State.FAILED and at.state is committer.State.OPEN
+        revived += before is committer.State.FAILED and store_committer.state is committer.State.OPEN
         assert heard
-        if at.state is committer.State.OPEN and (
+        if store_committer.state is committer.State.OPEN and (
             how is committer.Durability.ALWAYS or before is committer.State.FAILED
         ):
-            promised = told
-            if at.engine.synced == at.engine.sequence:
+            promised = current
+            if store_committer.engine.synced == store_committer.engine.sequence:
                 assert reopened(folder.crash(chance)) == promised
     assert revived > 1
     folder.fails_at, folder.lasting = -1, False
-    while at.state is committer.State.FAILED:
+    while store_committer.state is committer.State.FAILED:
         clock.at += 31_000.0
         deadlines.run(clock.at)
         worker.run()
-    at.close()
+    store_committer.close()
     assert reopened(folder.killed()) == model
 
 
 def test_past_its_limit_a_failed_store_says_that_a_restart_is_needed(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(committer, "KEPT_MOST", 5)
-    folder, worker, clock, deadlines = MemoryFolder(), Turns(), SetClock(), Deadlines()
-    at = committer.Committer(Engine.open(folder, SMALL), worker, clock, deadlines)
+    monkeypatch.setattr(committer, "MAX_UNWRITTEN_KEYS", 5)
+    folder, worker, clock, deadlines = MemoryFolder(), ManualWorker(), SetClock(), Deadlines()
+    store_committer = committer.Committer(Engine.open(folder, SMALL), worker, clock, deadlines)
     folder.fail(1, lambda: OSError(28, "no space"), lasting=True)
     for number in range(8):
-        at.write([(f"k{number}", b"x")])
+        store_committer.write([(f"k{number}", b"x")])
         clock.at += 100.0
         deadlines.run(clock.at)
         worker.run()
@@ -430,8 +440,8 @@
     clock.at += 60_000.0
     deadlines.run(clock.at)
     worker.run()
-    assert at.state is committer.State.FAILED
-    assert "can't go on without a restart: 6 records changed" in caplog.text
+    assert store_committer.state is committer.State.FAILED
+    assert "unusable until a restart: 6 records changed" in caplog.text
 
 
 def test_limits_one_writer_and_formats() -> None:
@@ -461,14 +471,14 @@
 
 def test_an_index_of_an_earlier_time_or_of_another_store_changes_nothing() -> None:
     folder = MemoryFolder()
-    engine = Engine.open(folder, SMALL, store=1)
+    engine = Engine.open(folder, SMALL, store_id=1)
     images: list[bytes] = []
     model: Model = {}
     for changes in batches(random.Random(2), 60):
         engine.append(changes)
         model = applied(model, changes)
         engine.sync()
-        while engine.tidy():
+        while engine.run_background_step():
             pass
         image = folder.contents().get("index.db")
         if image and image not in images:
@@ -477,7 +487,7 @@
     for image in images:
         assert reopened(MemoryFolder({**folder.contents(), "index.db": image})) == model
     other = MemoryFolder()
-    stranger = Engine.open(other, SMALL, store=2)
+    stranger = Engine.open(other, SMALL, store_id=2)
     stranger.append([("call/1", b"another store's")])
     stranger.close()
     foreign = other.contents()["index.db"]
@@ -498,9 +508,9 @@
     ],
 )
 def test_an_index_that_was_changed_costs_only_the_index(change: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(recovery, "WORTH", 0)
+    monkeypatch.setattr(recovery, "INDEX_MIN_LOG_RATIO", 0)
     folder = MemoryFolder()
-    engine = Engine.open(folder, SMALL, store=1)
+    engine = Engine.open(folder, SMALL, store_id=1)
     engine.append([(f"call/{number}", b"%d" % number) for number in range(8)])
     engine.close()
     database = folder.database("index.db")
@@ -514,18 +524,18 @@
     engine = Engine.open(DiskFolder(tmp_path), limits)
     for number in range(3000):
         engine.append([(f"call/{number % 100}", bytes(64))])
-        engine.tidy()
+        engine.run_background_step()
     engine.close()
     folder = DiskFolder(tmp_path)
     index = Index(folder)
     index.open()
-    contents = recovery.read(folder, index)
+    contents = recovery.read_store(folder, index)
     index.close()
-    assert contents is not None and contents.from_index is not None and len(contents.values) == 100
+    assert contents is not None and contents.verified_checkpoint is not None and len(contents.values) == 100
 
 
 def test_backup_verify_and_repair(tmp_path: pathlib.Path) -> None:
-    """A copy taken beside a running writer is whole; a repair keeps what can be read and names what it
+    """A backup taken while an engine writes is complete; a repair keeps what can be read and names what it
     drops."""
     source = tmp_path / "store"
     engine = Engine.open(DiskFolder(source), SMALL)
@@ -534,7 +544,7 @@
         engine.append(changes)
         model = applied(model, changes)
         engine.sync()
-        engine.tidy()
+        engine.run_background_step()
         if number == 40:
             tools.backup(source, tmp_path / "copy")
             copied = dict(model)
@@ -547,7 +557,7 @@
     data = bytearray(log.read_bytes())
     contents = tools.contents(source)
     first = contents.segments[0].number
-    at = min(place[OFFSET] for place in contents.places.values() if place[SEGMENT] == first)
+    at = min(location[OFFSET] for location in contents.locations.values() if location[SEGMENT] == first)
     data[at + 20] ^= 4
     log.write_bytes(data)
     with pytest.raises(DamagedError, match=f"{log.name}:"):
--- a/tests/test_store_commands.py
+++ b/tests/test_store_commands.py
@@ -1,4 +1,4 @@
-"""The store's configuration, its schema, and the commands that look after it."""
+"""The store's configuration, its schema, and the `store` sub-commands."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 
 
 def example(name: str = "store.json") -> dict[str, Any]:
+    """Loads an example configuration."""
     loaded: dict[str, Any] = json.loads((ROOT / "deploy" / name).read_text(encoding="utf-8"))
     return loaded
 
@@ -61,8 +62,8 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(record), encoding="utf-8")
     assert main(["check-config", "--config", str(path)]) == 2
-    told = capsys.readouterr().err
-    assert told.startswith(f"frostport: configuration: store.{field}: ") and told.count("\n") == 1
+    message = capsys.readouterr().err
+    assert message.startswith(f"frostport: configuration: store.{field}: ") and message.count("\n") == 1
 
 
 def test_the_schema_names_what_the_reader_knows() -> None:
@@ -75,7 +76,8 @@
             assert (entry["minimum"], entry["maximum"]) == config.STORE_SIZES[field]
 
 
-def told(capsys: pytest.CaptureFixture[str], *arguments: object) -> tuple[int, str, str]:
+def run_store_command(capsys: pytest.CaptureFixture[str], *arguments: object) -> tuple[int, str, str]:
+    """Runs a `store` sub-command; returns exit status, standard output and standard error."""
     code = main(["store", *map(str, arguments)])
     out, err = capsys.readouterr()
     return code, out, err
@@ -87,12 +89,12 @@
     engine.append([("call/a", records.encode(records.Open("h0", 1.0, 2.0, 1, "race", "t", "c", 7)))])
     engine.append([("bus", records.encode(records.Bus(number, 2, 3.0))) for number in range(100)])
     engine.sync()
-    code, out, _ = told(capsys, "verify", path)
+    code, out, _ = run_store_command(capsys, "verify", path)
     assert code == 0 and "sound: 2 records" in out and "101 of 101 acknowledged" in out
-    assert told(capsys, "compact", path)[0] == 2  # an agent holds it
-    assert told(capsys, "backup", path, tmp_path / "copy")[0] == 0
+    assert run_store_command(capsys, "compact", path)[0] == 2  # the engine above holds its lock
+    assert run_store_command(capsys, "backup", path, tmp_path / "copy")[0] == 0
     engine.close()
-    code, out, _ = told(capsys, "dump", tmp_path / "copy")
+    code, out, _ = run_store_command(capsys, "dump", tmp_path / "copy")
     lines = [json.loads(line) for line in out.splitlines()]
     assert lines == [
         {"key": "bus", "kind": "Bus", "offset": 99, "version": 2, "at": 3.0},
@@ -109,10 +111,10 @@
             "identity": 7,
         },
     ]
-    code, out, _ = told(capsys, "compact", path)
+    code, out, _ = run_store_command(capsys, "compact", path)
     before, after = int(out.split()[0]), int(out.split()[3])
     assert code == 0 and after < before / 10
-    assert told(capsys, "repair", path) == (0, "sound: nothing was changed\n", "")
+    assert run_store_command(capsys, "repair", path) == (0, "sound: nothing was changed\n", "")
 
 
 def test_commands_name_file_and_offset(tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -125,18 +127,18 @@
     log = path / "log-0000000001"
     data = log.read_bytes()
     log.write_bytes(data[:-3])
-    code, _, err = told(capsys, "verify", path)
+    code, _, err = run_store_command(capsys, "verify", path)
     assert (code, err.count("\n")) == (2, 1) and err.startswith("frostport: store: log-0000000001:")
     record = {**example(), "listen": "127.0.0.1:0", "store": {"path": "s"}}
     del record["contracts"]
     (tmp_path / "config.json").write_text(json.dumps(record), encoding="utf-8")
     assert main(["serve", "--config", str(tmp_path / "config.json")]) == 2
     assert capsys.readouterr().err.splitlines()[-1].startswith("frostport: store: log-0000000001:")
-    code, out, _ = told(capsys, "repair", path)
+    code, out, _ = run_store_command(capsys, "repair", path)
     assert code == 0 and "bytes that hold no sound record" in out and "were acknowledged and are lost" in out
-    assert told(capsys, "verify", path)[0] == 0
+    assert run_store_command(capsys, "verify", path)[0] == 0
     for arguments in (("verify", tmp_path / "none"), ("dump", tmp_path), ("backup", path, path)):
-        code, _, err = told(capsys, *arguments)
+        code, _, err = run_store_command(capsys, *arguments)
         assert (code, err.count("\n")) == (2, 1)
 
 
