--- a/frostport/replication/__init__.py
+++ b/frostport/replication/__init__.py
@@ -1,1 +1,3 @@
-"""Replication among call agents: streams, copies, epochs, the rule for copies that differ. Decisions only."""
+"""Replication of state among call agents: streams, copies, epochs and reconciliation. Pure logic, without
+I/O.
+"""
--- a/frostport/replication/holder.py
+++ b/frostport/replication/holder.py
@@ -1,8 +1,9 @@
-"""A holder's side: copies of other agents' streams, each by its epoch. Decisions only.
+"""The holder's side: copies of other agents' streams, one for each epoch. Pure logic, without I/O.
 
-`handle(event)` returns what to keep and then to say: nothing is said before it is kept. Invariants: a copy of
-an epoch that is over changes no more (R5); a copy says that it is whole only after its digest was the owner's
-after the same batch (R4); what was confirmed is not given up before the log says that it may be (R3).
+`handle(message)` returns what to write and what to send; nothing may be sent before the writes are
+durable. Invariants: the copy of an ended epoch no longer changes (R5); a copy is reported as verified only
+after its digest matched the owner's after the same batch (R4); confirmed records are kept until the agreed
+log allows their deletion (R3).
 """
 
 from __future__ import annotations
@@ -13,280 +14,322 @@
 
 import msgspec
 
-from frostport.replication.copies import Table
 from frostport.replication.messages import (
     Ack,
     Append,
-    Check,
     Digests,
-    Gather,
+    GatherRequest,
     Message,
-    Piece,
+    RangePart,
+    RangesWanted,
     Refused,
-    Rest,
-    Wants,
+    Remainder,
+    Verify,
 )
+from frostport.replication.reconciliation import DigestTable
 
-TAIL = 4000  # batches back to which deletions are known
-PART_BYTES = 256 * 1024  # of what a successor is told at a time
-COPY, META = "copy/", "copies/"  # keys of what is kept
-BETWEEN = "\0"
+MAX_TOMBSTONES = 4000  # deletions remembered in each copy; the oldest are dropped first
+REMAINDER_PART_BYTES = 256 * 1024  # size of one part sent to a successor
+RECORD_PREFIX, PROGRESS_PREFIX = "copy/", "copies/"  # prefixes of storage keys
+SEPARATOR = "\0"
 
 
-class Meta(msgspec.Struct, array_like=True, frozen=True):
-    """How far a copy is."""
+class CopyProgress(msgspec.Struct, array_like=True, frozen=True):
+    """How far a copy has come, as it is stored."""
 
-    at: int
-    whole: bool
+    batch_number: int
+    verified: bool
 
 
-class Kept(msgspec.Struct, array_like=True, frozen=True):
-    """One record of a copy; None: it was deleted then."""
+class StoredRecord(msgspec.Struct, array_like=True, frozen=True):
+    """One record of a copy, as it is stored; `value` None: a tombstone."""
 
     number: int
     value: bytes | None
 
 
-_meta, _kept = msgspec.msgpack.Decoder(Meta), msgspec.msgpack.Decoder(Kept)
+_progress_decoder, _record_decoder = (
+    msgspec.msgpack.Decoder(CopyProgress),
+    msgspec.msgpack.Decoder(StoredRecord),
+)
 encode = msgspec.msgpack.Encoder().encode
 
 
 @dataclass(slots=True)
-class Copy:
-    """One stream as far as it is here."""
+class StreamCopy:
+    """The copy of one stream."""
 
     owner: str
     epoch: int
-    table: Table = field(default_factory=Table)
-    at: int = 0
-    whole: bool = False
-    over: bool = False
-    wanted: set[int] = field(default_factory=set)  # ranges still to come
-    parts: dict[int, dict[str, bytes]] = field(default_factory=dict)  # of those under way
+    table: DigestTable = field(default_factory=DigestTable)
+    batch_number: int = 0
+    verified: bool = False
+    ended: bool = False
+    missing_ranges: set[int] = field(default_factory=set)  # ranges not received yet
+    partial_ranges: dict[int, dict[str, bytes]] = field(default_factory=dict)  # entries of incomplete ranges
     next_part: dict[int, int] = field(default_factory=dict)
-    gone: OrderedDict[str, int] = field(default_factory=OrderedDict)  # deletions, the oldest first
-    begun: bool = False  # its owner's digests have come in this life
-    round: int = 0  # and of which round they were
+    # numbers of deletions, oldest first
+    tombstones: OrderedDict[str, int] = field(default_factory=OrderedDict)
+    digests_received: bool = False  # since this process started
+    round: int = 0  # of those digests
 
-    def number(self, name: str) -> int:
-        """Of the last write of a key, as far as it is known."""
+    def last_write_number(self, name: str) -> int:
+        """Returns the number of a key's last write, 0 if it is unknown."""
         entry = self.table.entries.get(name)
-        return entry[0] if entry is not None else self.gone.get(name, 0)
+        return entry[0] if entry is not None else self.tombstones.get(name, 0)
 
-    def after(self, number: int) -> list[tuple[str, int, bytes | None]]:
-        """All that was written behind a batch: keys, numbers, values."""
+    def written_after(self, number: int) -> list[tuple[str, int, bytes | None]]:
+        """Returns all writes after a batch: keys, numbers, values."""
         found: list[tuple[str, int, bytes | None]] = [
-            (name, at, value) for name, (at, value) in self.table.entries.items() if at > number
+            (name, batch_number, value)
+            for name, (batch_number, value) in self.table.entries.items()
+            if batch_number > number
+        ]
+        return found + [
+            (name, batch_number, None)
+            for name, batch_number in self.tombstones.items()
+            if batch_number > number
         ]
-        return found + [(name, at, None) for name, at in self.gone.items() if at > number]
 
-    def name(self) -> str:
-        return f"{self.owner}{BETWEEN}{self.epoch}"
+    def stream_key(self) -> str:
+        """Returns the part of the storage keys that names the stream."""
+        return f"{self.owner}{SEPARATOR}{self.epoch}"
 
 
 @dataclass(slots=True)
 class Output:
-    """What is to be kept, and said after that."""
+    """What to write, and what to send once it is durable."""
 
-    keep: list[tuple[str, bytes | None]] = field(default_factory=list)
-    send: list[tuple[str, Message]] = field(default_factory=list)
+    writes: list[tuple[str, bytes | None]] = field(default_factory=list)
+    messages: list[tuple[str, Message]] = field(default_factory=list)
 
 
 class Holder:
-    """All copies of one agent. `kept`: what its disk has of them."""
-
-    def __init__(self, kept: Mapping[str, bytes]) -> None:
-        self.copies: dict[tuple[str, int], Copy] = {}
-        self.least: dict[str, int] = {}  # by owner: epochs before this are over
-        for key, value in kept.items():
-            if key.startswith(META):
-                meta = _meta.decode(value)
-                copy = self._copy(*self._named(key[len(META) :]))
-                copy.at, copy.whole = meta.at, meta.whole
-            elif key.startswith(COPY):
-                owner, epoch, name = key[len(COPY) :].split(BETWEEN, 2)
-                record = _kept.decode(value)
-                copy = self._copy(owner, int(epoch))
+    """All copies held by one agent. `stored`: its records on disk."""
+
+    def __init__(self, stored: Mapping[str, bytes]) -> None:
+        self.copies: dict[tuple[str, int], StreamCopy] = {}
+        self.min_epoch: dict[str, int] = {}  # by owner: all earlier epochs have ended
+        for key, value in stored.items():
+            if key.startswith(PROGRESS_PREFIX):
+                progress = _progress_decoder.decode(value)
+                copy = self._get_copy(*self._parse_stream_key(key[len(PROGRESS_PREFIX) :]))
+                copy.batch_number, copy.verified = progress.batch_number, progress.verified
+            elif key.startswith(RECORD_PREFIX):
+                owner, epoch, name = key[len(RECORD_PREFIX) :].split(SEPARATOR, 2)
+                record = _record_decoder.decode(value)
+                copy = self._get_copy(owner, int(epoch))
                 copy.table.put(name, record.number, record.value)
                 if record.value is None:
-                    copy.gone[name] = record.number
+                    copy.tombstones[name] = record.number
         for copy in self.copies.values():
-            copy.gone = OrderedDict(sorted(copy.gone.items(), key=lambda item: item[1]))
+            copy.tombstones = OrderedDict(sorted(copy.tombstones.items(), key=lambda item: item[1]))
 
     @staticmethod
-    def _named(name: str) -> tuple[str, int]:
-        owner, _, epoch = name.rpartition(BETWEEN)
+    def _parse_stream_key(name: str) -> tuple[str, int]:
+        owner, _, epoch = name.rpartition(SEPARATOR)
         return owner, int(epoch)
 
-    def _copy(self, owner: str, epoch: int) -> Copy:
-        return self.copies.setdefault((owner, epoch), Copy(owner, epoch))
+    def _get_copy(self, owner: str, epoch: int) -> StreamCopy:
+        return self.copies.setdefault((owner, epoch), StreamCopy(owner, epoch))
 
-    # What the agreed log says
+    # Decisions of the agreed log
 
-    def ended(self, owner: str, epoch: int) -> None:
-        """Nobody writes this epoch, or one before it, any more."""
-        self.least[owner] = max(self.least.get(owner, 0), epoch + 1)
+    def end_epoch(self, owner: str, epoch: int) -> None:
+        """Marks this epoch and all earlier ones of the owner as ended."""
+        self.min_epoch[owner] = max(self.min_epoch.get(owner, 0), epoch + 1)
         for copy in self.copies.values():
             if copy.owner == owner and copy.epoch <= epoch:
-                copy.over = True
+                copy.ended = True
 
-    def forget(self, owner: str, epoch: int) -> Output:
-        """Its records are elsewhere."""
+    def drop_copy(self, owner: str, epoch: int) -> Output:
+        """Deletes a copy whose records are in another stream."""
         out = Output()
         copy = self.copies.pop((owner, epoch), None)
         if copy is not None:
-            out.keep.append((META + copy.name(), None))
-            out.keep += [(self._key(copy, name), None) for name in (*copy.table.entries, *copy.gone)]
+            out.writes.append((PROGRESS_PREFIX + copy.stream_key(), None))
+            out.writes += [
+                (self._record_key(copy, name), None) for name in (*copy.table.entries, *copy.tombstones)
+            ]
         return out
 
-    # What owners and successors say
+    # Messages of owners and successors
 
     def handle(self, sender: str, message: Message) -> Output:
+        """Handles a message of an owner or a successor."""
         out = Output()
         match message:
-            case Gather():
-                self._rest(sender, message, out)
-            case Append() | Digests() | Piece() | Check():
-                if message.epoch < self.least.get(message.owner, 0):
-                    out.send.append((sender, Refused(message.owner, message.epoch)))
+            case GatherRequest():
+                self._send_remainder(sender, message, out)
+            case Append() | Digests() | RangePart() | Verify():
+                if message.epoch < self.min_epoch.get(message.owner, 0):
+                    out.messages.append((sender, Refused(message.owner, message.epoch)))
                 elif sender == message.owner:
                     self._from_owner(message, out)
         return out
 
-    def _from_owner(self, message: Append | Digests | Piece | Check, out: Output) -> None:
+    def _from_owner(self, message: Append | Digests | RangePart | Verify, out: Output) -> None:
         owner, epoch = message.owner, message.epoch
         copy = self.copies.get((owner, epoch))
         if copy is None:
-            copy = self._copy(owner, epoch)
-            self._inherit(copy, out)
-        if copy.over:
-            out.send.append((owner, Refused(owner, epoch)))
+            copy = self._get_copy(owner, epoch)
+            self._copy_previous_epoch(copy, out)
+        if copy.ended:
+            out.messages.append((owner, Refused(owner, epoch)))
             return
         match message:
             case Digests():
-                self._begin(copy, message, out)
+                self._start_round(copy, message, out)
             case Append():
-                self._append(copy, message, out)
-            case Piece():
-                self._piece(copy, message, out)
-            case Check():
-                self._check(copy, message, out)
-
-    def _inherit(self, copy: Copy, out: Output) -> None:
-        """A later epoch of the same owner begins with what is here of the one before: most of it is the same.
-
-        The earlier copy stays: the log says when it may go."""
-        before = [
-            each for each in self.copies.values() if each.owner == copy.owner and each.epoch < copy.epoch
+                self._apply_batches(copy, message, out)
+            case RangePart():
+                self._apply_part(copy, message, out)
+            case Verify():
+                self._verify(copy, message, out)
+
+    def _copy_previous_epoch(self, copy: StreamCopy, out: Output) -> None:
+        """Starts the copy of a new epoch from that of the owner's previous epoch: most records are the
+        same.
+
+        The previous copy stays until the agreed log allows its deletion."""
+        previous_copies = [
+            other for other in self.copies.values() if other.owner == copy.owner and other.epoch < copy.epoch
         ]
-        if before:
-            for name, (_, value) in max(before, key=lambda each: each.epoch).table.entries.items():
-                self._put(copy, name, 0, value, out)
+        if previous_copies:
+            for name, (_, value) in max(previous_copies, key=lambda other: other.epoch).table.entries.items():
+                self._put_record(copy, name, 0, value, out)
 
-    def _key(self, copy: Copy, name: str) -> str:
-        return f"{COPY}{copy.name()}{BETWEEN}{name}"
+    def _record_key(self, copy: StreamCopy, name: str) -> str:
+        return f"{RECORD_PREFIX}{copy.stream_key()}{SEPARATOR}{name}"
 
-    def _put(self, copy: Copy, name: str, number: int, value: bytes | None, out: Output) -> None:
+    def _put_record(self, copy: StreamCopy, name: str, number: int, value: bytes | None, out: Output) -> None:
         copy.table.put(name, number, value)
-        copy.gone.pop(name, None)
+        copy.tombstones.pop(name, None)
         if value is None:
-            copy.gone[name] = number
-            while len(copy.gone) > TAIL:
-                out.keep.append((self._key(copy, copy.gone.popitem(last=False)[0]), None))
-        out.keep.append((self._key(copy, name), encode(Kept(number, value))))
-
-    def _mark(self, copy: Copy, out: Output) -> None:
-        out.keep.append((META + copy.name(), encode(Meta(copy.at, copy.whole))))
+            copy.tombstones[name] = number
+            while len(copy.tombstones) > MAX_TOMBSTONES:
+                out.writes.append((self._record_key(copy, copy.tombstones.popitem(last=False)[0]), None))
+        out.writes.append((self._record_key(copy, name), encode(StoredRecord(number, value))))
+
+    def _save_progress(self, copy: StreamCopy, out: Output) -> None:
+        out.writes.append(
+            (PROGRESS_PREFIX + copy.stream_key(), encode(CopyProgress(copy.batch_number, copy.verified)))
+        )
 
-    def _begin(self, copy: Copy, message: Digests, out: Output) -> None:
-        copy.wanted = set(copy.table.differing(message.leaves))
-        copy.parts.clear()
+    def _start_round(self, copy: StreamCopy, message: Digests, out: Output) -> None:
+        copy.missing_ranges = set(copy.table.differing_ranges(message.leaves))
+        copy.partial_ranges.clear()
         copy.next_part.clear()
-        copy.at, copy.whole, copy.begun, copy.round = message.at, False, True, message.round
-        self._mark(copy, out)
-        out.send.append(
-            (copy.owner, Wants(copy.owner, copy.epoch, copy.at, tuple(sorted(copy.wanted)), copy.round))
+        copy.batch_number, copy.verified, copy.digests_received, copy.round = (
+            message.batch_number,
+            False,
+            True,
+            message.round,
         )
-        if not copy.wanted:
+        self._save_progress(copy, out)
+        out.messages.append(
+            (
+                copy.owner,
+                RangesWanted(
+                    copy.owner, copy.epoch, copy.batch_number, tuple(sorted(copy.missing_ranges)), copy.round
+                ),
+            )
+        )
+        if not copy.missing_ranges:
             self._ack(copy, out)
 
-    def _ack(self, copy: Copy, out: Output) -> None:
-        has = copy.begun and not copy.wanted and not copy.whole
-        out.send.append((copy.owner, Ack(copy.owner, copy.epoch, copy.at, copy.whole, has, copy.round)))
+    def _ack(self, copy: StreamCopy, out: Output) -> None:
+        complete = copy.digests_received and not copy.missing_ranges and not copy.verified
+        out.messages.append(
+            (copy.owner, Ack(copy.owner, copy.epoch, copy.batch_number, copy.verified, complete, copy.round))
+        )
 
-    def _anew(self, copy: Copy, out: Output) -> None:
-        copy.begun = False
-        out.send.append((copy.owner, Digests(copy.owner, copy.epoch, copy.at, b"", copy.round)))
+    def _request_round(self, copy: StreamCopy, out: Output) -> None:
+        copy.digests_received = False
+        out.messages.append((copy.owner, Digests(copy.owner, copy.epoch, copy.batch_number, b"", copy.round)))
 
-    def _append(self, copy: Copy, message: Append, out: Output) -> None:
-        if not copy.begun and not copy.whole:
-            self._anew(copy, out)
+    def _apply_batches(self, copy: StreamCopy, message: Append, out: Output) -> None:
+        if not copy.digests_received and not copy.verified:
+            self._request_round(copy, out)
             return
-        if message.first <= copy.at + 1:
+        if message.first <= copy.batch_number + 1:
             for number, batch in enumerate(message.batches, start=message.first):
-                if number > copy.at:
+                if number > copy.batch_number:
                     for name, value in batch:
-                        self._put(copy, name, number, value, out)
-                    copy.at = number
-            self._mark(copy, out)
-        self._ack(copy, out)  # where something is missing: the owner goes on from there
-
-    def _piece(self, copy: Copy, message: Piece, out: Output) -> None:
-        where = message.range
-        if not copy.begun:
-            self._anew(copy, out)
-        if not copy.begun or where not in copy.wanted or message.round != copy.round:
+                        self._put_record(copy, name, number, value, out)
+                    copy.batch_number = number
+            self._save_progress(copy, out)
+        self._ack(copy, out)  # if batches are missing, the owner continues from the acknowledged one
+
+    def _apply_part(self, copy: StreamCopy, message: RangePart, out: Output) -> None:
+        range_number = message.range_number
+        if not copy.digests_received:
+            self._request_round(copy, out)
+        if (
+            not copy.digests_received
+            or range_number not in copy.missing_ranges
+            or message.round != copy.round
+        ):
             return
-        if message.part != copy.next_part.get(where, 0) or message.at > copy.at:
-            if message.part != 0 or message.at > copy.at:  # a part, or what came before it, was lost
-                self._anew(copy, out)
+        if message.part != copy.next_part.get(range_number, 0) or message.batch_number > copy.batch_number:
+            # a part, or an earlier message, was lost
+            if message.part != 0 or message.batch_number > copy.batch_number:
+                self._request_round(copy, out)
                 return
-            copy.parts.pop(where, None)  # told anew
-        copy.next_part[where] = message.part + 1
-        told = copy.parts.setdefault(where, {})
-        told.update(message.entries)
+            copy.partial_ranges.pop(range_number, None)  # the owner sends the range again
+        copy.next_part[range_number] = message.part + 1
+        entries = copy.partial_ranges.setdefault(range_number, {})
+        entries.update(message.entries)
         if not message.last:
             return
-        del copy.parts[where], copy.next_part[where]
-        copy.wanted.discard(where)
-        for name in sorted(copy.table.ranges[where] - told.keys()):
-            if copy.table.entries[name][0] <= message.at:
-                self._put(copy, name, message.at, None, out)
-        for name, value in told.items():
-            if copy.number(name) <= message.at and copy.table.entries.get(name, (0, b""))[1] != value:
-                self._put(copy, name, message.at, value, out)
-        if not copy.wanted:
+        del copy.partial_ranges[range_number], copy.next_part[range_number]
+        copy.missing_ranges.discard(range_number)
+        for name in sorted(copy.table.keys_by_range[range_number] - entries.keys()):
+            if copy.table.entries[name][0] <= message.batch_number:
+                self._put_record(copy, name, message.batch_number, None, out)
+        for name, value in entries.items():
+            if (
+                copy.last_write_number(name) <= message.batch_number
+                and copy.table.entries.get(name, (0, b""))[1] != value
+            ):
+                self._put_record(copy, name, message.batch_number, value, out)
+        if not copy.missing_ranges:
             self._ack(copy, out)
 
-    def _check(self, copy: Copy, message: Check, out: Output) -> None:
-        if not copy.begun and not copy.whole:
-            self._anew(copy, out)
-        if message.round != copy.round if copy.begun else not copy.whole:
+    def _verify(self, copy: StreamCopy, message: Verify, out: Output) -> None:
+        if not copy.digests_received and not copy.verified:
+            self._request_round(copy, out)
+        if message.round != copy.round if copy.digests_received else not copy.verified:
             return
-        if message.at != copy.at or copy.wanted:
+        if message.batch_number != copy.batch_number or copy.missing_ranges:
             self._ack(copy, out)
         elif message.root == copy.table.root():
-            copy.whole = True
-            self._mark(copy, out)
+            copy.verified = True
+            self._save_progress(copy, out)
             self._ack(copy, out)
         else:
-            self._anew(copy, out)
+            self._request_round(copy, out)
 
-    def _rest(self, sender: str, message: Gather, out: Output) -> None:
-        """To a successor, once this agent has applied its word: what it has behind that one's copy."""
+    def _send_remainder(self, sender: str, message: GatherRequest, out: Output) -> None:
+        """Answers a successor, once this agent has applied its command, with the writes that its copy
+        lacks."""
         copy = self.copies.get((message.owner, message.epoch))
         if copy is None:
-            out.send.append((sender, Rest(message.owner, message.epoch, 0, (), True, False)))
+            out.messages.append((sender, Remainder(message.owner, message.epoch, 0, (), True, False)))
             return
-        if not copy.over:
-            return  # the owner may still write here: the successor asks again
+        if not copy.ended:
+            return  # the owner may still write to it: the successor asks again
         part: list[tuple[str, int, bytes | None]] = []
         size = 0
-        for name, number, value in copy.after(message.after):
+        for name, number, value in copy.written_after(message.after_batch):
             part.append((name, number, value))
             size += len(name) + len(value or b"")
-            if size >= PART_BYTES:
-                told = Rest(copy.owner, copy.epoch, copy.at, tuple(part), False, copy.whole)
-                out.send.append((sender, told))
+            if size >= REMAINDER_PART_BYTES:
+                remainder = Remainder(
+                    copy.owner, copy.epoch, copy.batch_number, tuple(part), False, copy.verified
+                )
+                out.messages.append((sender, remainder))
                 part, size = [], 0
-        out.send.append((sender, Rest(copy.owner, copy.epoch, copy.at, tuple(part), True, copy.whole)))
+        out.messages.append(
+            (sender, Remainder(copy.owner, copy.epoch, copy.batch_number, tuple(part), True, copy.verified))
+        )
--- a/frostport/replication/messages.py
+++ b/frostport/replication/messages.py
@@ -1,5 +1,7 @@
-"""What owners, holders and successors say to each other over the link, and to all in the agreed log. msgpack
-arrays; a field is only added at the end."""
+"""Messages between owners, holders and successors over the link, and commands in the agreed log.
+
+They are msgspec structs encoded as msgpack arrays: new fields are added only at the end.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +12,11 @@
 Batch = tuple[Change, ...]
 
 
-# Over the link; `owner` and `epoch` name the stream
+# Messages over the link; `owner` and `epoch` name the stream
 
 
 class Append(msgspec.Struct, array_like=True, frozen=True, tag="append"):
-    """Batches in order, the first one with this number."""
+    """Consecutive batches; `first` is the number of the first one."""
 
     owner: str
     epoch: int
@@ -24,119 +26,120 @@
 
 
 class Digests(msgspec.Struct, array_like=True, frozen=True, tag="digests"):
-    """A copy begins, or begins anew: the owner's digests by range, as they are after this batch. What is said
-    of it names its round: words of an earlier one count nothing. From a holder: it asks for a new round."""
+    """From the owner: starts a round with its digests by range as of `batch_number`. Later messages name
+    the round; those of an earlier round are ignored. From a holder: asks for a new round."""
 
     owner: str
     epoch: int
-    at: int
+    batch_number: int
     leaves: bytes
     round: int
     version: int = VERSION
 
 
-class Wants(msgspec.Struct, array_like=True, frozen=True, tag="wants"):
-    """Ranges that differ here."""
+class RangesWanted(msgspec.Struct, array_like=True, frozen=True, tag="wants"):
+    """The ranges whose digests differ at the holder."""
 
     owner: str
     epoch: int
-    at: int
+    batch_number: int
     ranges: tuple[int, ...]
     round: int
 
 
-class Piece(msgspec.Struct, array_like=True, frozen=True, tag="piece"):
-    """A part of a range as it is after batch `at`; with the last one the range is whole."""
+class RangePart(msgspec.Struct, array_like=True, frozen=True, tag="piece"):
+    """A part of a range as of `batch_number`; `last` completes the range."""
 
     owner: str
     epoch: int
-    at: int
-    range: int
+    batch_number: int
+    range_number: int
     part: int
     entries: tuple[tuple[str, bytes], ...]
     last: bool
     round: int
 
 
-class Check(msgspec.Struct, array_like=True, frozen=True, tag="check"):
-    """After this batch the whole has this digest."""
+class Verify(msgspec.Struct, array_like=True, frozen=True, tag="check"):
+    """The digest of the owner's whole table as of `batch_number`."""
 
     owner: str
     epoch: int
-    at: int
+    batch_number: int
     root: bytes
     round: int
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag="ack"):
-    """Durable here up to this batch. `whole`: and verified; `has`: all ranges are here, to be checked.
-    `round` 0: from its disk, after a restart."""
+    """The holder's copy is durable up to `batch_number`. `verified`: its digest matched the owner's.
+    `complete`: it has all ranges and awaits verification. Round 0: the copy was read from disk after a
+    restart."""
 
     owner: str
     epoch: int
-    at: int
-    whole: bool
-    has: bool
+    batch_number: int
+    verified: bool
+    complete: bool
     round: int
 
 
 class Refused(msgspec.Struct, array_like=True, frozen=True, tag="refused"):
-    """That epoch is over."""
+    """The epoch has ended."""
 
     owner: str
     epoch: int
 
 
-class Gather(msgspec.Struct, array_like=True, frozen=True, tag="gather"):
-    """A successor asks what another holder has after this batch."""
+class GatherRequest(msgspec.Struct, array_like=True, frozen=True, tag="gather"):
+    """A successor asks another holder for all writes after a batch."""
 
     owner: str
     epoch: int
-    after: int
+    after_batch: int
 
 
-class Rest(msgspec.Struct, array_like=True, frozen=True, tag="rest"):
-    """What this holder has behind the batch asked for: keys, the numbers of their last writes, values. In
-    parts; with the last one it is all. `whole`: its copy is."""
+class Remainder(msgspec.Struct, array_like=True, frozen=True, tag="rest"):
+    """The holder's writes after the requested batch: keys, the numbers of their last writes, values. Sent
+    in parts; `last` marks the last one. `verified`: the holder's copy is verified."""
 
     owner: str
     epoch: int
-    at: int
+    batch_number: int
     entries: tuple[tuple[str, int, bytes | None], ...]
     last: bool
-    whole: bool
+    verified: bool
 
 
-Message = Append | Digests | Wants | Piece | Check | Ack | Refused | Gather | Rest
+Message = Append | Digests | RangesWanted | RangePart | Verify | Ack | Refused | GatherRequest | Remainder
 
 
-# In the agreed log
+# Commands in the agreed log
 
 
 class Own(msgspec.Struct, array_like=True, frozen=True, tag="own"):
-    """A process begins its stream; its epoch is the index of this word. `continues`: the epoch whose records
-    it has on its disk, 0: none."""
+    """A process starts its stream; the index of this command in the log is its epoch. `continued_epoch`:
+    the epoch whose records it has on disk, 0 if none."""
 
     owner: str
-    life: int
-    continues: int
+    incarnation: int
+    continued_epoch: int
 
 
 class Succeed(msgspec.Struct, array_like=True, frozen=True, tag="succeed"):
-    """A holder takes a stream over whose owner is gone. The first such word counts."""
+    """A holder takes over a stream whose owner is gone. Only the first such command counts."""
 
     owner: str
     epoch: int
-    by: str
-    life: int
+    successor: str
+    incarnation: int
 
 
-class Done(msgspec.Struct, array_like=True, frozen=True, tag="done"):
-    """What that stream held is in its successor's own: its copies may go."""
+class TakeoverDone(msgspec.Struct, array_like=True, frozen=True, tag="done"):
+    """The successor's own stream has all records of this one: its copies may be deleted."""
 
     owner: str
     epoch: int
-    by: str
+    successor: str
 
 
-Word = Own | Succeed | Done
+Command = Own | Succeed | TakeoverDone
--- a/frostport/replication/settings.py
+++ b/frostport/replication/settings.py
@@ -1,4 +1,4 @@
-"""What governs replication; docs/design/replication.md says why each figure is as it is."""
+"""Settings and constants of replication; docs/design/replication.md gives the reason of each value."""
 
 from __future__ import annotations
 
@@ -7,16 +7,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Times in ms."""
+    """Settings of an owner's streams."""
 
     copies: int = 2  # holders of each stream
-    acks: int = 1  # of these that have a record before its effect leaves; 0: `soon`, nothing waits
-    tail_batches: int = 4000  # kept to be sent again
-    window: int = 256  # batches on their way to a holder
-    piece_bytes: int = 64 * 1024
-    pieces_a_second: float = 50.0  # towards one holder
+    # Holders that must confirm a record before its effect leaves the agent; with 0, nothing waits (`soon`).
+    required_acks: int = 1
+    retained_batches: int = 4000  # kept in memory to be sent again
+    window_batches: int = 256  # unacknowledged batches in flight to a holder
+    part_bytes: int = 64 * 1024
+    parts_per_second: float = 50.0  # to one holder
 
 
-RESEND_MS = 1000.0  # what was not confirmed by then is sent again
-VERIFY_MS = 10_000.0  # a copy is compared with the owner's records so often
-GATHER_MS = 2000.0  # a successor waits so long for what other holders have
+RESEND_INTERVAL_MS = 1000.0  # batches not acknowledged by then are sent again
+VERIFY_INTERVAL_MS = 10_000.0  # interval at which a verified copy is compared with the owner's records
+GATHER_TIMEOUT_MS = 2000.0  # how long a successor waits for the answers of other holders
--- a/frostport/replication/stream.py
+++ b/frostport/replication/stream.py
@@ -1,8 +1,10 @@
-"""An owner's side: one writer, one order, holders that follow. Decisions only.
+"""The owner's side: a stream with one writer and one order, followed by its holders. Pure logic, without
+I/O.
 
-Every method takes the time in ms and appends what is to be said to `out`, as (to, message). A holder is
-caught up by digests, pieces and a check, and followed by numbers that it confirms; what it does not confirm
-is sent again from there. Invariant R4: a holder counts only once it has said that it is whole.
+Every method takes the time in ms and appends messages to `out`, as (receiver, message). A holder catches
+up in a round: the owner sends its digests, then the ranges that differ, then a digest to verify. From then
+on it follows by batches, which it acknowledges by number; unacknowledged batches are sent again. Invariant
+R4: a holder counts only once it has reported its copy as verified.
 """
 
 from __future__ import annotations
@@ -13,40 +15,50 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from frostport.replication.copies import Table
-from frostport.replication.messages import Ack, Append, Batch, Check, Digests, Message, Piece, Refused, Wants
-from frostport.replication.settings import RESEND_MS, VERIFY_MS, Settings
+from frostport.replication.messages import (
+    Ack,
+    Append,
+    Batch,
+    Digests,
+    Message,
+    RangePart,
+    RangesWanted,
+    Refused,
+    Verify,
+)
+from frostport.replication.reconciliation import DigestTable
+from frostport.replication.settings import RESEND_INTERVAL_MS, VERIFY_INTERVAL_MS, Settings
 
 Out = list[tuple[str, Message]]
 
 
 class Phase(Enum):
-    """How far a holder is."""
+    """How far a holder has caught up."""
 
-    NEW = "new"  # it was told our digests
-    PIECES = "pieces"  # it is sent what differs
-    CHECK = "check"  # it has all, to be verified
-    WHOLE = "whole"
+    NEW = "new"  # the digests were sent to it
+    TRANSFER = "pieces"  # ranges that differ are being sent
+    VERIFICATION = "check"  # it has all ranges; verification is pending
+    VERIFIED = "whole"
 
 
 @dataclass(slots=True)
-class Following:
-    """What the owner knows of one holder."""
+class HolderState:
+    """The owner's view of one holder."""
 
     phase: Phase = Phase.NEW
     round: int = 0
-    base: int = 0  # the batch that the round began after
+    round_base: int = 0  # last batch when the round started
     acked: int = 0
     sent: int = 0
-    heard_at: float = 0.0
-    said_at: float = -math.inf
-    ranges: deque[int] = field(default_factory=deque)  # to be sent
-    part: list[tuple[str, bytes]] = field(default_factory=list)  # of the range under way, still to be sent
-    parts: int = 0
-    checked_at: float = 0.0
-    at: int = 0  # the batch after which the range under way was read
-    pieces: float = 0.0  # tokens
-    pieces_at: float = 0.0
+    heard_at_ms: float = 0.0
+    sent_at_ms: float = -math.inf
+    pending_ranges: deque[int] = field(default_factory=deque)
+    pending_entries: list[tuple[str, bytes]] = field(default_factory=list)  # entries of the range being sent
+    next_part: int = 0
+    verify_sent_at_ms: float = 0.0
+    range_batch: int = 0  # last batch when the range being sent was read
+    tokens: float = 0.0  # of the token bucket that limits parts
+    tokens_updated_at_ms: float = 0.0
 
 
 class Stream:
@@ -55,166 +67,194 @@
     def __init__(
         self, owner: str, epoch: int, settings: Settings, records: Iterable[tuple[str, bytes]]
     ) -> None:
-        """`records`: what it begins with, from its disk."""
+        """`records`: the initial records, from disk."""
         self.owner, self.epoch, self.settings = owner, epoch, settings
-        self.table, self.number = Table(), 0
+        self.table, self.batch_number = DigestTable(), 0
         for key, value in records:
             self.table.put(key, 0, value)
-        self.tail: deque[tuple[int, Batch]] = deque()
-        self.holders: dict[str, Following] = {}
-        self.over = False  # a holder has said so, or the agreed log
+        self.retained: deque[tuple[int, Batch]] = deque()
+        self.holders: dict[str, HolderState] = {}
+        self.ended = False  # reported by a holder or the agreed log
 
-    # What is written
+    # Writing
 
-    def write(self, batch: Batch, now: float, out: Out) -> int:
-        """The number under which holders confirm it."""
-        self.number += 1
+    def write(self, batch: Batch, now_ms: float, out: Out) -> int:
+        """Appends a batch; returns its number, under which holders acknowledge it."""
+        self.batch_number += 1
         for key, value in batch:
-            self.table.put(key, self.number, value)
-        self.tail.append((self.number, batch))
-        while len(self.tail) > self.settings.tail_batches:
-            self.tail.popleft()
+            self.table.put(key, self.batch_number, value)
+        self.retained.append((self.batch_number, batch))
+        while len(self.retained) > self.settings.retained_batches:
+            self.retained.popleft()
         for name, holder in self.holders.items():
-            self._send(name, holder, now, out)
-        return self.number
+            self._send_batches(name, holder, now_ms, out)
+        return self.batch_number
 
-    def settled(self) -> int:
-        """The last batch that as many holders have as are asked for; with 0 of them all are."""
-        if self.settings.acks <= 0:
-            return self.number
+    def confirmed(self) -> int:
+        """Returns the last batch that the required number of holders has acknowledged; if that number is
+        0, the last batch written."""
+        if self.settings.required_acks <= 0:
+            return self.batch_number
         acked = sorted(
-            (holder.acked for holder in self.holders.values() if holder.phase is Phase.WHOLE), reverse=True
+            (holder.acked for holder in self.holders.values() if holder.phase is Phase.VERIFIED), reverse=True
         )
-        return acked[self.settings.acks - 1] if len(acked) >= self.settings.acks else 0
-
-    def follow(self, names: Iterable[str], now: float, out: Out) -> None:
-        """These are the holders from now on. One that is left out stays until as many others are whole."""
-        wanted = set(names)
-        for name in sorted(wanted - self.holders.keys()):
-            self.holders[name] = Following()
-            self._begin(name, self.holders[name], now, out)
-        whole = sum(self.holders[name].phase is Phase.WHOLE for name in wanted)
-        for name in sorted(self.holders.keys() - wanted):
-            if whole >= len(wanted) or self.holders[name].phase is not Phase.WHOLE:
+        return acked[self.settings.required_acks - 1] if len(acked) >= self.settings.required_acks else 0
+
+    def set_holders(self, names: Iterable[str], now_ms: float, out: Out) -> None:
+        """Replaces the holders. One that is no longer wanted stays until all wanted ones are verified, if
+        it is verified itself."""
+        holder_names = set(names)
+        for name in sorted(holder_names - self.holders.keys()):
+            self.holders[name] = HolderState()
+            self._start_round(name, self.holders[name], now_ms, out)
+        verified = sum(self.holders[name].phase is Phase.VERIFIED for name in holder_names)
+        for name in sorted(self.holders.keys() - holder_names):
+            if verified >= len(holder_names) or self.holders[name].phase is not Phase.VERIFIED:
                 del self.holders[name]
 
-    def _begin(self, name: str, holder: Following, now: float, out: Out) -> None:
-        holder.phase, holder.acked, holder.sent, holder.base = Phase.NEW, 0, self.number, self.number
+    def _start_round(self, name: str, holder: HolderState, now_ms: float, out: Out) -> None:
+        holder.phase, holder.acked, holder.sent, holder.round_base = (
+            Phase.NEW,
+            0,
+            self.batch_number,
+            self.batch_number,
+        )
         holder.round += 1
-        holder.ranges.clear()
-        holder.part.clear()
-        holder.said_at = now
+        holder.pending_ranges.clear()
+        holder.pending_entries.clear()
+        holder.sent_at_ms = now_ms
         out.append(
-            (name, Digests(self.owner, self.epoch, self.number, self.table.leaf_bytes(), holder.round))
+            (name, Digests(self.owner, self.epoch, self.batch_number, self.table.leaf_bytes(), holder.round))
         )
 
-    def _send(self, name: str, holder: Following, now: float, out: Out) -> None:
-        """What the window allows of what it has not been sent."""
+    def _send_batches(self, name: str, holder: HolderState, now_ms: float, out: Out) -> None:
+        """Sends batches not yet sent, as far as the window allows."""
         first = holder.sent + 1
-        if not self.tail or first > self.number:
+        if not self.retained or first > self.batch_number:
             return
-        oldest = self.tail[0][0]
+        oldest = self.retained[0][0]
         if first < oldest:
-            self._begin(name, holder, now, out)
+            self._start_round(name, holder, now_ms, out)
             return
-        last = min(self.number, max(holder.acked, holder.base) + self.settings.window)
-        batches = tuple(self.tail[number - oldest][1] for number in range(first, last + 1))
+        last = min(self.batch_number, max(holder.acked, holder.round_base) + self.settings.window_batches)
+        batches = tuple(self.retained[number - oldest][1] for number in range(first, last + 1))
         if batches:
-            holder.sent, holder.said_at = last, now
+            holder.sent, holder.sent_at_ms = last, now_ms
             out.append((name, Append(self.owner, self.epoch, first, batches)))
 
-    # What holders say
+    # Messages of holders
 
-    def heard(self, sender: str, message: Message, now: float, out: Out) -> None:
+    def handle(self, sender: str, message: Message, now_ms: float, out: Out) -> None:
+        """Handles a message of a holder."""
         holder = self.holders.get(sender)
-        if holder is None or self.over:
+        if holder is None or self.ended:
             return
         match message:
             case Refused():
-                self.over = True
-            case Wants(_, _, at, ranges, number) if holder.phase is Phase.NEW and number == holder.round:
-                holder.heard_at, holder.acked = now, max(holder.acked, at)
-                holder.ranges.extend(each for each in ranges if 0 <= each < 256)
-                holder.phase, holder.pieces_at = Phase.PIECES, now
-                self._pieces(sender, holder, now, out)
-            case Ack(_, _, at, whole, has, number) if number == holder.round or (number == 0 and whole):
-                holder.heard_at = now
-                if at > self.number:
-                    self._begin(sender, holder, now, out)  # it has what we never wrote in this life
+                self.ended = True
+            case RangesWanted(_, _, batch_number, range_numbers, round_number) if (
+                holder.phase is Phase.NEW and round_number == holder.round
+            ):
+                holder.heard_at_ms, holder.acked = now_ms, max(holder.acked, batch_number)
+                holder.pending_ranges.extend(
+                    range_number for range_number in range_numbers if 0 <= range_number < 256
+                )
+                holder.phase, holder.tokens_updated_at_ms = Phase.TRANSFER, now_ms
+                self._send_parts(sender, holder, now_ms, out)
+            case Ack(_, _, batch_number, verified, complete, round_number) if (
+                round_number == holder.round or (round_number == 0 and verified)
+            ):
+                holder.heard_at_ms = now_ms
+                if batch_number > self.batch_number:
+                    # it has batches that this process never wrote
+                    self._start_round(sender, holder, now_ms, out)
                     return
-                holder.acked = max(holder.acked, at)
-                if whole:
-                    holder.phase = Phase.WHOLE
-                elif has and holder.phase is Phase.PIECES and not holder.ranges and not holder.part:
-                    holder.phase = Phase.CHECK
-                    self._check(sender, holder, now, out)
-                self._send(sender, holder, now, out)
+                holder.acked = max(holder.acked, batch_number)
+                if verified:
+                    holder.phase = Phase.VERIFIED
+                elif (
+                    complete
+                    and holder.phase is Phase.TRANSFER
+                    and not holder.pending_ranges
+                    and not holder.pending_entries
+                ):
+                    holder.phase = Phase.VERIFICATION
+                    self._send_verify(sender, holder, now_ms, out)
+                self._send_batches(sender, holder, now_ms, out)
             case Digests() if message.round == holder.round or (
                 message.round == 0 and holder.phase is not Phase.NEW
             ):
-                # It asks for a new round: its copy differs, or its process is another.
-                self._begin(sender, holder, now, out)
-
-    def _check(self, name: str, holder: Following, now: float, out: Out) -> None:
-        """Behind all that was written: the holder is there when it reads this."""
-        self._send(name, holder, now, out)
-        if holder.sent == self.number:
-            holder.said_at = now
-            out.append((name, Check(self.owner, self.epoch, self.number, self.table.root(), holder.round)))
-
-    def _pieces(self, name: str, holder: Following, now: float, out: Out) -> None:
-        at = self.settings
-        holder.pieces = min(4.0, holder.pieces + (now - holder.pieces_at) * at.pieces_a_second / 1000.0)
-        holder.pieces_at = now
-        while holder.ranges and holder.pieces >= 1.0:
-            if not holder.part:
-                # One range is read at once: what changes in it later comes behind it, by its number.
-                holder.part = [
-                    (key, self.table.entries[key][1]) for key in sorted(self.table.ranges[holder.ranges[0]])
+                # The holder asks for a new round: its copy differs, or its process was restarted.
+                self._start_round(sender, holder, now_ms, out)
+
+    def _send_verify(self, name: str, holder: HolderState, now_ms: float, out: Out) -> None:
+        """Sends the digest to verify behind all batches, so that the holder compares it at the same batch."""
+        self._send_batches(name, holder, now_ms, out)
+        if holder.sent == self.batch_number:
+            holder.sent_at_ms = now_ms
+            out.append(
+                (name, Verify(self.owner, self.epoch, self.batch_number, self.table.root(), holder.round))
+            )
+
+    def _send_parts(self, name: str, holder: HolderState, now_ms: float, out: Out) -> None:
+        """Sends parts of the missing ranges, within the rate limit."""
+        settings = self.settings
+        holder.tokens = min(
+            4.0, holder.tokens + (now_ms - holder.tokens_updated_at_ms) * settings.parts_per_second / 1000.0
+        )
+        holder.tokens_updated_at_ms = now_ms
+        while holder.pending_ranges and holder.tokens >= 1.0:
+            if not holder.pending_entries:
+                # A range is read in one go. Later changes in it follow as batches, which win by their
+                # numbers.
+                holder.pending_entries = [
+                    (key, self.table.entries[key][1])
+                    for key in sorted(self.table.keys_by_range[holder.pending_ranges[0]])
                 ]
-                holder.parts, holder.at = 0, self.number
-                self._send(name, holder, now, out)
+                holder.next_part, holder.range_batch = 0, self.batch_number
+                self._send_batches(name, holder, now_ms, out)
             size, entries = 0, []
-            while holder.part and size < at.piece_bytes:
-                key, value = holder.part.pop()
+            while holder.pending_entries and size < settings.part_bytes:
+                key, value = holder.pending_entries.pop()
                 size += len(key) + len(value)
                 entries.append((key, value))
-            holder.pieces -= 1.0
-            last = not holder.part
+            holder.tokens -= 1.0
+            last = not holder.pending_entries
             out.append(
                 (
                     name,
-                    Piece(
+                    RangePart(
                         self.owner,
                         self.epoch,
-                        holder.at,
-                        holder.ranges[0],
-                        holder.parts,
+                        holder.range_batch,
+                        holder.pending_ranges[0],
+                        holder.next_part,
                         tuple(entries),
                         last,
                         holder.round,
                     ),
                 )
             )
-            holder.parts += 1
-            holder.said_at = now
+            holder.next_part += 1
+            holder.sent_at_ms = now_ms
             if last:
-                holder.ranges.popleft()
+                holder.pending_ranges.popleft()
 
-    def tick(self, now: float, out: Out) -> None:
+    def tick(self, now_ms: float, out: Out) -> None:
+        """Resends what is overdue and verifies copies periodically; called regularly."""
         for name, holder in self.holders.items():
-            if holder.phase is Phase.PIECES and holder.ranges:
-                self._pieces(name, holder, now, out)
-            elif now - max(holder.said_at, holder.heard_at) < RESEND_MS:
+            if holder.phase is Phase.TRANSFER and holder.pending_ranges:
+                self._send_parts(name, holder, now_ms, out)
+            elif now_ms - max(holder.sent_at_ms, holder.heard_at_ms) < RESEND_INTERVAL_MS:
                 continue
-            elif holder.phase is Phase.CHECK and holder.sent == self.number:
-                self._check(name, holder, now, out)
-            elif holder.phase is not Phase.WHOLE:
-                self._begin(name, holder, now, out)
-            elif holder.acked < self.number:
-                holder.sent = holder.acked  # go back
-                self._send(name, holder, now, out)
-            elif now - holder.checked_at >= VERIFY_MS:
-                # Guards against a holder that has lost its disk, or a byte of it, and is asked nothing.
-                holder.checked_at = now
-                self._check(name, holder, now, out)
+            elif holder.phase is Phase.VERIFICATION and holder.sent == self.batch_number:
+                self._send_verify(name, holder, now_ms, out)
+            elif holder.phase is not Phase.VERIFIED:
+                self._start_round(name, holder, now_ms, out)
+            elif holder.acked < self.batch_number:
+                holder.sent = holder.acked  # resend from the last acknowledged batch
+                self._send_batches(name, holder, now_ms, out)
+            elif now_ms - holder.verify_sent_at_ms >= VERIFY_INTERVAL_MS:
+                # Guards against undetected loss or corruption on a holder's disk.
+                holder.verify_sent_at_ms = now_ms
+                self._send_verify(name, holder, now_ms, out)
--- a/frostport/replication/successor.py
+++ b/frostport/replication/successor.py
@@ -1,7 +1,8 @@
-"""Taking a stream over: the successor of an owner that is gone. Decisions only.
+"""Takeover of a stream whose owner is gone, by its successor. Pure logic, without I/O.
 
-It asks all other holders what they have behind its own copy, and waits for all that are up, `GATHER_MS` at
-most. Invariant R6: it goes on with the longest prefix that any holder it heard has, never with a gap.
+The successor asks all other holders for the writes that its own copy lacks, and waits for all that are
+alive, at most `GATHER_TIMEOUT_MS`. Invariant R6: it continues with the longest prefix that any holder that
+answered has, never with a gap.
 """
 
 from __future__ import annotations
@@ -9,50 +10,57 @@
 import math
 from collections.abc import Iterable
 
-from frostport.replication.holder import Copy
-from frostport.replication.messages import Gather, Rest
-from frostport.replication.settings import GATHER_MS
+from frostport.replication.holder import StreamCopy
+from frostport.replication.messages import GatherRequest, Remainder
+from frostport.replication.settings import GATHER_TIMEOUT_MS
 
-AGAIN_MS = 250.0
+RETRY_INTERVAL_MS = 250.0
 
 
-class Gathering:
-    """One takeover, from the successor's word in the log until its records are known."""
+class Takeover:
+    """One takeover, from the successor's command in the agreed log until the stream's records are known."""
 
-    def __init__(self, copy: Copy, others: Iterable[str], now_ms: float) -> None:
-        self.copy, self.began, self.asked_at = copy, now_ms, -math.inf
-        self.waits = set(others)
-        self.written: dict[str, tuple[int, bytes | None]] = {}  # behind its own copy
-        # Guards against a copy that was still being caught up: it has a number, and not all before it.
-        self.after = copy.at if copy.whole else -1
-        self.whole = copy.whole  # one that was is at hand
+    def __init__(self, copy: StreamCopy, others: Iterable[str], now_ms: float) -> None:
+        self.copy, self.started_at_ms, self.asked_at_ms = copy, now_ms, -math.inf
+        self.pending = set(others)
+        self.later_writes: dict[str, tuple[int, bytes | None]] = {}  # that its own copy lacks
+        # A copy that was still catching up has a batch number but may lack earlier batches: all writes are
+        # requested.
+        self.after_batch = copy.batch_number if copy.verified else -1
+        self.verified_copy_found = copy.verified  # its own, or that of a holder that answered
 
-    def asks(self, now_ms: float) -> list[tuple[str, Gather]]:
-        """Again where nobody has answered: a holder answers once it has applied the successor's word."""
-        if now_ms - self.asked_at < AGAIN_MS:
+    def requests(self, now_ms: float) -> list[tuple[str, GatherRequest]]:
+        """Returns requests to the holders that have not answered. They are repeated: a holder answers only
+        once it has applied the successor's command."""
+        if now_ms - self.asked_at_ms < RETRY_INTERVAL_MS:
             return []
-        self.asked_at = now_ms
-        return [(name, Gather(self.copy.owner, self.copy.epoch, self.after)) for name in sorted(self.waits)]
+        self.asked_at_ms = now_ms
+        return [
+            (name, GatherRequest(self.copy.owner, self.copy.epoch, self.after_batch))
+            for name in sorted(self.pending)
+        ]
 
-    def heard(self, sender: str, rest: Rest) -> None:
-        if (rest.owner, rest.epoch) != (self.copy.owner, self.copy.epoch):
+    def receive(self, sender: str, remainder: Remainder) -> None:
+        """Handles the answer of another holder."""
+        if (remainder.owner, remainder.epoch) != (self.copy.owner, self.copy.epoch):
             return
-        self.whole = self.whole or rest.whole
-        if rest.last:
-            self.waits.discard(sender)
-        for key, number, value in rest.entries:
-            if number > self.written.get(key, (self.after, None))[0]:
-                self.written[key] = number, value
+        self.verified_copy_found = self.verified_copy_found or remainder.verified
+        if remainder.last:
+            self.pending.discard(sender)
+        for key, number, value in remainder.entries:
+            if number > self.later_writes.get(key, (self.after_batch, None))[0]:
+                self.later_writes[key] = number, value
 
-    def ready(self, up: Iterable[str], now_ms: float) -> bool:
-        """All holders that are up have said what they have, or have been waited for."""
-        return not self.waits & set(up) or now_ms - self.began >= GATHER_MS
+    def ready(self, alive: Iterable[str], now_ms: float) -> bool:
+        """Returns whether all holders in `alive` have answered, or the timeout is over."""
+        return not self.pending & set(alive) or now_ms - self.started_at_ms >= GATHER_TIMEOUT_MS
 
     def records(self) -> dict[str, bytes]:
-        """What the stream holds."""
-        own = self.copy.whole or not self.whole  # else all is in what another has said
-        found = {key: value for key, (_, value) in self.copy.table.entries.items()} if own else {}
-        for key, (_, value) in self.written.items():
+        """Returns the stream's records."""
+        # else another holder's answer has all of it
+        use_own_copy = self.copy.verified or not self.verified_copy_found
+        found = {key: value for key, (_, value) in self.copy.table.entries.items()} if use_own_copy else {}
+        for key, (_, value) in self.later_writes.items():
             if value is None:
                 found.pop(key, None)
             else:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,5 +1,6 @@
-"""Replication: the rule for copies that differ, proved over small copies; owner, holders and successor in
-every order and over long lives; planted faults. The objects are those that serve."""
+"""Replication: reconciliation over small copies; owner, holders and successor in all orders of events and
+over long random runs; planted faults. The tests drive the real classes.
+"""
 
 from __future__ import annotations
 
@@ -14,23 +15,40 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from frostport.replication import copies, holder, stream
-from frostport.replication.copies import Seen, Table, holds, joined, merged, resolved
+from frostport.replication import holder, reconciliation, stream
 from frostport.replication.epochs import Epochs
 from frostport.replication.holder import Holder
-from frostport.replication.messages import Append, Batch, Done, Message, Own, Piece, Rest, Succeed, Word
+from frostport.replication.messages import (
+    Append,
+    Batch,
+    Command,
+    Message,
+    Own,
+    RangePart,
+    Remainder,
+    Succeed,
+    TakeoverDone,
+)
+from frostport.replication.reconciliation import (
+    DigestTable,
+    LastWrite,
+    effective_value,
+    join_versions,
+    merge_copies,
+    resolve_copy,
+)
 from frostport.replication.settings import Settings
 from frostport.replication.stream import Phase, Stream
-from frostport.replication.successor import Gathering
+from frostport.replication.successor import Takeover
 from frostport.state import merge, records
 from frostport.state.records import Open, Over, Standing
 from tests.exploring import explored
 
-# The rule
+# Reconciliation
 
 
 def better(key: str, one: bytes, other: bytes) -> bytes:
-    """The state's own rule, as the agent hands it over."""
+    """The preference function of the state, as the agent passes it."""
     return records.encode(merge.better(records.decode(key, one)[2], records.decode(key, other)[2]))
 
 
@@ -40,7 +58,7 @@
 OVER = records.encode(Over("stands", "h0", 3.0, 0.0, "c", -1, -1, 0.0, b"a table"))
 FAILED = records.encode(Over("failed", "h1", 4.0, 0.0, "c", -1, -1, 0.0, b""))
 VALUES: tuple[bytes | None, ...] = (OPEN, STANDING, OVER, FAILED, None)
-SMALL: list[dict[int, Seen]] = [{}] + [
+SMALL: list[dict[int, LastWrite]] = [{}] + [
     {epoch: (number, frozenset({value})) for epoch, number, value in chosen}
     for chosen in (
         [(1, 1, OPEN)],
@@ -57,12 +75,14 @@
 
 def test_the_rule_is_a_join_over_all_pairs_and_triples_of_small_copies() -> None:
     for one in SMALL:
-        assert joined(one, one) == one
+        assert join_versions(one, one) == one
     for one, other in itertools.product(SMALL, SMALL):
-        assert joined(one, other) == joined(other, one)
-        assert joined(joined(one, other), other) == joined(one, other)
+        assert join_versions(one, other) == join_versions(other, one)
+        assert join_versions(join_versions(one, other), other) == join_versions(one, other)
     for one, other, third in itertools.product(SMALL, SMALL, SMALL):
-        assert joined(joined(one, other), third) == joined(one, joined(other, third))
+        assert join_versions(join_versions(one, other), third) == join_versions(
+            one, join_versions(other, third)
+        )
 
 
 versions = st.dictionaries(
@@ -70,51 +90,53 @@
     st.tuples(st.integers(1, 4), st.frozensets(st.sampled_from(VALUES), min_size=1, max_size=2)),
     max_size=3,
 )
-whole = st.dictionaries(st.sampled_from(["call/1", "call/2", "owed/1"]), versions, max_size=3)
+whole_copies = st.dictionaries(st.sampled_from(["call/1", "call/2", "owed/1"]), versions, max_size=3)
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
-@given(whole, whole, whole)
+@given(whole_copies, whole_copies, whole_copies)
 def test_the_rule_is_a_join_over_drawn_copies(
-    one: dict[str, dict[int, Seen]], other: dict[str, dict[int, Seen]], third: dict[str, dict[int, Seen]]
+    one: dict[str, dict[int, LastWrite]],
+    other: dict[str, dict[int, LastWrite]],
+    third: dict[str, dict[int, LastWrite]],
 ) -> None:
-    assert merged(one, one) == one
-    assert merged(one, other) == merged(other, one)
-    assert merged(merged(one, other), third) == merged(one, merged(other, third))
+    assert merge_copies(one, one) == one
+    assert merge_copies(one, other) == merge_copies(other, one)
+    assert merge_copies(merge_copies(one, other), third) == merge_copies(one, merge_copies(other, third))
 
 
 def test_what_holds_is_the_table_of_the_rule() -> None:
-    def one(*told: tuple[int, int, bytes | None]) -> bytes | None:
-        found: Mapping[int, Seen] = {}
-        for epoch, number, value in told:
-            found = joined(found, {epoch: (number, frozenset({value}))})
-        return holds(CALL, found, better)
+    def one(*entries: tuple[int, int, bytes | None]) -> bytes | None:
+        found: Mapping[int, LastWrite] = {}
+        for epoch, number, value in entries:
+            found = join_versions(found, {epoch: (number, frozenset({value}))})
+        return effective_value(CALL, found, better)
 
     assert one((1, 1, OPEN), (1, 2, STANDING)) == STANDING  # the longer prefix of one epoch
     assert one((1, 3, None), (1, 2, OVER)) is None
     assert one((1, 2, STANDING), (2, 1, OVER)) == one((1, 2, OVER), (2, 1, STANDING)) == OVER
-    assert one((1, 2, OVER), (2, 1, FAILED)) == OVER  # a final answer given is never replaced
-    assert one((1, 2, FAILED), (2, 1, OVER)) == OVER  # the earlier of two
-    assert one((1, 2, STANDING), (2, 1, None)) is None  # the later epoch has forgotten it
+    assert one((1, 2, OVER), (2, 1, FAILED)) == OVER  # a final answer is never replaced
+    assert one((1, 2, FAILED), (2, 1, OVER)) == OVER  # the earlier of the two
+    assert one((1, 2, STANDING), (2, 1, None)) is None  # deleted in the later epoch
     assert one((1, 4, None), (2, 1, STANDING)) == STANDING
     copy = {CALL: {1: (2, frozenset({STANDING, OVER}))}, "call/2": {1: (1, frozenset({OPEN}))}}
-    found, aside = resolved(copy, better)
+    found, aside = resolve_copy(copy, better)
     assert found == {"call/2": OPEN}
     assert len(aside) == 1 and "call/1" in aside[0] and "2 values of epoch 1, number 2" in aside[0]
 
 
 def test_digests_tell_which_ranges_differ_whatever_the_order_of_writes() -> None:
-    chance, one, other = random.Random(1), Table(), Table()
-    told = [(f"call/{number}", bytes([number % 251])) for number in range(500)]
-    for key, value in told:
+    chance, one, other = random.Random(1), DigestTable(), DigestTable()
+    entries = [(f"call/{number}", bytes([number % 251])) for number in range(500)]
+    for key, value in entries:
         one.put(key, 1, value)
-    for key, value in chance.sample(told, len(told)):
+    for key, value in chance.sample(entries, len(entries)):
         other.put(key, 9, b"before")
         other.put(key, 10, value)
-    assert one.root() == other.root() and one.differing(other.leaf_bytes()) == []
+    assert one.root() == other.root() and one.differing_ranges(other.leaf_bytes()) == []
     other.put("call/77", 11, None)
-    assert one.differing(other.leaf_bytes()) == [copies.range_of("call/77")]
-    assert len(one.differing(b"short")) == copies.RANGES
+    assert one.differing_ranges(other.leaf_bytes()) == [reconciliation.range_of("call/77")]
+    assert len(one.differing_ranges(b"short")) == reconciliation.RANGE_COUNT
 
 
 # Epochs
@@ -129,30 +151,32 @@
         st.sampled_from(["a", "b", "c"]),
         st.integers(1, 3),
     ),
-    st.builds(Done, st.sampled_from(["a", "b"]), st.integers(1, 12), st.sampled_from(["a", "b", "c"])),
+    st.builds(
+        TakeoverDone, st.sampled_from(["a", "b"]), st.integers(1, 12), st.sampled_from(["a", "b", "c"])
+    ),
 )
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
 @given(st.lists(words, max_size=30))
-def test_an_epoch_has_one_owner_and_one_successor_and_is_kept_until_taken_over(said: list[Word]) -> None:
+def test_an_epoch_has_one_owner_and_one_successor_and_is_kept_until_taken_over(said: list[Command]) -> None:
     epochs, owners, lost = Epochs(), dict[int, tuple[str, int]](), set[tuple[str, int]]()
     for index, word in enumerate(said, start=1):
-        before = {key: (stream.by, stream.over) for key, stream in epochs.streams.items()}
+        before = {key: (stream.successor, stream.ended) for key, stream in epochs.streams.items()}
         epochs.apply(index, word)
         for (owner, epoch), stream_ in epochs.streams.items():
-            assert owners.setdefault(epoch, (owner, stream_.life)) == (owner, stream_.life)
+            assert owners.setdefault(epoch, (owner, stream_.incarnation)) == (owner, stream_.incarnation)
             by, over = before.get((owner, epoch), ("", False))
-            assert not over or stream_.over  # what is over stays so
-            if by and stream_.by != by:
+            assert not over or stream_.ended  # an ended epoch stays ended
+            if by and stream_.successor != by:
                 assert isinstance(word, Succeed)
         for key in before.keys() - epochs.streams.keys():  # R3
-            assert (isinstance(word, Done) and before[key][0] == word.by) or (
-                isinstance(word, Own) and word.continues == key[1] and not before[key][1]
+            assert (isinstance(word, TakeoverDone) and before[key][0] == word.successor) or (
+                isinstance(word, Own) and word.continued_epoch == key[1] and not before[key][1]
             )
             lost.add(key)
         assert not lost & epochs.streams.keys()
-        assert all(epochs.current[owner] >= epoch for owner, epoch in epochs.streams)  # R2
+        assert all(epochs.current_epochs[owner] >= epoch for owner, epoch in epochs.streams)  # R2
         other = Epochs()
         other.restore(epochs.save())
         assert other.save() == epochs.save()
@@ -170,43 +194,49 @@
 NAMES = ("b", "c")
 
 
-class Place:
+class HolderHost:
     """A holder and its disk."""
 
     def __init__(self, name: str) -> None:
         self.name, self.disk = name, dict[str, bytes]()
         self.holder = Holder({})
-        self.fenced = False  # it has applied the successor's word
+        self.epoch_ended = False  # it has applied the successor's command
         self.up = True
 
     def start(self) -> None:
         self.holder = Holder(self.disk)
-        if self.fenced:
-            self.holder.ended("a", 1)
+        if self.epoch_ended:
+            self.holder.end_epoch("a", 1)
 
 
 class World:
-    """`a` owns, `b` and `c` hold; each step is one event, and is checked. `acks` of the two must confirm."""
+    """Agent `a` owns the stream, `b` and `c` hold it. Each step is one event, followed by a check of the
+    invariants."""
 
-    def __init__(self, acks: int) -> None:
+    def __init__(self, required_acks: int) -> None:
         self.settings = Settings(
-            copies=2, acks=acks, window=2, tail_batches=3, piece_bytes=10, pieces_a_second=1e6
+            copies=2,
+            required_acks=required_acks,
+            window_batches=2,
+            retained_batches=3,
+            part_bytes=10,
+            parts_per_second=1e6,
         )
         self.now = 0.0
         self.owner: Stream | None = Stream("a", 1, self.settings, [])
-        self.places = {name: Place(name) for name in NAMES}
+        self.hosts = {name: HolderHost(name) for name in NAMES}
         self.wires: dict[tuple[str, str], list[Message]] = {}
         self.written = 0
-        self.effects = 0  # batches whose effects have left
-        self.lease = True  # the owner has heard the log's leader of late
-        self.cut = False  # the owner is cut off from the log, or stands still
-        self.by = ""
-        self.gathering: Gathering | None = None
-        self.taken: dict[str, bytes] | None = None
-        self.lost = 0  # disks
+        self.effects = 0  # batches whose effects have left the owner
+        self.lease = True  # the owner has recently heard from the leader of the agreed log
+        self.cut = False  # the owner is partitioned from the log, or its process is stopped
+        self.successor = ""
+        self.takeover: Takeover | None = None
+        self.taken_over: dict[str, bytes] | None = None
+        self.lost = 0  # number of disks lost
         self.faults = 3
         out: stream.Out = []
-        self.owner.follow(NAMES, 0.0, out)
+        self.owner.set_holders(NAMES, 0.0, out)
         self.post("a", out)
 
     def post(self, sender: str, out: list[tuple[str, Message]]) -> None:
@@ -214,6 +244,7 @@
             self.wires.setdefault((sender, to), []).append(message)
 
     def state(self, count: int) -> dict[str, bytes]:
+        """The records after the first `count` batches."""
         found: dict[str, bytes] = {}
         for batch in BATCHES[:count]:
             for key, value in batch:
@@ -243,16 +274,16 @@
                     yield "double", sender, to
                     if len(wire) > 1:
                         yield "swap", sender, to
-        for name, place in self.places.items():
-            if self.faults and place.up:
+        for name, host in self.hosts.items():
+            if self.faults and host.up:
                 yield "restart", name, ""
                 yield "restart empty", name, ""
             if not self.lease or self.owner is None:
-                if not self.by and place.holder.copies:
+                if not self.successor and host.holder.copies:
                     yield "succeed", name, ""
-                elif self.by and not place.fenced:
+                elif self.successor and not host.epoch_ended:
                     yield "learn", name, ""
-        if self.gathering is not None and self.taken is None:
+        if self.takeover is not None and self.taken_over is None:
             yield "gather", "", ""
 
     def step(self, what: str, first: str, second: str) -> None:
@@ -274,8 +305,8 @@
                 self.lease = False
             case "owner back" if self.owner is not None:
                 self.cut = False
-                if self.by:
-                    self.owner.over = True  # it hears that its epoch is
+                if self.successor:
+                    self.owner.ended = True  # it learns that its epoch has ended
                 else:
                     self.lease = True
             case "deliver":
@@ -293,15 +324,15 @@
             case "restart" | "restart empty":
                 self.faults -= 1
                 if what == "restart empty":
-                    self.places[first].disk.clear()
+                    self.hosts[first].disk.clear()
                     self.lost += 1
-                    if first == self.by and self.taken is None:
-                        self.by, self.gathering = "", None  # another will be the successor
-                self.places[first].start()
-                if first == self.by and self.taken is None:
+                    if first == self.successor and self.taken_over is None:
+                        self.successor, self.takeover = "", None  # another holder becomes the successor
+                self.hosts[first].start()
+                if first == self.successor and self.taken_over is None:
                     self.succeed(first)
             case "succeed":
-                self.by = first
+                self.successor = first
                 self.learn(first)
                 self.succeed(first)
             case "learn":
@@ -311,70 +342,72 @@
         self.check()
 
     def learn(self, name: str) -> None:
-        self.places[name].fenced = True
-        self.places[name].holder.ended("a", 1)
+        self.hosts[name].epoch_ended = True
+        self.hosts[name].holder.end_epoch("a", 1)
 
     def succeed(self, name: str) -> None:
-        copy = self.places[name].holder.copies.get(("a", 1))
+        copy = self.hosts[name].holder.copies.get(("a", 1))
         others = [each for each in NAMES if each != name]
-        self.gathering = None if copy is None else Gathering(copy, others, 0.0)
-        if self.gathering is not None:
-            self.post(name, list(self.gathering.asks(self.now)))
+        self.takeover = None if copy is None else Takeover(copy, others, 0.0)
+        if self.takeover is not None:
+            self.post(name, list(self.takeover.requests(self.now)))
 
     def gather(self) -> None:
-        assert self.gathering is not None
-        self.gathering.asked_at = -1e9
-        self.post(self.by, list(self.gathering.asks(self.now)))
-        if self.gathering.ready(NAMES, 0.0):
-            self.taken = self.gathering.records()
+        assert self.takeover is not None
+        self.takeover.asked_at_ms = -1e9
+        self.post(self.successor, list(self.takeover.requests(self.now)))
+        if self.takeover.ready(NAMES, 0.0):
+            self.taken_over = self.takeover.records()
 
     def deliver(self, sender: str, to: str, message: Message) -> None:
         out: stream.Out = []
         if to == "a":
             if self.owner is not None and not self.cut:
-                self.owner.heard(sender, message, self.now, out)
+                self.owner.handle(sender, message, self.now, out)
                 self.post("a", out)
             return
-        if isinstance(message, Rest):
-            if self.gathering is not None and to == self.by:
-                self.gathering.heard(sender, message)
+        if isinstance(message, Remainder):
+            if self.takeover is not None and to == self.successor:
+                self.takeover.receive(sender, message)
             return
-        place = self.places[to]
-        done = place.holder.handle(sender, message)
-        for key, value in done.keep:
+        host = self.hosts[to]
+        done = host.holder.handle(sender, message)
+        for key, value in done.writes:
             if value is None:
-                place.disk.pop(key, None)
+                host.disk.pop(key, None)
             else:
-                place.disk[key] = value
-        self.post(to, done.send)
+                host.disk[key] = value
+        self.post(to, done.messages)
 
     def check(self) -> None:
-        if self.owner is not None and self.lease and not self.owner.over:
-            settled = self.owner.settled()
+        if self.owner is not None and self.lease and not self.owner.ended:
+            settled = self.owner.confirmed()
             assert settled <= self.written
             if settled > self.effects:
-                assert self.taken is None, "effects of an epoch that another has taken over"
+                assert self.taken_over is None, "effects of an epoch that another has taken over"
                 self.effects = settled
-        for place in self.places.values():
-            copy = place.holder.copies.get(("a", 1))
-            if copy is not None and copy.whole:
-                told = {key: value for key, (_, value) in copy.table.entries.items()}
-                assert told == self.state(copy.at), f"{place.name} is no prefix: {copy.at}"
-                assert Holder(place.disk).copies["a", 1].table.root() == copy.table.root(), "not what it kept"
-        if self.taken is not None and self.lost < max(1, self.settings.acks):
+        for host in self.hosts.values():
+            copy = host.holder.copies.get(("a", 1))
+            if copy is not None and copy.verified:
+                entries = {key: value for key, (_, value) in copy.table.entries.items()}
+                assert entries == self.state(copy.batch_number), (
+                    f"{host.name} is no prefix: {copy.batch_number}"
+                )
+                assert Holder(host.disk).copies["a", 1].table.root() == copy.table.root(), "not what it kept"
+        if self.taken_over is not None and self.lost < max(1, self.settings.required_acks):
             known = [self.state(count) for count in range(self.effects, self.written + 1)]
-            assert self.taken in known, f"lost: {self.taken} after {self.effects} of {self.written}"
+            assert self.taken_over in known, f"lost: {self.taken_over} after {self.effects} of {self.written}"
 
     def key(self) -> bytes:
-        """What tells states apart, but for the times."""
+        """Identifies a state, without the times."""
         owner = (
             None
             if self.owner is None
             else (
-                self.owner.number,
-                self.owner.over,
+                self.owner.batch_number,
+                self.owner.ended,
                 [
-                    (name, each.phase, each.acked, each.sent, list(each.ranges), each.part)
+                    (name, each.phase, each.acked, each.sent, list(each.pending_ranges), each.pending_entries)
                     for name, each in self.owner.holders.items()
                 ],
             )
@@ -384,57 +417,58 @@
                 owner,
                 [
                     (
-                        place.disk,
-                        place.fenced,
-                        place.holder.copies.get(("a", 1))
+                        host.disk,
+                        host.epoch_ended,
+                        host.holder.copies.get(("a", 1))
                         and (
-                            (copy := place.holder.copies["a", 1]).at,
-                            copy.whole,
-                            copy.begun,
-                            sorted(copy.wanted),
+                            (copy := host.holder.copies["a", 1]).batch_number,
+                            copy.verified,
+                            copy.digests_received,
+                            sorted(copy.missing_ranges),
                             sorted(copy.next_part.items()),
                         ),
                     )
-                    for place in self.places.values()
+                    for host in self.hosts.values()
                 ],
                 self.wires,
                 self.effects,
                 self.lease,
                 self.cut,
-                self.by,
-                self.taken,
+                self.successor,
+                self.taken_over,
                 self.lost,
                 self.faults,
             )
         )
 
 
-def begun(acks: int) -> World:
-    """Both holders are whole."""
-    world = World(acks)
+def begun(required_acks: int) -> World:
+    """Both holders are verified."""
+    world = World(required_acks)
     settle(world)
     assert world.owner is not None
-    assert all(each.phase is Phase.WHOLE for each in world.owner.holders.values())
+    assert all(each.phase is Phase.VERIFIED for each in world.owner.holders.values())
     return world
 
 
-def written(acks: int) -> World:
-    """Three batches are on their way to holders that are whole."""
-    world = begun(acks)
+def written(required_acks: int) -> World:
+    """Three batches are on their way to verified holders."""
+    world = begun(required_acks)
     for _ in range(3):
         world.step("write", "", "")
     return world
 
 
 def settle(world: World) -> None:
+    """Delivers all messages until the holders are verified and have acknowledged everything."""
     for _ in range(3000):
         wire = next((pair for pair, messages in world.wires.items() if messages), None)
         if wire is None:
             if (
                 world.owner is None
-                or world.owner.over
+                or world.owner.ended
                 or all(
-                    each.phase is Phase.WHOLE and each.acked == world.owner.number
+                    each.phase is Phase.VERIFIED and each.acked == world.owner.batch_number
                     for each in world.owner.holders.values()
                 )
             ):
@@ -448,14 +482,14 @@
 BEGINNINGS: dict[str, Callable[[int], World]] = {"empty": World, "begun": begun, "written": written}
 
 
-@pytest.mark.parametrize("acks", [1, 2])
+@pytest.mark.parametrize("required_acks", [1, 2])
 @pytest.mark.parametrize("name", BEGINNINGS)
-def test_every_order_of_owner_holders_and_successor(name: str, acks: int) -> None:
-    assert explored(BEGINNINGS[name](acks), 6, 2_000) > 1_000
+def test_every_order_of_owner_holders_and_successor(name: str, required_acks: int) -> None:
+    assert explored(BEGINNINGS[name](required_acks), 6, 2_000) > 1_000
 
 
-def lived(seed: int, steps: int = 150) -> None:
-    """A life drawn from a seed; at its end either the owner's holders are whole, or its successor has it."""
+def run_life(seed: int, steps: int = 150) -> None:
+    """A random run; at its end, either the owner's holders are verified or a successor has taken over."""
     chance = random.Random(seed)
     world = World(chance.choice((1, 2)))
     weights = {"deliver": 6.0, "write": 1.0, "owner dies": 0.02, "owner cut": 0.1, "tick": 0.5, "learn": 2.0}
@@ -468,28 +502,29 @@
     world.faults = 0
     for _ in range(400):
         events = [event for event in world.events() if event[0] not in ("owner dies", "owner cut", "write")]
-        if not events or world.taken is not None:
+        if not events or world.taken_over is not None:
             break
         world.step(*events[0] if chance.random() < 0.3 else chance.choice(events))
-    if world.owner is not None and not world.by and not world.cut:
+    if world.owner is not None and not world.successor and not world.cut:
         settle(world)
-    elif world.by and world.gathering is not None:
-        assert world.taken is not None, "the takeover never ends"
+    elif world.successor and world.takeover is not None:
+        assert world.taken_over is not None, "the takeover never ends"
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_long_lives_lose_nothing_that_was_confirmed(seed: int) -> None:
-    lived(seed)
+    run_life(seed)
 
 
 def taken_by_one_that_is_caught_up() -> None:
-    """`b` has lost its disk and is being caught up when the owner dies; `c` has all, `b` is the successor."""
-    for acks in (1, 2):
+    """`b` has lost its disk and is catching up when the owner dies. `c` has all records, `b` is the
+    successor."""
+    for required_acks in (1, 2):
         for after in range(12):
-            world = written(acks)
+            world = written(required_acks)
             settle(world)
             world.step("restart empty", "b", "")
-            world.lost = 0  # its own loss is no excuse: another has a whole copy
+            world.lost = 0  # the loss is no excuse: another holder has a verified copy
             world.step("write", "", "")
             for _ in range(after):
                 wire = next((pair for pair, messages in world.wires.items() if messages), None)
@@ -497,7 +532,7 @@
                     world.step("tick", "", "")
                 else:
                     world.step("deliver", *wire)
-            if ("a", 1) not in world.places["b"].holder.copies:
+            if ("a", 1) not in world.hosts["b"].holder.copies:
                 continue
             while world.wires["a", "c"]:
                 world.step("deliver", "a", "c")
@@ -505,9 +540,9 @@
 
 
 def taken_by_one_that_is_behind() -> None:
-    """`b` has heard of so many batches only, `c` of all five; among the last are deletions."""
-    for acks, heard in itertools.product((1, 2), range(6)):
-        world = begun(acks)
+    """`b` has received only some batches, `c` all five; the last ones contain deletions."""
+    for required_acks, heard in itertools.product((1, 2), range(6)):
+        world = begun(required_acks)
         for _ in BATCHES:
             world.step("write", "", "")
             for _ in range(10):
@@ -516,7 +551,7 @@
                 if world.wires["c", "a"]:
                     world.step("deliver", "c", "a")
             while world.wires["a", "b"]:
-                if world.places["b"].holder.copies["a", 1].at < heard:
+                if world.hosts["b"].holder.copies["a", 1].batch_number < heard:
                     world.step("deliver", "a", "b")
                     world.step("deliver", "b", "a")
                 else:
@@ -525,16 +560,17 @@
 
 
 def taken_by_b(world: World) -> None:
+    """The owner dies and `b` takes over."""
     world.step("owner dies", "", "")
     world.step("succeed", "b", "")
     world.step("gather", "", "")
     world.step("learn", "c", "")
     for _ in range(100):
-        if world.taken is not None:
+        if world.taken_over is not None:
             break
         wire = next((pair for pair, messages in world.wires.items() if messages and "a" not in pair), None)
         world.step(*(("deliver", *wire) if wire else ("gather", "", "")))
-    assert world.taken is not None
+    assert world.taken_over is not None
 
 
 def test_a_successor_that_is_behind_or_being_caught_up_has_it_from_another() -> None:
@@ -542,20 +578,21 @@
     taken_by_one_that_is_behind()
 
 
-# Catching up, cut at every message and with every byte flipped
+# Catching up with each message lost and each byte flipped
 
-PAIR = Settings(copies=1, piece_bytes=60, pieces_a_second=1e6, tail_batches=50)
+PAIR = Settings(copies=1, part_bytes=60, parts_per_second=1e6, retained_batches=50)
 HELD = [(f"call/{number}", bytes([65 + number]) * 20) for number in range(12)]
 
 
 def caught_up(
     spoil: Callable[[int, Message], Message | None], alone: bool = False, most: int = 400
 ) -> tuple[Stream, Holder, int]:
-    """An owner and one holder until it is whole; `spoil` sees each message to the holder, by its number: what
-    it makes of it arrives. None: it is lost, and unless `alone` all that is under way with it."""
-    owner, place, now = Stream("a", 7, PAIR, HELD), Holder({}), 0.0
+    """Runs an owner and one holder until the holder is verified. `spoil` gets each message to the holder
+    with its number and returns what arrives. None: it is lost, and unless `alone`, also all other messages
+    in flight."""
+    owner, host, now = Stream("a", 7, PAIR, HELD), Holder({}), 0.0
     out: stream.Out = []
-    owner.follow(["b"], now, out)
+    owner.set_holders(["b"], now, out)
     wire, count = deque(message for _, message in out), 0
     for _ in range(most):
         if count in (4, 9):
@@ -563,36 +600,36 @@
             owner.write((("call/3", b"new"), (f"call/{20 + count}", b"later"), ("call/5", None)), now, out)
             wire.extend(message for _, message in out)
         if not wire:
-            if owner.holders["b"].phase is Phase.WHOLE and owner.settled() == owner.number:
-                return owner, place, count
+            if owner.holders["b"].phase is Phase.VERIFIED and owner.confirmed() == owner.batch_number:
+                return owner, host, count
             now += 1100.0
             out = []
             owner.tick(now, out)
             wire.extend(message for _, message in out)
             continue
-        told, count = spoil(count, wire.popleft()), count + 1
-        if told is None:
+        delivered, count = spoil(count, wire.popleft()), count + 1
+        if delivered is None:
             if not alone:
                 wire.clear()
             continue
         out = []
-        for _, answer in place.handle("a", told).send:
-            owner.heard("b", answer, now, out)
+        for _, answer in host.handle("a", delivered).messages:
+            owner.handle("b", answer, now, out)
         wire.extend(message for _, message in out)
     raise AssertionError("never whole")
 
 
-def verified(owner: Stream, place: Holder) -> None:
-    copy = place.copies["a", 7]
-    assert copy.whole and copy.table.root() == owner.table.root()
+def verified(owner: Stream, host: Holder) -> None:
+    copy = host.copies["a", 7]
+    assert copy.verified and copy.table.root() == owner.table.root()
     assert {key: value for key, (_, value) in copy.table.entries.items()} == {
         key: value for key, (_, value) in owner.table.entries.items()
     }
 
 
 def test_a_catch_up_that_is_cut_at_any_message_ends_whole_and_sends_no_range_twice_for_it() -> None:
-    owner, place, count = caught_up(lambda number, message: message)
-    verified(owner, place)
+    owner, host, count = caught_up(lambda number, message: message)
+    verified(owner, host)
     assert count > 12
     for cut in range(count):
         for alone in (False, True):
@@ -605,12 +642,12 @@
     ranges = list[int]()
 
     def watched(number: int, message: Message) -> Message | None:
-        if isinstance(message, Piece) and message.last:
-            ranges.append(message.range)
+        if isinstance(message, RangePart) and message.last:
+            ranges.append(message.range_number)
         return None if number == 8 else message
 
     verified(*caught_up(watched)[:2])
-    assert max(ranges.count(each) for each in ranges) <= 2  # those that had come are not sent again
+    assert max(ranges.count(each) for each in ranges) <= 2  # received ranges are not sent again
 
 
 def test_a_byte_that_is_flipped_on_the_way_is_never_taken_for_whole() -> None:
@@ -618,8 +655,8 @@
     _, _, count = caught_up(lambda number, message: message)
     flipped = 0
     for at in range(count):
-        places = itertools.count()
-        for place in places:
+        positions = itertools.count()
+        for position in positions:
             size = 0
 
             def spoil(number: int, message: Message) -> Message | None:
@@ -628,58 +665,58 @@
                     return message
                 data = bytearray(encoder.encode(message))
                 size = len(data)
-                where = place * (1 if size < 400 else 97) % size  # noqa: B023
+                where = position * (1 if size < 400 else 97) % size  # noqa: B023
                 data[where] ^= 0x11
                 flipped += 1
                 try:
                     return decoder.decode(bytes(data))
                 except (msgspec.MsgspecError, UnicodeDecodeError):
-                    return None  # the link closes the connection
+                    return None  # the link would close the connection
 
             verified(*caught_up(spoil)[:2])
-            if (place + 1) * (1 if size < 400 else 97) >= size:
+            if (position + 1) * (1 if size < 400 else 97) >= size:
                 break
     assert flipped > 500
 
 
-# Planted faults: each is seen by what is above
+# Planted faults: the tests above must detect each
 
 
-def eager_whole(self: Holder, copy: holder.Copy, message: object, out: holder.Output) -> None:
-    copy.whole = True  # unchecked
-    self._mark(copy, out)
+def eager_whole(self: Holder, copy: holder.StreamCopy, message: object, out: holder.Output) -> None:
+    copy.verified = True  # without verification
+    self._save_progress(copy, out)
     self._ack(copy, out)
 
 
-def deletions_not_told(self: holder.Copy, number: int) -> list[tuple[str, int, bytes | None]]:
+def deletions_not_told(self: holder.StreamCopy, number: int) -> list[tuple[str, int, bytes | None]]:
     return [(name, at, value) for name, (at, value) in self.table.entries.items() if at > number]
 
 
-def own_copy_alone(self: Gathering, up: object, now_ms: float) -> bool:
+def own_copy_alone(self: Takeover, up: object, now_ms: float) -> bool:
     return True
 
 
-def gap_passed_over(self: Holder, copy: holder.Copy, message: Append, out: holder.Output) -> None:
+def gap_passed_over(self: Holder, copy: holder.StreamCopy, message: Append, out: holder.Output) -> None:
     for number, batch in enumerate(message.batches, start=message.first):
         for name, value in batch:
-            self._put(copy, name, number, value, out)
-        copy.at = max(copy.at, number)
-    self._mark(copy, out)
+            self._put_record(copy, name, number, value, out)
+        copy.batch_number = max(copy.batch_number, number)
+    self._save_progress(copy, out)
     self._ack(copy, out)
 
 
 def not_kept(
-    self: Holder, copy: holder.Copy, name: str, number: int, value: bytes | None, out: holder.Output
+    self: Holder, copy: holder.StreamCopy, name: str, number: int, value: bytes | None, out: holder.Output
 ) -> None:
     copy.table.put(name, number, value)
 
 
 PLANTED: dict[str, tuple[type, str, object]] = {
-    "a copy counted whole unchecked": (Holder, "_check", eager_whole),
-    "deletions not told to a successor": (holder.Copy, "after", deletions_not_told),
-    "the successor's own copy alone": (Gathering, "ready", own_copy_alone),
-    "a gap passed over": (Holder, "_append", gap_passed_over),
-    "confirmed and not kept": (Holder, "_put", not_kept),
+    "a copy counted whole unchecked": (Holder, "_verify", eager_whole),
+    "deletions not told to a successor": (holder.StreamCopy, "written_after", deletions_not_told),
+    "the successor's own copy alone": (Takeover, "ready", own_copy_alone),
+    "a gap passed over": (Holder, "_apply_batches", gap_passed_over),
+    "confirmed and not kept": (Holder, "_put_record", not_kept),
 }
 
 
@@ -693,7 +730,7 @@
             taken_by_one_that_is_caught_up()
             taken_by_one_that_is_behind()
             for seed in range(60):
-                lived(seed)
+                run_life(seed)
         except AssertionError:
             return True
         return False
