--- a/frostport/store/engine.py
+++ b/frostport/store/engine.py
@@ -152,7 +152,7 @@
             file.sync()
         finally:
             file.close()
-        for name in sorted(self.folder.names()):  # a next segment that was being started at the failure
+        for name in sorted(self.folder.names()):  # a segment being created at the failure
             if (frames.segment_number(name) or 0) > number:
                 self.folder.remove(name)
         write_manifest(self.folder, self.store_id, self.segments[0])
