--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -119,10 +119,10 @@
             )
 
 
-def played(job: tuple[str, int]) -> str:
+def run_scenario(job: tuple[str, int]) -> str:
     case, seed = job
     try:
-        test_startup.played(case, 1000, seed)
+        test_startup.run_scenario(case, 1000, seed)
     except AssertionError as problem:
         return f"{case}, seed {seed}: {str(problem)[:300]}"
     return ""
@@ -132,7 +132,7 @@
     """Every hard case of the tests with 1,000 agents on one simulated clock."""
     jobs = [(case, seed) for case in test_startup.CASES for seed in range(3)]
     with concurrent.futures.ProcessPoolExecutor() as pool:
-        bad = [said for said in pool.map(played, jobs) if said]
+        bad = [said for said in pool.map(run_scenario, jobs) if said]
     print(
         f"1,000 agents, {len(jobs)} plays of {len(test_startup.CASES)} hard cases: {len(jobs) - len(bad)} "
         f"without a collapse, all serve, no drain heard late",
--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -46,7 +46,7 @@
     from frostport.durability import Durability
     from frostport.fleet import Fleet
     from frostport.side_diameter import DiameterSide
-    from frostport.starting import Starting
+    from frostport.startup_coordinator import StartupCoordinator
 
 log = logging.getLogger("frostport.agent")
 
@@ -118,7 +118,7 @@
         self._exit_at = 0.0  # and when the program ends, whoever has not read them
         self._sweeping: Deadline | None = None
         self.fleet: Fleet | None = None
-        self.starting: Starting | None = None
+        self.startup: StartupCoordinator | None = None
         self.lifecycle.listen(self.entered)
 
     def _diameter(self) -> DiameterSide:
@@ -173,8 +173,8 @@
         if self.config.operator:
             asked = Operations(self.broker, self.lifecycle, self.figures)
             also = dict(self.fleet.operations()) if self.fleet is not None else {}
-            if self.starting is not None:
-                also.update(self.starting.operations())
+            if self.startup is not None:
+                also.update(self.startup.operations())
             if self.fleet is not None:
                 asked.kept = self.fleet.work.kept
             self.door = OperatorPort({**asked.operations(), **also}, self.clock, self.deadlines)
@@ -185,14 +185,14 @@
         self.gate.descriptors.acquire(
             Owner.OWN, self.own_descriptors() + (MAX_CONNECTIONS if self.door else 0)
         )
-        if self.starting is not None:
-            self.starting.join(self)
+        if self.startup is not None:
+            self.startup.attach(self)
         self.side.start()
         if self.fleet is not None:
             self.fleet.work.join(self)
             self.fleet.start()
-        if self.starting is not None:
-            self.starting.start()
+        if self.startup is not None:
+            self.startup.start()
         if self.config.admission.ladder:
             self._sweep()
         if self.durability is not None:
@@ -202,7 +202,7 @@
 
     def able(self) -> bool:
         """Whether its start is over, as far as that goes by lists, servers and turns."""
-        return self.starting is None or self.starting.ready
+        return self.startup is None or self.startup.ready
 
     def _sweep(self) -> None:
         """Sheds what a lowered limit or the ladder asks for, a few at a time."""
@@ -400,9 +400,9 @@
 
         agent.fleet = fleet.Fleet(config.fleet, reactor, VERSION, inherited is not None, refused)
     if config.startup is not None:
-        from frostport import starting
+        from frostport import startup_coordinator
 
-        agent.starting = starting.Starting(config.startup, config.name, agent.fleet)
+        agent.startup = startup_coordinator.StartupCoordinator(config.startup, config.name, agent.fleet)
 
     def on_term(signum: int, frame: object) -> None:
         reactor.callFromThread(agent.terminate)
--- a/frostport/config_startup.py
+++ b/frostport/config_startup.py
@@ -1,4 +1,4 @@
-"""The `startup` part of the configuration; imported only where there is one."""
+"""Reads the `startup` section of the configuration. Imported only if there is one."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from frostport.config import ConfigError
 from frostport.startup.settings import Settings
 
-LEAST = {
+MINIMUMS = {
     "agents": 1,
     "dials_a_second": 0.1,
     "lists_a_second": 0.1,
@@ -25,23 +25,25 @@
     "wave": 0.0,
     "wave_ms": 0.0,
 }
-MOST = {"agents": 100_000, "wave": 1.0, "feeders": 100}
+MAXIMUMS = {"agents": 100_000, "wave": 1.0, "feeders": 100}
 
 
 def read(record: Mapping[str, Any]) -> Settings:
-    """Raises ConfigError, which names the field."""
-    at = "startup."
+    """Returns the settings. Raises ConfigError, which names the field."""
+    prefix = "startup."
     section = base.field(record, "startup", dict, {})
     if "diameter" in record:
-        raise ConfigError("startup: only with the platform's wires, not with diameter")
-    given: dict[str, Any] = {}
+        raise ConfigError("startup: not supported together with diameter")
+    values: dict[str, Any] = {}
     kinds = {name: type(value) for name, value in dataclasses.asdict(Settings()).items()}
     for name, value in section.items():
         if name not in kinds:
-            raise ConfigError(f"{at}{name}: unknown field")
+            raise ConfigError(f"{prefix}{name}: unknown field")
         if isinstance(value, bool) or not isinstance(value, int if kinds[name] is int else int | float):
-            raise ConfigError(f"{at}{name}: not a {'whole ' if kinds[name] is int else ''}number")
-        if not LEAST[name] <= value <= MOST.get(name, 1e9):
-            raise ConfigError(f"{at}{name}: not {LEAST[name]:g} to {MOST.get(name, 1e9):g}")
-        given[name] = value if kinds[name] is int else float(value)
-    return Settings(**given)
+            raise ConfigError(f"{prefix}{name}: must be {'an integer' if kinds[name] is int else 'a number'}")
+        if not MINIMUMS[name] <= value <= MAXIMUMS.get(name, 1e9):
+            raise ConfigError(
+                f"{prefix}{name}: must be between {MINIMUMS[name]:g} and {MAXIMUMS.get(name, 1e9):g}"
+            )
+        values[name] = value if kinds[name] is int else float(value)
+    return Settings(**values)
--- a/frostport/core/dialing.py
+++ b/frostport/core/dialing.py
@@ -1,6 +1,6 @@
 """When connections are opened: by default at once, and again after a fixed pause.
 
-The bus and the lobby servers ask here before they dial; `frostport/starting.py` answers with turns.
+The bus and the lobby servers ask here before they dial; `frostport/startup_coordinator.py` answers with turns.
 """
 
 from __future__ import annotations
--- a/frostport/startup/__init__.py
+++ b/frostport/startup/__init__.py
@@ -1,1 +1,4 @@
-"""Cold starts: turns instead of a rush, the server list by the fleet, ready in waves. Decisions only."""
+"""Cold starts: paced dialing, the server list passed on within the fleet, staged readiness.
+
+Only decisions: the modules here open no connection and read no clock.
+"""
--- a/frostport/startup/feed.py
+++ b/frostport/startup/feed.py
@@ -1,10 +1,11 @@
-"""The server list by the fleet: a few feeders a zone hear the list service, the others hear them.
+"""Distributes the server list within the fleet: a few feeders in each zone hear the list service and pass its
+events on to the other agents.
 
-`handle(event, now_ms)` returns what to do. Times are this agent's own ms; between agents only ages travel.
+`handle(event, now_ms)` returns the actions to carry out. Times are this agent's own, in ms; messages between
+agents carry ages only, so their clocks need not agree.
 
-Invariants: events are taken in order, each once (S1); an agent whose list is older than `old_ms` is
-looking for a younger one, at other agents or at the service itself (S2); a list is never replaced by an
-older one (S3).
+Invariants: events are applied in order, each once (S1); an agent whose list is older than `old_ms` looks for
+a newer one, at other agents or at the service itself (S2); a list is never replaced by an older one (S3).
 """
 
 from __future__ import annotations
@@ -15,63 +16,65 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from frostport.startup.messages import PART_BYTES, Ask, Enough, Message, Told
-from frostport.startup.placing import ranked, weight
+from frostport.startup.messages import MAX_BATCH_BYTES, FeedUpdate, Message, Subscribe, Unsubscribe
+from frostport.startup.rendezvous import ranked, weight
 from frostport.startup.settings import Settings
 
 TICK_MS = 250.0
-BEAT_MS = 1000.0  # a word to those that are fed, at least so often
-ASK_MS = 4000.0  # who is fed asks again so often, and is forgotten after three times of it
-BLAME_MS = 5000.0  # a feeder found silent or old is not tried again before
-FRESH = 3  # young words in a row after which one that had asked the service itself leaves it
-KEPT = 1000  # events that are kept to be told
-THINNED = 3  # times `feeders`: of those that see only a part of the fleet, so many may dial the service
+HEARTBEAT_MS = 1000.0  # subscribers get an update at least so often
+RENEWAL_MS = 4000.0  # a subscription is renewed so often; it expires after three times this
+EXCLUSION_MS = 5000.0  # a feeder that was silent or had an old list is not tried again for this time
+CURRENT_UPDATES = 3  # consecutive current updates after which a standalone agent leaves the list service
+MAX_RETAINED_EVENTS = 1000  # latest events, retained for subscribers that lack them
+PARTIAL_VIEW_FACTOR = (
+    3  # times `feeders` in each zone: so many agents with a partial view may dial the service
+)
 
 
 class Role(Enum):
     """How this agent hears of the list."""
 
-    WAITING = "waiting"  # nobody has told it of a list yet
-    FEEDING = "feeding"  # by the service: it feeds others
-    FED = "fed"
-    ALONE = "alone"  # by the service, for want of a feeder
+    WAITING = "waiting"  # no agent has sent it an update yet
+    FEEDING = "feeding"  # from the service; it is a feeder of its zone
+    FED = "fed"  # from another agent
+    STANDALONE = "alone"  # from the service, although it is no feeder: it found none that is of use
 
 
 @dataclass(frozen=True, slots=True)
-class Members:
-    """Who is up, by name, with their zones; without this agent."""
+class MembersChanged:
+    """The other agents that are up, by name, with their zones."""
 
     zones: Mapping[str, str]
 
 
 @dataclass(frozen=True, slots=True)
-class Up:
-    """The service has taken this agent's connection."""
+class ServiceConnected:
+    """The service has accepted this agent's connection."""
 
 
 @dataclass(frozen=True, slots=True)
-class Down:
-    """That connection is lost, or was not to be had."""
+class ServiceDisconnected:
+    """The connection to the service was lost or could not be made."""
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
-    """The service was heard, with an event where it has a number."""
+class ServiceHeard:
+    """The service has sent something: an event, or with a negative offset a sign of life."""
 
     offset: int = -1
     line: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
-    """An event of another agent was taken in here (or had been before)."""
+class EventApplied:
+    """An event from another agent is in this agent's list now, or was before."""
 
     offset: int
     line: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class MessageReceived:
     sender: str
     message: Message
 
@@ -82,282 +85,307 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class Send:
     to: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
-    """Tell this one the whole list: the events since its own are no longer kept."""
+class SendSnapshot:
+    """Send the whole list: the events that this agent lacks are no longer retained."""
 
     to: str
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
-    """These events of another agent go into the list; each is to be answered with `Applied`."""
+class ApplyEvents:
+    """Apply these events from another agent to the list; report each with `EventApplied`."""
 
     events: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Dial the service, at this agent's turn among so many (0: all)."""
+    """Dial the service, paced for so many agents that may do the same (0: the whole fleet)."""
 
-    among: int
+    dialer_count: int
 
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Leave it, or the turn that was drawn for it."""
+    """Close the connection to the service, or cancel the dial that is scheduled."""
 
 
-Event = Members | Up | Down | Word | Applied | Heard | Tick
-Action = Say | Whole | Take | Connect | Disconnect
+Event = (
+    MembersChanged
+    | ServiceConnected
+    | ServiceDisconnected
+    | ServiceHeard
+    | EventApplied
+    | MessageReceived
+    | Tick
+)
+Action = Send | SendSnapshot | ApplyEvents | Connect | Disconnect
 
 
 class Feed:
-    """One agent's part in passing the list on. `offset`: the last event of the list that it starts with."""
+    """One agent's part in the distribution. `offset`: the last event of the list that it starts with."""
 
     def __init__(self, name: str, zone: str, offset: int, settings: Settings, now_ms: float) -> None:
-        self.name, self.zone, self.settings, self.began = name, zone, settings, now_ms
+        self.name, self.zone, self.settings, self.started_at = name, zone, settings, now_ms
         self.role = Role.WAITING
-        self.offset = offset
-        self.events: deque[tuple[int, bytes]] = deque()
-        self.floor = offset  # the number before the first event kept
-        self.zones: dict[str, str] = {}
-        self.whole = False  # at least half of the fleet is seen
-        self._order: list[str] = []  # feeders, best first, of this zone and then of the others
-        self.first = False  # this agent is one of its zone's
-        self.dialling_too = 1  # how many feeders there may be, counting those that only think so
-        self.source = ""
-        self.here = self.dialling = False
-        self.fresh_at = -math.inf  # when the service was last heard, by way of whoever
-        self.source_at = -math.inf  # when the source was last heard
-        self.source_asks = False
-        self.asked_at = self.beat_at = -math.inf
-        self.young = 0
-        self.blamed: dict[str, float] = {}
-        self.fed: dict[str, float] = {}  # who asks here, and until when
-        self.pressed: tuple[tuple[str, float], ...] = ()  # passed on with each word
-        self.in_vain_since = now_ms  # since when nobody has had a young list
+        self.offset = offset  # of the last event in the list
+        self.events: deque[tuple[int, bytes]] = deque()  # the retained ones, by offset
+        self.base_offset = offset  # of the last event before the retained ones
+        self.zones: dict[str, str] = {}  # the zone of each other agent
+        self.sees_half = False  # the membership shows at least half of the fleet
+        self._feeder_order: list[str] = []  # feeders, best first, of this zone and then of the others
+        self.is_feeder = False  # this agent is a feeder of its zone
+        self.dialer_count = 1  # agents that may dial the service as feeders, rightly or by a partial view
+        self.source = ""  # the agent that this one is subscribed to; "": none
+        self.connected = self.dialing = False  # to the service
+        self.service_heard_at = -math.inf  # by this agent or any other on the way here
+        self.source_heard_at = -math.inf
+        self.source_lacks_service = (
+            False  # the source's role is to hear the service, and it has no connection
+        )
+        self.subscribed_at = self.heartbeat_at = -math.inf  # when each was last sent
+        self.current_updates = 0  # consecutive
+        self.excluded: dict[str, float] = {}  # feeders not to be tried, and until when
+        self.subscribers: dict[str, float] = {}  # and until when each subscription lasts
+        self.pressures: tuple[tuple[str, float], ...] = ()  # sent with each message
+        self.outdated_since = now_ms  # start of the time without a current list
 
     def age_ms(self, now: float) -> float:
-        """Since the service was last heard; infinite: never."""
-        return now - self.fresh_at
+        """Returns the time since the service was last heard; infinite: never."""
+        return now - self.service_heard_at
 
     def feeders(self) -> list[str]:
-        """Of this zone, best first, then of the others; without this agent and those that are blamed."""
-        return [name for name in self._order if name not in self.blamed]
+        """Returns this zone's feeders, best first, then the others'; without this agent and excluded ones."""
+        return [name for name in self._feeder_order if name not in self.excluded]
 
-    def _seen(self, zones: Mapping[str, str]) -> None:
+    def _update_members(self, zones: Mapping[str, str]) -> None:
         self.zones = dict(zones)
         by_zone: dict[str, list[str]] = {self.zone: [self.name]}
         for name, zone in zones.items():
             by_zone.setdefault(zone, []).append(name)
-        least = {zone: ranked(zone, names, self.settings.feeders) for zone, names in by_zone.items()}
-        self._order = [
+        feeders = {zone: ranked(zone, names, self.settings.feeders) for zone, names in by_zone.items()}
+        self._feeder_order = [
             name
-            for zone in sorted(least, key=lambda zone: (zone != self.zone, zone))
-            for name in least[zone]
+            for zone in sorted(feeders, key=lambda zone: (zone != self.zone, zone))
+            for name in feeders[zone]
             if name != self.name
         ]
-        # Guards against a start where each sees few others, and most think themselves first.
-        self.whole = whole = len(zones) + 1 >= 0.5 * self.settings.agents
-        self.dialling_too = THINNED * self.settings.feeders * len(by_zone)
-        self.first = self.name in least[self.zone] and (
-            whole or weight(self.zone, self.name) * self.settings.agents < self.dialling_too
+        # At a start each agent sees few others, and most would take themselves for a feeder. Until an agent
+        # sees half of the fleet, it also needs a low weight of its own.
+        self.sees_half = sees_half = len(zones) + 1 >= 0.5 * self.settings.agents
+        self.dialer_count = PARTIAL_VIEW_FACTOR * self.settings.feeders * len(by_zone)
+        self.is_feeder = self.name in feeders[self.zone] and (
+            sees_half or weight(self.zone, self.name) * self.settings.agents < self.dialer_count
         )
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        out: list[Action] = []
+        actions: list[Action] = []
         match event:
-            case Members(zones):
-                self._seen(zones)
+            case MembersChanged(zones):
+                self._update_members(zones)
                 if self.source and self.source not in self.zones:
-                    self.source = ""  # its death is known: the next one is asked at once
-                self._look(now, out)
-            case Up():
-                self.here, self.dialling, self.fresh_at = True, False, now
-                self._beat(now, out)
-            case Down():
-                self.here = False
-                self.dialling = self.role in (Role.FEEDING, Role.ALONE)  # it is dialled again by itself
-                self._look(now, out)
-                self._beat(now, out)
-            case Word(offset, line):
-                self.fresh_at = now
+                    self.source = (
+                        ""  # known to be down: the next feeder is asked without waiting for a time-out
+                    )
+                self._update_source(now, actions)
+            case ServiceConnected():
+                self.connected, self.dialing, self.service_heard_at = True, False, now
+                self._send_heartbeat(now, actions)
+            case ServiceDisconnected():
+                self.connected = False
+                self.dialing = self.role in (
+                    Role.FEEDING,
+                    Role.STANDALONE,
+                )  # the connection redials by itself
+                self._update_source(now, actions)
+                self._send_heartbeat(now, actions)
+            case ServiceHeard(offset, line):
+                self.service_heard_at = now
                 if offset >= 0:
-                    self._keep(offset, line, now, out)
+                    self._retain(offset, line, now, actions)
                 else:
-                    self._beat(now, out)
-            case Applied(offset, line):
-                self._keep(offset, line, now, out)
-            case Heard(sender, message):
-                self._heard(sender, message, now, out)
+                    self._send_heartbeat(now, actions)
+            case EventApplied(offset, line):
+                self._retain(offset, line, now, actions)
+            case MessageReceived(sender, message):
+                self._receive(sender, message, now, actions)
             case Tick():
-                self.blamed = {name: until for name, until in self.blamed.items() if until > now}
-                self.fed = {name: until for name, until in self.fed.items() if until > now}
-                self._look(now, out)
-                if now - self.beat_at >= BEAT_MS:
-                    self._beat(now, out)
-        return out
-
-    def next_ms(self, now: float) -> float:
-        """When the next `Tick` is of use, at the latest a second on."""
-        at = [now + BEAT_MS]
-        if self.fed:
-            at.append(self.beat_at + BEAT_MS)
-        if self.role is Role.ALONE:
-            at.append(self.asked_at + ASK_MS / 2.0)
+                self.excluded = {name: until for name, until in self.excluded.items() if until > now}
+                self.subscribers = {name: until for name, until in self.subscribers.items() if until > now}
+                self._update_source(now, actions)
+                if now - self.heartbeat_at >= HEARTBEAT_MS:
+                    self._send_heartbeat(now, actions)
+        return actions
+
+    def next_tick_at(self, now: float) -> float:
+        """Returns the time at which the next `Tick` is due, at most `HEARTBEAT_MS` from now."""
+        times = [now + HEARTBEAT_MS]
+        if self.subscribers:
+            times.append(self.heartbeat_at + HEARTBEAT_MS)
+        if self.role is Role.STANDALONE:
+            times.append(self.subscribed_at + RENEWAL_MS / 2.0)
         elif self.role is not Role.FEEDING:
-            at.append(self.asked_at + ASK_MS)
+            times.append(self.subscribed_at + RENEWAL_MS)
             if self.source:
-                at += (self.source_at + self.settings.old_ms, self.fresh_at + self.settings.old_ms + BEAT_MS)
-        return min(each for each in at if each > now)
+                times += (
+                    self.source_heard_at + self.settings.old_ms,
+                    self.service_heard_at + self.settings.old_ms + HEARTBEAT_MS,
+                )
+        return min(time for time in times if time > now)
 
-    # The list, towards those that are fed
+    # To subscribers
 
-    def _keep(self, offset: int, line: bytes, now: float, out: list[Action]) -> None:
+    def _retain(self, offset: int, line: bytes, now: float, actions: list[Action]) -> None:
+        """Retains an event that is new in the list, and sends it to the subscribers."""
         if offset <= self.offset:
             return
         before, self.offset = self.offset, offset
         self.events.append((offset, line))
-        while len(self.events) > KEPT:
-            self.floor = self.events.popleft()[0]
-        told = self._told(before, (line,), now)
-        out += [Say(name, told) for name in self.fed]
+        while len(self.events) > MAX_RETAINED_EVENTS:
+            self.base_offset = self.events.popleft()[0]
+        update = self._build_update(before, (line,), now)
+        actions += [Send(name, update) for name in self.subscribers]
 
-    def _told(self, at: int, events: tuple[bytes, ...], now: float) -> Told:
+    def _build_update(self, after_offset: int, events: tuple[bytes, ...], now: float) -> FeedUpdate:
         age = self.age_ms(now)
-        return Told(
-            at,
+        return FeedUpdate(
+            after_offset,
             events,
             age if age < math.inf else -1.0,
-            self.here,
-            self.role in (Role.FEEDING, Role.ALONE),
-            pressed=self.pressed,
+            self.connected,
+            self.role in (Role.FEEDING, Role.STANDALONE),
+            pressures=self.pressures,
         )
 
-    def _beat(self, now: float, out: list[Action]) -> None:
-        self.beat_at = now
-        told = self._told(self.offset, (), now)
-        out += [Say(name, told) for name in self.fed]
+    def _send_heartbeat(self, now: float, actions: list[Action]) -> None:
+        self.heartbeat_at = now
+        update = self._build_update(self.offset, (), now)
+        actions += [Send(name, update) for name in self.subscribers]
 
-    def _answer(self, to: str, at: int, now: float, out: list[Action]) -> None:
-        if at < self.floor and at < self.offset:
-            out.append(Whole(to))
+    def _answer_subscriber(self, to: str, after_offset: int, now: float, actions: list[Action]) -> None:
+        if after_offset < self.base_offset and after_offset < self.offset:
+            actions.append(SendSnapshot(to))
             return
         events: list[bytes] = []
         size = 0
         for offset, line in self.events:
-            if offset > at and size < PART_BYTES:  # the rest when it asks on
+            if offset > after_offset and size < MAX_BATCH_BYTES:  # it asks again for the remaining ones
                 events.append(line)
                 size += len(line)
-        out.append(Say(to, self._told(min(at, self.offset), tuple(events), now)))
+        actions.append(Send(to, self._build_update(min(after_offset, self.offset), tuple(events), now)))
 
-    # From others
+    # From other agents
 
-    def _heard(self, sender: str, message: Message, now: float, out: list[Action]) -> None:
+    def _receive(self, sender: str, message: Message, now: float, actions: list[Action]) -> None:
         match message:
-            case Ask(at):
-                self.fed[sender] = now + 3.0 * ASK_MS
-                self._answer(sender, at, now, out)
-            case Enough():
-                self.fed.pop(sender, None)
-            case Told():
-                self._was_told(sender, message, now, out)
-
-    def _was_told(self, sender: str, told: Told, now: float, out: list[Action]) -> None:
-        if told.age_ms >= 0.0:
-            # Guards against an agent that was only told late: the younger word counts (S3).
-            self.fresh_at = max(self.fresh_at, now - told.age_ms)
+            case Subscribe(after_offset):
+                self.subscribers[sender] = now + 3.0 * RENEWAL_MS
+                self._answer_subscriber(sender, after_offset, now, actions)
+            case Unsubscribe():
+                self.subscribers.pop(sender, None)
+            case FeedUpdate():
+                self._receive_update(sender, message, now, actions)
+
+    def _receive_update(self, sender: str, update: FeedUpdate, now: float, actions: list[Action]) -> None:
+        if update.age_ms >= 0.0:
+            # An update that arrives late must not make the list look older than it is known to be (S3).
+            self.service_heard_at = max(self.service_heard_at, now - update.age_ms)
         if sender == self.source:
-            self.source_at, self.source_asks = now, told.asks and not told.here
-        young = 0.0 <= told.age_ms < self.settings.old_ms
-        if told.at > self.offset:
-            self._ask(sender, now, out)  # a gap, or one that knows more
+            self.source_heard_at, self.source_lacks_service = (
+                now,
+                update.dials_service and not update.connected,
+            )
+        current = 0.0 <= update.age_ms < self.settings.old_ms
+        if update.after_offset > self.offset:
+            self._subscribe(sender, now, actions)  # events are missing, or the sender is ahead
             return
-        if told.events:
-            out.append(Take(told.events))
-            if len(told.events) > 1:
-                self.asked_at = -math.inf  # there may be more
-        if self.role is Role.ALONE and not self.first:
-            self.young = self.young + 1 if young else 0
-            if self.young >= FRESH:
-                self._enter(Role.FED, sender, now, out)
-        elif self.role is Role.WAITING and sender == self.source and told.age_ms >= 0.0:
+        if update.events:
+            actions.append(ApplyEvents(update.events))
+            if len(update.events) > 1:
+                self.subscribed_at = -math.inf  # there may be more: asks again with the next tick
+        if self.role is Role.STANDALONE and not self.is_feeder:
+            self.current_updates = self.current_updates + 1 if current else 0
+            if self.current_updates >= CURRENT_UPDATES:
+                self._set_role(Role.FED, sender, now, actions)
+        elif self.role is Role.WAITING and sender == self.source and update.age_ms >= 0.0:
             self.role = Role.FED
-        elif self.role in (Role.WAITING, Role.FED) and not self.source and young:
-            self._enter(Role.FED, sender, now, out)
+        elif self.role in (Role.WAITING, Role.FED) and not self.source and current:
+            self._set_role(Role.FED, sender, now, actions)
 
-    # How it hears of the list itself
+    # Where this agent hears of the list
 
-    def _enter(self, role: Role, source: str, now: float, out: list[Action]) -> None:
+    def _set_role(self, role: Role, source: str, now: float, actions: list[Action]) -> None:
         before, self.role = self.role, role
         if self.source and self.source != source and self.source in self.zones:
-            out.append(Say(self.source, Enough()))
-        self.source, self.young = source, 0
+            actions.append(Send(self.source, Unsubscribe()))
+        self.source, self.current_updates = source, 0
         if source:
-            self.source_at = now
-        wants = role in (Role.FEEDING, Role.ALONE)
-        if wants and not (self.here or self.dialling):
-            self.dialling = True
-            out.append(Connect(self.dialling_too if role is Role.FEEDING else 0))
-        elif not wants and (self.here or self.dialling):
-            self.here = self.dialling = False
-            out.append(Disconnect())
+            self.source_heard_at = now
+        dials_service = role in (Role.FEEDING, Role.STANDALONE)
+        if dials_service and not (self.connected or self.dialing):
+            self.dialing = True
+            actions.append(Connect(self.dialer_count if role is Role.FEEDING else 0))
+        elif not dials_service and (self.connected or self.dialing):
+            self.connected = self.dialing = False
+            actions.append(Disconnect())
         if before is not role:
-            self._beat(now, out)  # those that are fed here learn of it at once
+            self._send_heartbeat(now, actions)  # subscribers learn of the change at once
 
-    def _ask(self, name: str, now: float, out: list[Action]) -> None:
-        self.asked_at = now
-        out.append(Say(name, Ask(self.offset, pressed=self.pressed)))
+    def _subscribe(self, name: str, now: float, actions: list[Action]) -> None:
+        self.subscribed_at = now
+        actions.append(Send(name, Subscribe(self.offset, pressures=self.pressures)))
 
-    def _look(self, now: float, out: list[Action]) -> None:
-        """Where this agent should hear of the list now."""
+    def _update_source(self, now: float, actions: list[Action]) -> None:
+        """Chooses where this agent hears of the list from now on."""
         if self.age_ms(now) < self.settings.old_ms:
-            self.in_vain_since = now
-        if self.first:
+            self.outdated_since = now
+        if self.is_feeder:
             if self.role is not Role.FEEDING:
-                self._enter(Role.FEEDING, "", now, out)
+                self._set_role(Role.FEEDING, "", now, actions)
             return
-        if self.role is Role.FEEDING:  # another one is: it stays until that one has fed it
-            self._enter(Role.ALONE, "", now, out)
+        if self.role is Role.FEEDING:  # another agent is feeder now: stays connected until that one feeds it
+            self._set_role(Role.STANDALONE, "", now, actions)
         candidates = self.feeders()
-        if self.role is Role.ALONE:
-            if candidates and now - self.asked_at >= ASK_MS / 2.0:
-                self._ask(candidates[0], now, out)
+        if self.role is Role.STANDALONE:
+            if candidates and now - self.subscribed_at >= RENEWAL_MS / 2.0:
+                self._subscribe(candidates[0], now, actions)
             return
-        self._check(now)
+        self._exclude_bad_source(now)
         if not self.source:
             candidates = self.feeders()
             if candidates:
-                self._enter(Role.WAITING if self.role is Role.WAITING else Role.FED, candidates[0], now, out)
-                self._ask(candidates[0], now, out)
-                # Guards against a zone whose feeders have all fallen silent: another zone's tells as well.
+                self._set_role(
+                    Role.WAITING if self.role is Role.WAITING else Role.FED, candidates[0], now, actions
+                )
+                self._subscribe(candidates[0], now, actions)
+                # All feeders of this zone may have fallen silent: one of another zone is asked as well.
                 other = next((name for name in candidates if self.zones[name] != self.zone), "")
                 if other not in ("", candidates[0]):
-                    self._ask(other, now, out)
-        elif now - self.asked_at >= ASK_MS:
-            self._ask(self.source, now, out)
-        if self._in_vain(now):
-            self._enter(Role.ALONE, "", now, out)
-
-    def _check(self, now: float) -> None:
-        """Blames a source that is silent, or that says it hears the service and has an old list."""
+                    self._subscribe(other, now, actions)
+        elif now - self.subscribed_at >= RENEWAL_MS:
+            self._subscribe(self.source, now, actions)
+        if self._needs_service(now):
+            self._set_role(Role.STANDALONE, "", now, actions)
+
+    def _exclude_bad_source(self, now: float) -> None:
+        """Drops a source that is silent, or that has an old list without saying that it lacks the service."""
         if not self.source:
             return
-        silent = now - self.source_at >= self.settings.old_ms
-        old = self.age_ms(now) >= self.settings.old_ms + BEAT_MS and not self.source_asks
-        if silent or old:
-            self.blamed[self.source] = now + BLAME_MS
+        silent = now - self.source_heard_at >= self.settings.old_ms
+        outdated = self.age_ms(now) >= self.settings.old_ms + HEARTBEAT_MS and not self.source_lacks_service
+        if silent or outdated:
+            self.excluded[self.source] = now + EXCLUSION_MS
             self.source = ""
 
-    def _in_vain(self, now: float) -> bool:
-        """Whether to ask the service itself: no feeder is in reach, or all of them ask in vain for long."""
-        waited = now - self.in_vain_since
-        if not self.source and not self.feeders() and self.whole:
+    def _needs_service(self, now: float) -> bool:
+        """Whether to dial the service itself: no feeder is in reach, or the list is outdated for long."""
+        waited = now - self.outdated_since
+        if not self.source and not self.feeders() and self.sees_half:
             return waited >= self.settings.old_ms
         return waited >= self.settings.patience_ms
--- a/frostport/startup/messages.py
+++ b/frostport/startup/messages.py
@@ -1,39 +1,43 @@
-"""What agents say to each other of the server list, over the link, as msgpack arrays. A field is only added
-at the end."""
+"""Messages in which agents exchange the server list over the link, as msgpack arrays.
+
+A new field is only ever added at the end, so that agents of different versions understand each other.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
 VERSION = 1
-PART_BYTES = 512 * 1024  # of events in one message
+MAX_BATCH_BYTES = 512 * 1024  # a message takes no further event once its events have this size
+
 
+class Subscribe(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
+    """Asks for the events of the list after an offset, and for later ones until the subscription expires.
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
-    """Tell me of the list from after this event on, until I have not asked for a while."""
+    Sent again regularly to renew the subscription."""
 
-    at: int
+    after_offset: int
     version: int = VERSION
-    pressed: tuple[tuple[str, float], ...] = ()  # targets and how pressed they are, as seen here
+    pressures: tuple[tuple[str, float], ...] = ()  # dial targets with the pressure level known to the sender
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True, tag="told"):
-    """The events after `at`, in order; none: a word that says how old the list is.
+class FeedUpdate(msgspec.Struct, array_like=True, frozen=True, tag="told"):
+    """The events after `after_offset`, in order; without events it only says how old the list is.
 
-    `age_ms`: since the list service was last heard, by way of whoever; under 0: never. `here`: this agent has
-    a connection to the service; `asks`: it is one that dials the service."""
+    `age_ms`: time since any agent on the way last heard the list service; negative: never.
+    `connected`: the sender has a connection to the service. `dials_service`: its role is to have one."""
 
-    at: int
+    after_offset: int
     events: tuple[bytes, ...]
     age_ms: float
-    here: bool
-    asks: bool
+    connected: bool
+    dials_service: bool
     version: int = VERSION
-    pressed: tuple[tuple[str, float], ...] = ()
+    pressures: tuple[tuple[str, float], ...] = ()
 
 
-class Enough(msgspec.Struct, array_like=True, frozen=True, tag="enough"):
-    """Tell me no more."""
+class Unsubscribe(msgspec.Struct, array_like=True, frozen=True, tag="enough"):
+    """Ends the sender's subscription."""
 
 
-Message = Ask | Told | Enough
+Message = Subscribe | FeedUpdate | Unsubscribe
--- a/frostport/startup/settings.py
+++ b/frostport/startup/settings.py
@@ -1,4 +1,4 @@
-"""What governs a cold start; docs/design/startup.md says why each figure is as it is."""
+"""Settings of a cold start. docs/design/startup.md gives the reason for each default."""
 
 from __future__ import annotations
 
@@ -7,24 +7,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Times in ms. `agents` is how many the fleet has when all are up: with a smaller view of the membership
-    the shares of the budget are still these."""
+    """The field names are configuration keys; times are in ms.
+
+    `agents` is the size of the whole fleet. Each agent's share of the dial budget goes by it even while the
+    membership shows fewer agents."""
 
     agents: int = 1
-    dials_a_second: float = 80.0  # of the whole fleet, at each lobby server
-    lists_a_second: float = 10.0  # at the list service: each dial there brings an ask
-    first_gap_ms: float = 200.0  # between an agent's redials of one target: doubles, drawn from 0 up
-    most_gap_ms: float = 10_000.0
-    redials: float = 10.0  # tokens for redials of one target, and how long one takes to come back
-    redial_ms: float = 5_000.0
+    dials_a_second: float = 80.0  # of the whole fleet, to each lobby server
+    lists_a_second: float = 10.0  # of the whole fleet, to the list service: each dial there requests the list
+    first_gap_ms: float = 200.0  # bound of the random gap before a redial of a target; doubles per failure
+    most_gap_ms: float = 10_000.0  # upper limit of that bound
+    redials: float = 10.0  # size of the token bucket for redials of one target
+    redial_ms: float = 5_000.0  # time in which one of these tokens is refilled
     feeders: int = 2  # in each zone
-    old_ms: float = 1500.0  # a list whose service was not heard for so long is looked for elsewhere
-    patience_ms: float = 20_000.0  # while all feeders ask in vain, or few agents are seen yet, one that is
-    # none asks no sooner itself
+    old_ms: float = 1500.0  # after this time without news of the service, the list is sought elsewhere
+    # An agent that is no feeder dials the list service itself after this time without a current list, if the
+    # feeders can't reach the service either or the membership shows few agents yet.
+    patience_ms: float = 20_000.0
     servers: int = 4  # lobby servers that an agent connects to before a call needs them
-    wave: float = 0.25  # the share of the fleet that is to be prepared or serving before the first one serves
-    wave_ms: float = 5_000.0  # and how long one that is prepared waits for it at the most
+    wave: float = 0.25  # share of the fleet that must be prepared or serving before the first agent serves
+    wave_ms: float = 5_000.0  # longest time that a prepared agent waits for that share
 
 
-PRESSURE_MOST = 4.0  # times the usual window
-PRESSURE_HALF_MS = 5_000.0
+MAX_PRESSURE = 4.0  # factor by which the usual dial window is stretched at the most
+PRESSURE_HALF_LIFE_MS = 5_000.0
--- /dev/null
+++ b/frostport/startup_coordinator.py
@@ -0,0 +1,380 @@
+"""Coordinates an agent's cold start with those of the other agents.
+
+Connects the decisions of `frostport.startup` to the event bus, the lobby servers, the link between agents and
+the operators' port. Imported only if the configuration has `startup`. Times are in ms of the monotonic clock.
+"""
+
+from __future__ import annotations
+
+import logging
+import random
+import secrets
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any, Protocol
+
+import msgspec
+import orjson
+
+from frostport.core.broker import Broker
+from frostport.core.clock import Clock, MonotonicClock
+from frostport.core.deadlines import Deadlines
+from frostport.core.dialing import LIST, Dialing
+from frostport.core.lifecycle import Lifecycle, Phase
+from frostport.interface import Lifecycle as Listing
+from frostport.membership.messages import State
+from frostport.net.jsonl import BadLineError, Message
+from frostport.net.operator import Operation
+from frostport.startup import feed as feeding
+from frostport.startup import messages
+from frostport.startup.feed import Feed
+from frostport.startup.pacing import DialPacer
+from frostport.startup.readiness import StagedReadiness, StartProgress
+from frostport.startup.rendezvous import initial_servers
+from frostport.startup.settings import Settings
+
+if TYPE_CHECKING:
+    from frostport.fleet import Fleet
+
+log = logging.getLogger("frostport.starting")
+
+FRAME_KIND = "feed"
+PREPARED = "prepared"  # phase shown to the other members: able to serve, but waiting for enough others
+MIN_TICK_MS = 20.0  # between two ticks once this agent is ready
+IDLE_TICK_MS = 1000.0  # the same without a feed
+EARLY_CLOSE_MS = 500.0  # a connection that is lost so soon after it was made is a sign of overload
+_decoder: msgspec.msgpack.Decoder[messages.Message] = msgspec.msgpack.Decoder(messages.Message)
+_encoder = msgspec.msgpack.Encoder()
+
+
+class StartingAgent(Protocol):
+    """What the coordinator uses of the agent; `side` is the platform's side."""
+
+    clock: Clock
+    deadlines: Deadlines
+    lifecycle: Lifecycle
+    broker: Broker
+    side: Any
+
+
+class StartupCoordinator(Dialing):
+    """Runs one agent's dial pacer, feed and staged readiness.
+
+    As a `Dialing` it says when the bus and the lobby servers may dial."""
+
+    def __init__(self, settings: Settings, name: str, fleet: Fleet | None) -> None:
+        self.settings, self.name, self.fleet = settings, name, fleet
+        self.monotonic = MonotonicClock()
+        now = self.monotonic.now()
+        self.pacer = DialPacer(settings, random.Random(secrets.randbits(64)), now)
+        self.readiness = StagedReadiness(settings, now)
+        self.feed: Feed | None = None
+        self.chosen: set[str] = set()  # lobby servers connected to before a call needs them
+        self.chosen_from: frozenset[str] = frozenset()  # the servers that they were chosen from
+        self.connected_at: dict[str, float] = {}  # by target
+        self.members_changed, self.logged_role = True, ""
+        self.serving_agents = 0  # number that the broker was last told, with this agent
+        self.update_sender = ""  # the agent whose message is being handled; "": the list service
+        self.agent: StartingAgent | None = None
+
+    def attach(self, agent: StartingAgent) -> None:
+        """Called before the agent's side starts, so that each of its dials is paced."""
+        self.agent = agent
+        agent.side.bus.dialing = agent.side.servers.dialing = self
+
+    def start(self) -> None:
+        """Called once the agent's side has started."""
+        if self.fleet is not None:
+            self.feed = Feed(
+                self.name,
+                self.fleet.config.zone,
+                self._attached_agent.side.list.offset,
+                self.settings,
+                self.monotonic.now(),
+            )
+            self.fleet.parts[FRAME_KIND] = self._on_frame
+            self.fleet.watchers.append(self._on_membership_changed)
+        self._tick()
+
+    @property
+    def ready(self) -> bool:
+        return self.readiness.ready
+
+    @property
+    def _attached_agent(self) -> StartingAgent:
+        assert self.agent is not None
+        return self.agent
+
+    def _on_membership_changed(self) -> None:
+        """Schedules one update for all changes of the same reactor turn.
+
+        During the start, when many members change, they wait for the next tick."""
+        if not self.members_changed:
+            self.members_changed = True
+            if not self.ready:
+                return
+            self._attached_agent.deadlines.set(self._attached_agent.clock.now(), self._update_members)
+
+    def _tick(self) -> None:
+        agent, now = self._attached_agent, self.monotonic.now()
+        if self.members_changed:
+            self._update_members()
+        if self.feed is not None:
+            self.feed.pressures = self.pacer.reportable_pressures(now)
+            self._handle_feed_event(feeding.Tick())
+        self._choose_servers()
+        if not self.ready:
+            self._check_readiness(now)
+        if agent.lifecycle.phase is not Phase.STOPPED:
+            wait = feeding.TICK_MS
+            if self.ready:
+                due = self.feed.next_tick_at(now) if self.feed is not None else now + IDLE_TICK_MS
+                wait = max(MIN_TICK_MS, due - now)
+            agent.deadlines.set(agent.clock.now() + wait, self._tick)
+
+    def _update_members(self) -> None:
+        if self.fleet is None or self.feed is None:
+            return
+        self.members_changed = False
+        visible = [member for member in self.fleet.swim.table if member.state <= State.SUSPECT]
+        self.pacer.update_fleet_size(len(visible) + 1)
+        serving = 1 + sum(member.info.phase == Phase.SERVING.value for member in visible)
+        if serving != self.serving_agents:
+            self.serving_agents = serving
+            self._attached_agent.broker.siblings_up(serving)
+        self._handle_feed_event(
+            feeding.MembersChanged(
+                {member.name: member.info.zone for member in visible if member.state is State.ALIVE}
+            )
+        )
+
+    # Distribution of the server list
+
+    def _handle_feed_event(self, event: feeding.Event) -> None:
+        feed = self.feed
+        if feed is None:
+            return
+        bus = self._attached_agent.side.bus
+        last, encoded = None, b""  # a message to several agents is encoded once
+        for action in feed.handle(event, self.monotonic.now()):
+            match action:
+                case feeding.Send(to, message):
+                    if message is not last:
+                        last, encoded = message, _encoder.encode(message)
+                    self._send(to, encoded)
+                case feeding.SendSnapshot(to):
+                    age = feed.age_ms(self.monotonic.now())
+                    update = messages.FeedUpdate(
+                        -1,
+                        (self._snapshot_event(),),
+                        age if age < 1e12 else -1.0,
+                        feed.connected,
+                        False,
+                        pressures=feed.pressures,
+                    )
+                    self._send(to, _encoder.encode(update))
+                case feeding.ApplyEvents(events):
+                    self._apply_events(events)
+                case feeding.Connect(dialer_count):
+                    bus.start_in(self.pacer.schedule_first(LIST, self.monotonic.now(), dialer_count))
+                case feeding.Disconnect():
+                    bus.disconnect()
+        if self.logged_role != (role := f"{feed.role.value} {feed.source}".strip()):
+            self.logged_role = role
+            log.info("role in distributing the server list: %s", role)
+            if self.fleet is not None:
+                self.fleet.record.event("feed", role=feed.role.value, source=feed.source)
+
+    def _send(self, to: str, body: bytes) -> None:
+        if self.fleet is not None:
+            self.fleet.link.send(to, FRAME_KIND, body)
+
+    def _on_frame(self, sender: str, body: bytes) -> None:
+        message = _decoder.decode(body)
+        if not isinstance(message, messages.Unsubscribe):
+            for target, level in message.pressures:
+                if target == LIST or target in self._attached_agent.side.servers.members:
+                    self.pacer.merge_pressure(target, level, self.monotonic.now())
+        self.update_sender = sender
+        self._handle_feed_event(feeding.MessageReceived(sender, message))
+        self.update_sender = ""
+
+    def _apply_events(self, events: tuple[bytes, ...]) -> None:
+        """Applies events of another agent to the list.
+
+        An event that can't be read is tried twice, since the list skips it at the second time."""
+        server_list = self._attached_agent.side.list
+        for line in events:
+            for _ in range(2):
+                try:
+                    record = orjson.loads(line)
+                    if not isinstance(record, dict):
+                        raise BadLineError("not an event")
+                    server_list.apply_event(record)
+                    break
+                except (BadLineError, orjson.JSONDecodeError) as error:
+                    log.warning("unreadable server list event from another agent: %s", error)
+            self._record_list_offset(server_list.offset)
+            self._handle_feed_event(feeding.EventApplied(server_list.offset, line))
+
+    def _record_list_offset(self, offset: int) -> None:
+        if self.fleet is not None and self.feed is not None and offset > self.feed.offset:
+            age = self.feed.age_ms(self.monotonic.now())
+            self.fleet.record.event(
+                "list",
+                offset=offset,
+                role=self.feed.role.value,
+                source=self.update_sender,
+                age_ms=round(age) if age < 1e12 else -1,
+            )
+
+    def _snapshot_event(self) -> bytes:
+        """Returns the list as one event that replaces what the receiver has."""
+        server_list = self._attached_agent.side.list
+        hosts = [
+            {
+                "host": server.address,
+                "dial": dial,
+                "site": server.zone,
+                "class": server.kind,
+                "block": server.number,
+                "health": server.state.value,
+                "share": server.nominal,
+                "born_ms": server.started_ms,
+            }
+            for server, dial in server_list.entries.values()
+            if server.state is not Listing.GONE
+        ]
+        return orjson.dumps(
+            {
+                "offset": server_list.offset,
+                "topology": {"seq": server_list.version, "whole": True, "hosts": hosts},
+            }
+        )
+
+    # `Dialing`, for the bus and the lobby servers
+
+    def wanted(self, target: str) -> bool:
+        return False  # `_choose_servers` dials the initial ones
+
+    def first(self, target: str) -> float:
+        if target == LIST and self.fleet is not None:
+            if self.feed is None or self.feed.role not in (feeding.Role.FEEDING, feeding.Role.STANDALONE):
+                return float("inf")  # dialed when the feed asks for it
+            # Asked for again, because the address of the service has changed: the old connection is closed.
+            self._handle_feed_event(feeding.ServiceDisconnected())
+        return self.pacer.schedule_first(target, self.monotonic.now())
+
+    def again(self, target: str, pause_ms: float) -> float:
+        return self.pacer.schedule_redial(target, self.monotonic.now())
+
+    def needed(self, target: str) -> float:
+        return self.pacer.schedule_on_demand(target, self.monotonic.now())
+
+    def up(self, target: str) -> None:
+        now = self.connected_at[target] = self.monotonic.now()
+        self.pacer.on_connected(target, now)
+        if target == LIST:
+            self._handle_feed_event(feeding.ServiceConnected())
+        else:
+            # Only an answer shows that the server works: one that accepts connections may never answer.
+            agent = self._attached_agent
+            agent.deadlines.set(agent.clock.now(), lambda: self._send_echo(target))
+
+    def _send_echo(self, target: str) -> None:
+        lobby = self._attached_agent.side.servers.members.get(target)
+        for connection in lobby.connections if lobby is not None else ():
+            if connection.heard_at <= connection.opened_at:
+                connection.send_message(Message("ECHO", "0" * 16, rc=0))
+
+    def failed(self, target: str) -> None:
+        self.pacer.raise_pressure(target, self.monotonic.now())
+        if target == LIST:
+            self._handle_feed_event(feeding.ServiceDisconnected())
+
+    def lost(self, target: str) -> None:
+        now = self.monotonic.now()
+        if now - self.connected_at.get(target, now) < EARLY_CLOSE_MS:
+            self.pacer.raise_pressure(target, now)
+        if target == LIST:
+            self._handle_feed_event(feeding.ServiceDisconnected())
+
+    def heard(self) -> None:
+        self._handle_feed_event(feeding.ServiceHeard())
+
+    def told(self, offset: int, line: bytes) -> None:
+        self._record_list_offset(offset)
+        self._handle_feed_event(feeding.ServiceHeard(offset, line))
+
+    # Initial connections to lobby servers
+
+    def _choose_servers(self) -> None:
+        servers = self._attached_agent.side.servers.members
+        listed = frozenset(servers)
+        if listed == self.chosen_from:
+            return
+        for removed in self.chosen_from - listed:
+            self.pacer.forget(removed)
+        self.chosen_from, before = listed, self.chosen
+        agents = [] if self.feed is None else [*self.feed.zones, self.name]
+        self.chosen &= listed
+        if len(self.chosen) < min(self.settings.servers, len(listed)):
+            self.chosen = initial_servers(sorted(listed), self.name, agents, self.settings.servers)
+        for host in sorted(self.chosen - before):
+            if not servers[host].connections:
+                servers[host].schedule_dial(self.pacer.schedule_first(host, self.monotonic.now()))
+
+    # Readiness
+
+    def _check_readiness(self, now: float) -> None:
+        agent = self._attached_agent
+        lobbies = agent.side.servers.members
+        answering = sum(
+            any(connection.heard_at > connection.opened_at for connection in lobbies[host].connections)
+            for host in self.chosen
+            if host in lobbies
+        )
+        members = list(self.fleet.swim.table.active()) if self.fleet is not None else []
+        phases = [member.info.phase for member in members]
+        listed = sum(server.state is Listing.READY for server, _ in agent.side.list.entries.values())
+        progress = StartProgress(
+            listed,
+            answering,
+            len(self.chosen),
+            phases.count(PREPARED),
+            phases.count(Phase.SERVING.value),
+            len(members) + 1,
+        )
+        before = self.readiness.prepared_at
+        ready = self.readiness.update(progress, now)
+        if self.fleet is not None:
+            if before is None and self.readiness.prepared_at is not None and not ready:
+                self.fleet.phase(PREPARED)
+            if ready:
+                self.fleet.record.event("able", waited_ms=round(now - self.readiness.started_at))
+        elif ready and agent.lifecycle.may(Phase.SERVING):
+            agent.lifecycle.enter(Phase.SERVING)
+
+    # The operators' port
+
+    def operations(self) -> Mapping[str, Operation]:
+        return {"startup": self._describe}
+
+    def _describe(self, _: str) -> list[str]:
+        now, feed = self.monotonic.now(), self.feed
+        waits = "able to serve" if self.ready else f"waits for {self.readiness.waits_for}"
+        rate = f"{self.settings.dials_a_second:g} dials a second"
+        lines = [f"OK {waits}; {self.pacer.fleet_size} agents share {rate}"]
+        if feed is not None:
+            age = feed.age_ms(now)
+            lines.append(
+                f"list {self._attached_agent.side.list.offset} {feed.role.value}"
+                f"{f' by {feed.source}' if feed.source else ''}, the service heard "
+                f"{f'{age:.0f} ms ago' if age < 1e12 else 'never'}; feeds {len(feed.subscribers)}"
+            )
+        for name, target in sorted(self.pacer.targets.items()):
+            if target.failures or target.due_at > now or self.pacer.pressure(name, now) > 1.0:
+                lines.append(
+                    f"{name}: turn in {max(0.0, target.due_at - now):.0f} ms, {target.failures} "
+                    f"failures, pressure {self.pacer.pressure(name, now):.2f}"
+                )
+        return [*lines, "END"]
--- a/standins/starts.py
+++ b/standins/starts.py
@@ -16,11 +16,11 @@
 from frostport.core.dialing import LIST
 from frostport.startup import feed as feeding
 from frostport.startup.feed import Feed, Role
-from frostport.startup.messages import Message, Told
-from frostport.startup.placing import chosen_servers
+from frostport.startup.messages import FeedUpdate, Message
+from frostport.startup.pacing import DialPacer
+from frostport.startup.readiness import StagedReadiness, StartProgress
+from frostport.startup.rendezvous import initial_servers
 from frostport.startup.settings import Settings
-from frostport.startup.turns import Turns
-from frostport.startup.waves import Local, Waves
 
 WAY_MS = (0.5, 5.0)
 TICK_MS, BEAT_MS = 250.0, 1000.0
@@ -67,9 +67,9 @@
         self.site, self.name, self.skew, self.life = site, name, skew_ms, site.chance.getrandbits(32)
         self.zone = site.zone(name)
         now = self.clock()
-        self.turns = Turns(site.settings, random.Random(site.chance.random()), now)
+        self.turns = DialPacer(site.settings, random.Random(site.chance.random()), now)
         self.feed = Feed(name, self.zone, offset, site.settings, now)
-        self.waves = Waves(site.settings, now)
+        self.waves = StagedReadiness(site.settings, now)
         self.offset = offset
         self.members: dict[str, str] = {}
         self.births = self.deaths = 0  # how many of the site's this agent has heard of
@@ -116,29 +116,29 @@
     def _refused(self, target: str) -> None:
         if not self.alive():
             return
-        self.turns.pressed(target, self.clock())
+        self.turns.raise_pressure(target, self.clock())
         self._again(target)
 
     def _again(self, target: str) -> None:
         """A connection is lost, or was not to be had."""
         if target == LIST:
-            self.do(feeding.Down())
-            if self.feed.role not in (Role.FEEDING, Role.ALONE):
+            self.do(feeding.ServiceDisconnected())
+            if self.feed.role not in (Role.FEEDING, Role.STANDALONE):
                 return
         if target not in self.dial_at:
-            self.dial_in(target, self.turns.again(target, self.clock()))
+            self.dial_in(target, self.turns.schedule_redial(target, self.clock()))
 
     def _up(self, target: str, number: int) -> None:
         party = self.site.parties[target]
         if not self.alive() or party.open.get(self.name) != number:
             return
-        if target == LIST and self.feed.role not in (Role.FEEDING, Role.ALONE):
+        if target == LIST and self.feed.role not in (Role.FEEDING, Role.STANDALONE):
             del party.open[self.name]
             return
         self.connected[target] = number
-        self.turns.up(target, self.clock())
+        self.turns.on_connected(target, self.clock())
         if target == LIST:
-            self.do(feeding.Up())
+            self.do(feeding.ServiceConnected())
             self.heard_list = self.site.now
             done = party.takes(party.work_ms)
             if done is not None:
@@ -158,20 +158,22 @@
     def do(self, event: feeding.Event) -> None:
         for action in self.feed.handle(event, self.clock()):
             match action:
-                case feeding.Say(to, message):
+                case feeding.Send(to, message):
                     self.site.send(self.name, to, message)
-                case feeding.Whole(to):
+                case feeding.SendSnapshot(to):
                     age = self.feed.age_ms(self.clock())
                     self.site.send(
-                        self.name, to, Told(-1, (b"whole %d" % self.offset,), age, self.feed.here, False)
+                        self.name,
+                        to,
+                        FeedUpdate(-1, (b"whole %d" % self.offset,), age, self.feed.connected, False),
                     )
-                case feeding.Take(events):
+                case feeding.ApplyEvents(events):
                     for line in events:
                         self.takes(int(line.split()[-1]))
-                        self.do(feeding.Applied(self.offset, line))
+                        self.do(feeding.EventApplied(self.offset, line))
                 case feeding.Connect(among):
                     if LIST not in self.dial_at:
-                        self.dial_in(LIST, self.turns.first(LIST, self.clock(), among))
+                        self.dial_in(LIST, self.turns.schedule_first(LIST, self.clock(), among))
                 case feeding.Disconnect():
                     self.dial_at.pop(LIST, None)
                     self.connected.pop(LIST, None)
@@ -187,7 +189,7 @@
             return
         wait = TICK_MS
         if self.waves.ready:
-            wait = max(20.0, self.feed.next_ms(self.clock()) - self.clock())
+            wait = max(20.0, self.feed.next_tick_at(self.clock()) - self.clock())
         self.site.after(wait, self.tick)
         if self.site.now < self.frozen_until:
             return
@@ -196,26 +198,26 @@
             number = self.connected[LIST]
             self.site.parties[LIST].open.pop(self.name, None)
             self.broken(LIST, number)
-        self.feed.pressed = self.turns.pressures(now)
+        self.feed.pressures = self.turns.reportable_pressures(now)
         if self._learn():
-            self.turns.seen(len(self.members) + 1)
-            self.do(feeding.Members(self.members))
+            self.turns.update_fleet_size(len(self.members) + 1)
+            self.do(feeding.MembersChanged(self.members))
         members = self.members
         self.do(feeding.Tick())
         servers = self.site.servers
         if not self.chosen and self.offset >= 0:
-            self.chosen = chosen_servers(
+            self.chosen = initial_servers(
                 servers, self.name, [*members, self.name], self.site.settings.servers
             )
             for server in sorted(self.chosen):
-                self.dial_in(server, self.turns.first(server, now))
+                self.dial_in(server, self.turns.schedule_first(server, now))
         if not self.waves.ready:
             able = (
                 self.site.able
                 if len(members) + 1 >= len(self.site.agents)
                 else {name for name in self.site.able if name in members}
             )
-            local = Local(
+            local = StartProgress(
                 len(servers),
                 len(self.answering & self.chosen),
                 len(self.chosen),
@@ -223,7 +225,7 @@
                 0,
                 len(members) + 1,
             )
-            if self.waves.look(local, now):
+            if self.waves.update(local, now):
                 self.site.served_at[self.name] = self.site.now
             (self.site.able.add if self.waves.prepared_at is not None else self.site.able.discard)(self.name)
 
@@ -322,8 +324,8 @@
             agent.turns.settings = Settings(
                 dials_a_second=1e9, lists_a_second=1e9, first_gap_ms=0.1, most_gap_ms=200.0, redials=1e9
             )
-            agent.turns.size = 1
-            agent.feed.first = True
+            agent.turns.fleet_size = 1
+            agent.feed.is_feeder = True
         self.births.append((self.now, name))
         self.able.discard(name)
         agent.tick()
@@ -358,7 +360,7 @@
         viewer.members = {
             name: zone for name, zone in viewer.members.items() if not self.cut(name, viewer.name)
         }
-        viewer.do(feeding.Members(viewer.members))
+        viewer.do(feeding.MembersChanged(viewer.members))
 
     def heal(self) -> None:
         self.cut = lambda sender, to: False
@@ -373,9 +375,9 @@
             if self.now < agent.frozen_until:
                 self.at(agent.frozen_until, arrive)
                 return
-            for target, level in getattr(message, "pressed", ()):
-                agent.turns.heard(target, level, agent.clock())
-            agent.do(feeding.Heard(sender, message))
+            for target, level in getattr(message, "pressures", ()):
+                agent.turns.merge_pressure(target, level, agent.clock())
+            agent.do(feeding.MessageReceived(sender, message))
 
         self.later(WAY_MS, arrive)
 
@@ -410,9 +412,9 @@
             told = agent.offset < self.last
             while agent.offset < self.last:
                 agent.takes(agent.offset + 1)
-                agent.do(feeding.Word(agent.offset, b"event %d" % agent.offset))
+                agent.do(feeding.ServiceHeard(agent.offset, b"event %d" % agent.offset))
             if not told:
-                agent.do(feeding.Word())
+                agent.do(feeding.ServiceHeard())
 
         self.later(WAY_MS, arrive)
 
--- a/tests/test_gossip_wire.py
+++ b/tests/test_gossip_wire.py
@@ -272,7 +272,7 @@
         "'frostport.membership', 'frostport.agreement', 'frostport.maintenance', "
         "'frostport.work', 'frostport.net.link', 'frostport.net.gossip', "
         "'frostport.config_fleet', 'frostport.observe.record', 'frostport.startup', "
-        "'frostport.starting', 'frostport.config_startup', 'frostport.replication'))])"
+        "'frostport.startup_coordinator', 'frostport.config_startup', 'frostport.replication'))])"
     )
     found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert found.stdout.strip() == "[]"
