--- a/tests/fleet/test_startup.py
+++ b/tests/fleet/test_startup.py
@@ -1,5 +1,5 @@
-"""A cold start of 24 real processes, and what may befall it; judged by the records of the list service and
-the lobby servers, and by the agents' own. Nothing here rests on how fast the machine is."""
+"""A cold start of 24 real processes with faults, checked by the records of the list service, the lobby
+servers and the agents. No check depends on how fast the machine is."""
 
 from __future__ import annotations
 
@@ -7,57 +7,63 @@
 import pathlib
 from typing import Any
 
-from frostport.startup.feed import THINNED
-from frostport.startup.placing import weight
+from frostport.startup.feed import PARTIAL_VIEW_FACTOR
+from frostport.startup.rendezvous import weight
 from standins.dark_site import DarkSite
 from standins.fleet import Rig
 
-COUNT, SERVERS, CHOSEN, FEEDERS = 24, 8, 2, 2  # feeders: of each of two zones
-# Who may take itself for a feeder while it sees few others: by its name's weight alone.
-FEW = sum(weight(f"z{number % 2}", f"n{number}") * COUNT < THINNED * FEEDERS * 2 for number in range(COUNT))
+AGENTS = 24
+SERVERS = 8
+INITIAL_SERVERS = 2  # that each agent connects to at first
+FEEDERS = 2  # in each of two zones
+# Agents that may take themselves for a feeder while they see few others, which depends on their weight alone.
+POSSIBLE_FEEDERS = sum(
+    weight(f"z{number % 2}", f"n{number}") * AGENTS < PARTIAL_VIEW_FACTOR * FEEDERS * 2
+    for number in range(AGENTS)
+)
 
 
-class Story:
-    """One rig through all that befalls it."""
+class Scenario:
+    """Takes one rig through the faults, one after the other."""
 
     def __init__(self, rig: Rig, site: DarkSite) -> None:
         self.rig, self.site, self.list = rig, site, site.costly
 
-    async def startup(self, name: str) -> list[str]:
+    async def startup_status(self, name: str) -> list[str]:
         return await self.rig.ask(name, "startup")
 
-    async def everybody(self, what: str, shows: str, names: list[str] | None = None) -> None:
+    async def wait_until_all_show(self, command: str, expected: str, names: list[str] | None = None) -> None:
         async def shown() -> bool:
-            said = await asyncio.gather(*(self.rig.ask(name, what) for name in names or self.rig.names))
-            return all(any(shows in line for line in lines) for lines in said)
+            answers = await asyncio.gather(*(self.rig.ask(name, command) for name in names or self.rig.names))
+            return all(any(expected in line for line in lines) for lines in answers)
 
-        await self.rig.until(f"{what} shows {shows!r} at all", shown)
+        await self.rig.until(f"{command} shows {expected!r} at all agents", shown)
 
-    async def feeders_settle(self) -> None:
-        """In the end the list service has the chosen few, and no others."""
+    async def wait_for_feeders(self) -> None:
+        """Waits until the feeders are connected to the list service, and no other agent is."""
 
         async def settled() -> bool:
             return len(self.list.held_open) == 2 * FEEDERS
 
-        await self.rig.until(f"{2 * FEEDERS} agents hear the list service", settled)
+        await self.rig.until(f"{2 * FEEDERS} agents are connected to the list service", settled)
 
     def feeders(self, zone: str) -> list[str]:
-        found = []
+        feeders = []
         for name in self.rig.names:
             roles = [line for line in self.rig.records(name) if line["event"] == "feed"]
             if self.rig.zone(name) == zone and roles and roles[-1]["role"] == "feeding":
-                found.append(name)
-        return found
+                feeders.append(name)
+        return feeders
 
-    def tell(self) -> int:
-        """One event more: a server drains, or is ready again."""
+    def publish_event(self) -> int:
+        """Publishes an event, in which a server drains or is ready again; returns its number."""
         number = len(self.list.events) + 1
         state = "draining" if number % 2 == 0 else "ready"
         self.list.tell([{**self.site.hosts[-1], "health": state}])
         return number
 
-    async def heard(self, number: int, names: list[str] | None = None) -> dict[str, dict[str, Any]]:
-        """All of these have it in their list; who has it from whom."""
+    async def wait_for_event(self, number: int, names: list[str] | None = None) -> dict[str, dict[str, Any]]:
+        """Waits until all of these agents have the event in their list; returns the record of each."""
         found: dict[str, dict[str, Any]] = {}
 
         async def all_have() -> bool:
@@ -67,56 +73,58 @@
                         found[name] = line
             return set(names or self.rig.names) <= found.keys()
 
-        await self.rig.until(f"event {number} is in the list at all", all_have)
+        await self.rig.until(f"event {number} is in the list of all agents", all_have)
         return found
 
-    def spared(self, since: int, most: int) -> None:
-        assert len(self.list.accepted) - since <= most, len(self.list.accepted) - since
+    def assert_not_overloaded(self, since: int, max_connections: int) -> None:
+        """Asserts that the list service accepted few connections after the first `since`, that it sent no
+        whole list, and that nothing collapsed."""
+        assert len(self.list.accepted) - since <= max_connections, len(self.list.accepted) - since
         assert self.list.whole_lists == 0
         assert [name for name, party in self.site.parties().items() if party.processor.collapsed] == []
 
-    # What befalls it
+    # Faults
 
-    async def start_at_once(self) -> None:
-        await self.everybody("ready", "OK yes")
+    async def all_agents_start_at_once(self) -> None:
+        await self.wait_until_all_show("ready", "OK yes")
         handshakes = {lobby.name: len(lobby.accepted) for lobby in self.site.shared}
-        assert sum(handshakes.values()) <= COUNT * CHOSEN, handshakes
-        self.spared(0, FEW)
-        await self.feeders_settle()
-        await self.heard(self.tell())
+        assert sum(handshakes.values()) <= AGENTS * INITIAL_SERVERS, handshakes
+        self.assert_not_overloaded(0, POSSIBLE_FEEDERS)
+        await self.wait_for_feeders()
+        await self.wait_for_event(self.publish_event())
 
-    async def service_and_servers_away(self) -> None:
+    async def service_and_servers_fail(self) -> None:
         for party in self.site.parties().values():
             party.away()
 
         async def noticed() -> bool:
-            said = await asyncio.gather(*(self.startup(name) for name in self.rig.names))
-            return all(float(lines[1].split("heard ")[1].split()[0]) > 4000.0 for lines in said if lines)
+            answers = await asyncio.gather(*(self.startup_status(name) for name in self.rig.names))
+            return all(float(lines[1].split("heard ")[1].split()[0]) > 4000.0 for lines in answers if lines)
 
-        await self.rig.until("all know that the service is away", noticed)
-        since, number = len(self.list.accepted), self.tell()
+        await self.rig.until("all agents know that the service is down", noticed)
+        since, number = len(self.list.accepted), self.publish_event()
         for party in self.site.parties().values():
             await party.open()
-        await self.heard(number)
-        await self.feeders_settle()
-        self.spared(since, FEW)
+        await self.wait_for_event(number)
+        await self.wait_for_feeders()
+        self.assert_not_overloaded(since, POSSIBLE_FEEDERS)
 
     async def feeders_stall(self) -> None:
         stalled, since = self.feeders("z0"), len(self.list.accepted)
         assert len(stalled) == FEEDERS
         for name in stalled:
             await self.rig.frozen(name)
-        number, others = self.tell(), [name for name in self.rig.names if name not in stalled]
-        found = await self.heard(number, others)
+        number, others = self.publish_event(), [name for name in self.rig.names if name not in stalled]
+        found = await self.wait_for_event(number, others)
         for name in stalled:
             assert not any(
                 line["event"] == "list" and line["offset"] == number for line in self.rig.records(name)
-            )  # they did stand still
+            )  # they were indeed stopped
             self.rig.wake(name)
         assert not {line["source"] for line in found.values()} & set(stalled)
-        await self.heard(number)
-        await self.feeders_settle()
-        self.spared(since, FEW)
+        await self.wait_for_event(number)
+        await self.wait_for_feeders()
+        self.assert_not_overloaded(since, POSSIBLE_FEEDERS)
 
     async def feeders_die(self) -> None:
         dead, since = self.feeders("z0"), len(self.list.accepted)
@@ -124,47 +132,47 @@
         for name in dead:
             await self.rig.kill(name)
         others = [name for name in self.rig.names if name not in dead]
-        await self.heard(self.tell(), others)
-        await self.feeders_settle()  # two others of that zone have taken their place
+        await self.wait_for_event(self.publish_event(), others)
+        await self.wait_for_feeders()  # two others of that zone have become feeders
         for name in dead:
             await self.rig.start(name)
-        await self.everybody("ready", "OK yes")
-        await self.heard(self.tell())
-        await self.feeders_settle()
-        self.spared(since, 2 * FEW)
+        await self.wait_until_all_show("ready", "OK yes")
+        await self.wait_for_event(self.publish_event())
+        await self.wait_for_feeders()
+        self.assert_not_overloaded(since, 2 * POSSIBLE_FEEDERS)
 
-    async def a_zone_is_cut_off(self) -> None:
+    async def zone_is_partitioned(self) -> None:
         since = len(self.list.accepted)
         self.rig.apart([name for name in self.rig.names if self.rig.zone(name) == "z1"])
-        found = await self.heard(self.tell())
+        found = await self.wait_for_event(self.publish_event())
         assert all(
             not line["source"] or self.rig.zone(line["source"]) == self.rig.zone(name)
             for name, line in found.items()
         )
         assert self.rig.injected("cut")
         self.rig.heal()
-        await self.heard(self.tell())
-        await self.feeders_settle()
-        self.spared(since, FEW)
+        await self.wait_for_event(self.publish_event())
+        await self.wait_for_feeders()
+        self.assert_not_overloaded(since, POSSIBLE_FEEDERS)
 
-    async def all_serve(self) -> None:
+    async def all_agents_serve(self) -> None:
         self.site.call()
-        await self.everybody("show-stat", "app.answered.race:1")
+        await self.wait_until_all_show("show-stat", "app.answered.race:1")
         assert self.site.books.faults == []
 
 
-async def told(folder: pathlib.Path, **startup: Any) -> None:
+async def run_scenario(folder: pathlib.Path, **startup: Any) -> None:
     site = DarkSite(1, SERVERS)
     rig = Rig(
         folder,
-        COUNT,
+        AGENTS,
         3,
         1,
         outside=site,
         top={
             "startup": {
-                "agents": COUNT,
-                "servers": CHOSEN,
+                "agents": AGENTS,
+                "servers": INITIAL_SERVERS,
                 "feeders": FEEDERS,
                 "patience_ms": 60_000.0,
                 **startup,
@@ -173,19 +181,19 @@
     )
     rig.across = True
     async with rig:
-        story = Story(rig, site)
-        for part in (
-            story.start_at_once,
-            story.service_and_servers_away,
-            story.feeders_stall,
-            story.feeders_die,
-            story.a_zone_is_cut_off,
-            story.all_serve,
+        scenario = Scenario(rig, site)
+        for step in (
+            scenario.all_agents_start_at_once,
+            scenario.service_and_servers_fail,
+            scenario.feeders_stall,
+            scenario.feeders_die,
+            scenario.zone_is_partitioned,
+            scenario.all_agents_serve,
         ):
-            rig.say(part.__name__)
-            await part()
+            rig.say(step.__name__)
+            await step()
         assert "Traceback" not in (folder / "log").read_text(encoding="utf-8")
 
 
-def test_a_cold_start_of_24_processes_and_what_may_befall_it(tmp_path: pathlib.Path) -> None:
-    asyncio.run(told(tmp_path))
+def test_a_cold_start_of_24_processes_with_faults(tmp_path: pathlib.Path) -> None:
+    asyncio.run(run_scenario(tmp_path))
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,7 +1,8 @@
-"""Cold servers under a whole fleet: what all call agents send together, over many seeds and every window.
+"""Load on cold servers: guards against a fleet of call agents that together sends a cold server too much.
 
-One clock, the program's own decision objects, servers that answer at once. N is what the settings allow a
-cold server in `fall_ms`: the multiple of its present capacity. Chance covers 2 root N + 2 beyond it."""
+A simulation with one clock, the production decision module and servers that answer at once. In every window
+of `fall_ms` a cold server may get N set-ups, `fall_multiple` times its present capacity; the tests allow
+2 * sqrt(N) + 2 more for random variation. Runs with several seeds."""
 
 from __future__ import annotations
 
@@ -15,15 +16,21 @@
 from frostport import interface as api
 from frostport.decide import Controller
 
-COLD_FROM, COLD_MS, MULTIPLE, FALL_MS, WAY_MS = 0.34, 10_000.0, 3.0, 2000.0, 12.0
-SERVERS, LOAD, PROBE_WORK = 6, 0.9, 0.28  # of a set-up's work, as dear as a probe gets
+COLD_FROM = 0.34  # capacity of a server that has just started, as a share of its warm capacity
+COLD_MS = 10_000.0  # time until it is warm
+FALL_MULTIPLE = 3.0
+FALL_MS = 2000.0
+ROUND_TRIP_MS = 12.0
+SERVERS = 6
+LOAD = 0.9  # share of the warm capacity of all servers
+PROBE_COST = 0.28  # highest cost of a probe, as a share of that of a set-up
 SETTINGS = api.Settings(
     (api.CallClass("race", 1500.0, 9000.0, holding_ms=9000.0),),
     release_guard_ms=500.0,
     retransmit_ms=400.0,
     cold_from=COLD_FROM,
     cold_ms=COLD_MS,
-    fall_multiple=MULTIPLE,
+    fall_multiple=FALL_MULTIPLE,
     fall_ms=FALL_MS,
     try_limit=4,
     may_cancel=True,
@@ -32,172 +39,184 @@
 
 
 class Fleet:
-    """Agents of unequal traffic, some of which hear lists late, and servers that count what comes."""
+    """Agents with unequal traffic, some of which get server lists late, and servers that count requests."""
 
     def __init__(self, agents: int, rate: float, seed: int) -> None:
-        """`rate`: set-ups a second that one warm server bears."""
-        self.chance, self.now, self.order = random.Random(seed), 1_000_000.0, 0
-        self.due: list[tuple[float, int, Callable[[], None]]] = []
+        """`rate`: set-ups per second that one warm server can take."""
+        self.rng, self.now, self.sequence = random.Random(seed), 1_000_000.0, 0
+        self.scheduled: list[tuple[float, int, Callable[[], None]]] = []
         self.rate, self.agents = rate, agents
-        self.started = dict.fromkeys(range(SERVERS), 0.0)
-        self.came: dict[int, list[tuple[float, float]]] = {number: [] for number in range(SERVERS)}
-        self.weights = [self.chance.paretovariate(1.5) for _ in range(agents)]
-        self.late = [self.chance.choice((50.0, 300.0, 1500.0)) for _ in range(agents)]
-        self.lives = [0] * agents
-        self.modules: list[Controller] = [self.boot(me) for me in range(agents)]
+        self.started_ms = dict.fromkeys(range(SERVERS), 0.0)
+        self.received: dict[int, list[tuple[float, float]]] = {
+            number: [] for number in range(SERVERS)
+        }  # time, cost
+        self.weights = [self.rng.paretovariate(1.5) for _ in range(agents)]
+        self.list_delay_ms = [self.rng.choice((50.0, 300.0, 1500.0)) for _ in range(agents)]
+        self.incarnations = [0] * agents
+        self.controllers: list[Controller] = [self.start_agent(agent) for agent in range(agents)]
         self.calls = 0
-        self.arrive()
+        self.call_arrives()
 
-    def at(self, after: float, do: Callable[[], None]) -> None:
-        self.order += 1
-        heapq.heappush(self.due, (self.now + after, self.order, do))
+    def call_later(self, after: float, callback: Callable[[], None]) -> None:
+        self.sequence += 1
+        heapq.heappush(self.scheduled, (self.now + after, self.sequence, callback))
 
     def run(self, ms: float) -> None:
         end = self.now + ms
-        while self.due[0][0] <= end:
-            self.now, _, do = heapq.heappop(self.due)
-            do()
+        while self.scheduled[0][0] <= end:
+            self.now, _, callback = heapq.heappop(self.scheduled)
+            callback()
         self.now = end
 
     def servers(self) -> tuple[api.Server, ...]:
         return tuple(
             api.Server(f"s{number}", number, api.Lifecycle.READY, "", started)
-            for number, started in self.started.items()
+            for number, started in self.started_ms.items()
         )
 
-    def boot(self, me: int) -> Controller:
-        self.lives[me] += 1
+    def start_agent(self, agent: int) -> Controller:
+        self.incarnations[agent] += 1
         settings = api.Settings(
             **{
                 name: getattr(SETTINGS, name) for name in SETTINGS.__slots__ if name not in ("me", "siblings")
             },
-            me=me,
+            me=agent,
             siblings=self.agents,
         )
-        module = Controller(settings, self.chance.getrandbits(32))
-        if self.lives[me] == 1:
-            self.at(0.0, lambda: self.give(me, api.ListUpdate(api.ListKind.PERSISTED, 1, self.servers())))
-        return module
-
-    def restart(self, me: int) -> None:
-        self.modules[me] = self.boot(me)
-        self.give(me, api.ListUpdate(api.ListKind.PERSISTED, 1, self.servers()))
-
-    def give(self, me: int, event: api.Event) -> None:
-        life = self.lives[me]
-        for action in self.modules[me].handle(event, self.now):
+        controller = Controller(settings, self.rng.getrandbits(32))
+        if self.incarnations[agent] == 1:
+            self.call_later(
+                0.0,
+                lambda: self.handle_event(agent, api.ListUpdate(api.ListKind.PERSISTED, 1, self.servers())),
+            )
+        return controller
+
+    def restart_agent(self, agent: int) -> None:
+        self.controllers[agent] = self.start_agent(agent)
+        self.handle_event(agent, api.ListUpdate(api.ListKind.PERSISTED, 1, self.servers()))
+
+    def handle_event(self, agent: int, event: api.Event) -> None:
+        incarnation = self.incarnations[agent]
+        for action in self.controllers[agent].handle(event, self.now):
             match action:
                 case api.SendAttempt(call, server):
-                    self.set_up(me, life, call, int(server[1:]))
+                    self.handle_set_up(agent, incarnation, call, int(server[1:]))
                 case api.SetTimer(name, after):
-                    self.at(after, lambda name=name: self.tell(me, life, api.TimerFired(name)))  # type: ignore[misc]
+                    self.call_later(
+                        after,
+                        lambda name=name: self.deliver(  # type: ignore[misc]
+                            agent, incarnation, api.TimerFired(name)
+                        ),
+                    )
                 case api.Probe(server):
-                    self.came[int(server[1:])].append((self.now, PROBE_WORK))
-                    self.at(
-                        WAY_MS,
-                        lambda server=server: self.tell(  # type: ignore[misc]
-                            me, life, api.ServerReport(server, api.Outcome.OK, WAY_MS)
+                    self.received[int(server[1:])].append((self.now, PROBE_COST))
+                    self.call_later(
+                        ROUND_TRIP_MS,
+                        lambda server=server: self.deliver(  # type: ignore[misc]
+                            agent, incarnation, api.ServerReport(server, api.Outcome.OK, ROUND_TRIP_MS)
                         ),
                     )
 
-    def tell(self, me: int, life: int, event: api.Event) -> None:
-        if self.lives[me] == life:
-            self.give(me, event)
+    def deliver(self, agent: int, incarnation: int, event: api.Event) -> None:
+        if self.incarnations[agent] == incarnation:
+            self.handle_event(agent, event)
 
-    def set_up(self, me: int, life: int, call: str, number: int) -> None:
-        self.came[number].append((self.now, 1.0))
+    def handle_set_up(self, agent: int, incarnation: int, call: str, number: int) -> None:
+        self.received[number].append((self.now, 1.0))
         attempt = self.attempts[call] = self.attempts.get(call, -1) + 1
         sent = self.now
-        # Some are reset and sent again after the guard: what is repeated counts as well.
-        ended = api.AttemptEnded(call, attempt, f"s{number}", api.Outcome.RESET, WAY_MS, False)
-        stands = api.CallStands(call, attempt, f"s{number}", WAY_MS)
-        event = ended if self.chance.random() < 0.03 else stands
-        self.at(WAY_MS, lambda: self.tell(me, life, event))
+        # Some are reset and sent again after the release guard: repeated ones count as well.
+        reset = api.AttemptEnded(call, attempt, f"s{number}", api.Outcome.RESET, ROUND_TRIP_MS, False)
+        established = api.CallStands(call, attempt, f"s{number}", ROUND_TRIP_MS)
+        event = reset if self.rng.random() < 0.03 else established
+        self.call_later(ROUND_TRIP_MS, lambda: self.deliver(agent, incarnation, event))
         assert sent <= self.now
 
-    attempts: dict[str, int] = {}  # noqa: RUF012 (set anew with each fleet)
+    attempts: dict[str, int] = {}  # noqa: RUF012 (replaced by each fleet with its first call)
 
-    def arrive(self) -> None:
-        self.at(self.chance.expovariate(LOAD * self.rate * SERVERS) * 1000.0, self.arrive)
+    def call_arrives(self) -> None:
+        self.call_later(self.rng.expovariate(LOAD * self.rate * SERVERS) * 1000.0, self.call_arrives)
         if not self.calls:
             self.attempts = {}
         self.calls += 1
-        (me,) = self.chance.choices(range(self.agents), self.weights)
-        first = self.chance.randrange(SERVERS)
-        self.give(me, api.CallArrived(f"c{self.calls}", "race", "", 9000.0, first))
+        (agent,) = self.rng.choices(range(self.agents), self.weights)
+        home = self.rng.randrange(SERVERS)
+        self.handle_event(agent, api.CallArrived(f"c{self.calls}", "race", "", 9000.0, home))
 
-    def replaced(self, number: int) -> None:
-        """The server's process is another from now on; each agent hears of it in its own time."""
-        self.started[number] = self.now
+    def replace_server(self, number: int) -> None:
+        """Restarts a server's process; each agent learns of it after its own delay."""
+        self.started_ms[number] = self.now
         update = api.ListUpdate(api.ListKind.CHANGES, 2, (self.servers()[number],))
-        for me in range(self.agents):
-            self.at(self.late[me], lambda me=me: self.give(me, update))  # type: ignore[misc]
+        for agent in range(self.agents):
+            self.call_later(self.list_delay_ms[agent], lambda agent=agent: self.handle_event(agent, update))  # type: ignore[misc]
 
-    def over(self, number: int) -> float:
-        """The worst window of a cold server: what came, less N and what chance covers."""
-        began, worst = self.started[number], -math.inf
-        came = [(at, work) for at, work in self.came[number] if began <= at <= began + COLD_MS]
+    def worst_excess(self, number: int) -> float:
+        """Returns by how much a cold server's worst window exceeds N plus the allowance for variation."""
+        started, worst = self.started_ms[number], -math.inf
+        received = [(at, cost) for at, cost in self.received[number] if started <= at <= started + COLD_MS]
         first, total = 0, 0.0
-        for at, work in came:
-            total += work
-            while came[first][0] <= at - FALL_MS:
-                total -= came[first][1]
+        for at, cost in received:
+            total += cost
+            while received[first][0] <= at - FALL_MS:
+                total -= received[first][1]
                 first += 1
-            warm = COLD_FROM + (1.0 - COLD_FROM) * (max(came[first][0], at - FALL_MS) - began) / COLD_MS
-            allowed = MULTIPLE * warm * self.rate * FALL_MS / 1000.0
+            capacity = (
+                COLD_FROM + (1.0 - COLD_FROM) * (max(received[first][0], at - FALL_MS) - started) / COLD_MS
+            )
+            allowed = FALL_MULTIPLE * capacity * self.rate * FALL_MS / 1000.0
             worst = max(worst, total - allowed - 2.0 * math.sqrt(allowed) - 2.0)
         return worst
 
 
-def one(fleet: Fleet) -> list[int]:
-    fleet.replaced(0)
+def replace_one(fleet: Fleet) -> list[int]:
+    fleet.replace_server(0)
     return [0]
 
 
-def most(fleet: Fleet) -> list[int]:
+def replace_all_but_one(fleet: Fleet) -> list[int]:
     cold = list(range(SERVERS - 1))
     for number in cold:
-        fleet.replaced(number)
+        fleet.replace_server(number)
     return cold
 
 
-def restarted(fleet: Fleet) -> list[int]:
-    """All agents anew at once, among servers of which half have just started."""
+def restart_agents_half_cold(fleet: Fleet) -> list[int]:
+    """Restarts all agents at once, while half of the servers have just started."""
     cold = list(range(SERVERS // 2))
     for number in cold:
-        fleet.started[number] = fleet.now
-    for me in range(fleet.agents):
-        fleet.at(fleet.chance.uniform(0.0, 300.0), lambda me=me: fleet.restart(me))  # type: ignore[misc]
+        fleet.started_ms[number] = fleet.now
+    for agent in range(fleet.agents):
+        fleet.call_later(fleet.rng.uniform(0.0, 300.0), lambda agent=agent: fleet.restart_agent(agent))  # type: ignore[misc]
     return cold
 
 
-def restarted_cold(fleet: Fleet) -> list[int]:
-    """The same where every server has just started: nobody has a warm one to go by."""
+def restart_agents_all_cold(fleet: Fleet) -> list[int]:
+    """The same with every server just started: no agent can estimate capacity from a warm one."""
     cold = list(range(SERVERS))
     for number in cold:
-        fleet.started[number] = fleet.now
-    for me in range(fleet.agents):
-        fleet.at(fleet.chance.uniform(0.0, 300.0), lambda me=me: fleet.restart(me))  # type: ignore[misc]
+        fleet.started_ms[number] = fleet.now
+    for agent in range(fleet.agents):
+        fleet.call_later(fleet.rng.uniform(0.0, 300.0), lambda agent=agent: fleet.restart_agent(agent))  # type: ignore[misc]
     return cold
 
 
-CASES: dict[str, Callable[[Fleet], list[int]]] = {
-    "one replaced": one,
-    "all but one replaced": most,
-    "all agents restarted, half cold": restarted,
-    "all agents restarted, all cold": restarted_cold,
+SCENARIOS: dict[str, Callable[[Fleet], list[int]]] = {
+    "one replaced": replace_one,
+    "all but one replaced": replace_all_but_one,
+    "all agents restarted, half cold": restart_agents_half_cold,
+    "all agents restarted, all cold": restart_agents_all_cold,
 }
 
 
 @pytest.mark.parametrize("agents", [20, 30, 200])
-@pytest.mark.parametrize("name", CASES)
-def test_a_cold_server_bears_what_the_whole_fleet_sends(name: str, agents: int) -> None:
-    over: dict[tuple[float, int], float] = {}
+@pytest.mark.parametrize("name", SCENARIOS)
+def test_the_whole_fleet_does_not_overload_a_cold_server(name: str, agents: int) -> None:
+    excess: dict[tuple[float, int], float] = {}
     for rate in (6.0, 25.0):
         for seed in range(4 if agents < 100 else 1):
             fleet = Fleet(agents, rate, seed)
             fleet.run(12_000.0)
-            cold = CASES[name](fleet)
+            cold = SCENARIOS[name](fleet)
             fleet.run(COLD_MS)
-            over[rate, seed] = max(fleet.over(number) for number in cold)
-    assert max(over.values()) <= 0.0, over
+            excess[rate, seed] = max(fleet.worst_excess(number) for number in cold)
+    assert max(excess.values()) <= 0.0, excess
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,5 +1,7 @@
-"""Cold starts of hundreds of agents on one simulated clock, by the decisions that serve; each hard case from
-several seeds, each red with its part turned off; turns, feed and waves by themselves."""
+"""Cold starts of hundreds of agents in a simulation with the production decision code, and unit tests of
+pacing, feed, readiness and configuration.
+
+Each scenario runs with several seeds, and must fail with pacing off and every agent a feeder."""
 
 from __future__ import annotations
 
@@ -19,83 +21,87 @@
 from frostport import config_startup
 from frostport.config import ConfigError
 from frostport.core.dialing import LIST
-from frostport.starting import Starting
 from frostport.startup import feed as feeding
 from frostport.startup.feed import Feed, Role
-from frostport.startup.messages import Ask, Told
-from frostport.startup.placing import chosen_servers, ranked
+from frostport.startup.messages import FeedUpdate, Subscribe
+from frostport.startup.pacing import DialPacer
+from frostport.startup.readiness import StagedReadiness, StartProgress
+from frostport.startup.rendezvous import initial_servers, ranked
 from frostport.startup.settings import Settings
-from frostport.startup.turns import Turns
-from frostport.startup.waves import Local, Waves
+from frostport.startup_coordinator import StartupCoordinator
 from standins.starts import Site, busiest
 
-COUNT = 200
-DRAIN_MS = 2000.0  # nothing new goes to a draining server after that
+AGENT_COUNT = 200
+DRAIN_GRACE_MS = 2000.0  # after this a draining server must get no new calls
 
 
-def all_serve(site: Site, within_ms: float) -> None:
+def wait_until_all_serve(site: Site, within_ms: float) -> None:
     for _ in range(int(within_ms / 1000.0)):
         site.run(1000.0)
         if site.serving() == len(site.agents) == site.count:
             return
-    left = [
-        (name, agent.waves.why, agent.feed.role.value)
+    not_ready = [
+        (name, agent.waves.waits_for, agent.feed.role.value)
         for name, agent in site.agents.items()
         if not agent.waves.ready
     ]
-    raise AssertionError(f"{len(left)} do not serve: {left[:5]}; collapsed: {site.collapsed()}")
+    raise AssertionError(
+        f"{len(not_ready)} agents do not serve: {not_ready[:5]}; collapsed: {site.collapsed()}"
+    )
 
 
-def spared(site: Site, since: float = 0.0) -> None:
-    """Nothing collapsed, and nobody was rushed."""
+def assert_not_overloaded(site: Site, since: float = 0.0) -> None:
+    """Asserts that no target collapsed, and that none accepted too many connections within 100 ms."""
     assert site.collapsed() == []
     for name, party in site.parties.items():
-        most = 10 if name == LIST else 25
-        assert busiest([at for at in party.accepted if at >= since]) <= most, name
+        limit = 10 if name == LIST else 25
+        assert busiest([at for at in party.accepted if at >= since]) <= limit, name
 
 
-def heard(site: Site, within_ms: float = DRAIN_MS) -> None:
+def assert_event_reaches_all(site: Site, within_ms: float = DRAIN_GRACE_MS) -> None:
     offset = site.publish()
     site.run(3000.0)
-    assert site.latest(offset) <= within_ms, f"an agent heard of it after {site.latest(offset):.0f} ms"
+    assert site.latest(offset) <= within_ms, (
+        f"an agent learned of the event after {site.latest(offset):.0f} ms"
+    )
 
 
-# Hard cases
+# Scenarios
 
 
-def all_at_once(site: Site) -> None:
-    all_serve(site, 20_000.0)
-    heard(site)
+def start_all_at_once(site: Site) -> None:
+    wait_until_all_serve(site, 20_000.0)
+    assert_event_reaches_all(site)
 
 
-def service_away_and_back(site: Site) -> None:
-    all_serve(site, 20_000.0)
+def service_and_servers_return(site: Site) -> None:
+    wait_until_all_serve(site, 20_000.0)
     for party in site.parties.values():
         party.away()
     site.run(10_000.0)
     began = site.now
     for party in site.parties.values():
         party.back()
-    site.run(max(20_000.0, 100.0 * site.count))  # at 80 a second, with gaps that have grown
-    spared(site, began)
+    site.run(max(20_000.0, 100.0 * site.count))  # paced at 80 dials a second, after backoff has grown
+    assert_not_overloaded(site, began)
     assert all(set(site.servers) <= agent.connected.keys() for agent in site.agents.values())
     assert sum(at >= began for at in site.parties[LIST].accepted) <= 20
-    heard(site)
+    assert_event_reaches_all(site)
 
 
-def away_again_from_the_rush(site: Site) -> None:
-    """It returns, and dies again; its first return brings few enough."""
-    all_serve(site, 20_000.0)
+def service_fails_repeatedly(site: Site) -> None:
+    """The list service is back for 1 s at a time: each return must draw few enough dials."""
+    wait_until_all_serve(site, 20_000.0)
     for _ in range(3):
         site.parties[LIST].away()
         site.run(5000.0)
         site.parties[LIST].back()
         site.run(1000.0)
     site.run(15_000.0)
-    heard(site)
+    assert_event_reaches_all(site)
 
 
-def feeders_die_in_the_first_second(site: Site) -> None:
+def feeders_fail_during_the_start(site: Site) -> None:
     site.run(2000.0)
     for _ in range(3):
         site.kill(
@@ -107,14 +113,14 @@
         )
         site.run(300.0)
     site.count = len(site.agents)
-    all_serve(site, 25_000.0)
+    wait_until_all_serve(site, 25_000.0)
     site.run(5000.0)
-    heard(site)
+    assert_event_reaches_all(site)
 
 
 def feeders_stall(site: Site) -> None:
-    """They are alive as far as anyone knows, and say nothing: others feed within the drain's grace."""
-    all_serve(site, 20_000.0)
+    """Silent feeders still count as alive: other feeders must take over within the drain's grace period."""
+    wait_until_all_serve(site, 20_000.0)
     site.run(3000.0)
     stalled = [
         name for name, agent in site.agents.items() if agent.zone == "z0" and agent.feed.role is Role.FEEDING
@@ -124,40 +130,40 @@
     site.run(100.0)
     offset = site.publish()
     site.run(3000.0)
-    late = {
+    delays = {
         name: agent.heard_at.get(offset, site.now) - site.told_at[offset]
         for name, agent in site.agents.items()
         if name not in stalled
     }
-    assert max(late.values()) <= DRAIN_MS, sorted(late.items(), key=lambda each: -each[1])[:3]
+    assert max(delays.values()) <= DRAIN_GRACE_MS, sorted(delays.items(), key=lambda item: -item[1])[:3]
     site.run(8000.0)
-    heard(site)
+    assert_event_reaches_all(site)
 
 
-def half_hold_an_old_list(site: Site) -> None:
+def half_start_with_an_old_list(site: Site) -> None:
     assert site.last == 100
-    all_serve(site, 20_000.0)
+    wait_until_all_serve(site, 20_000.0)
     site.run(3000.0)
     assert all(agent.offset == site.last for agent in site.agents.values())
     assert site.whole_lists <= 20
-    heard(site)
+    assert_event_reaches_all(site)
 
 
-def a_zone_cut_off_during_the_start(site: Site) -> None:
+def zone_partitioned_during_the_start(site: Site) -> None:
     site.run(1500.0)
     site.apart("z1", 15_000.0)
-    all_serve(site, 30_000.0)
-    heard(site)  # each zone has feeders of its own
+    wait_until_all_serve(site, 30_000.0)
+    assert_event_reaches_all(site)  # each zone has its own feeders
     site.run(15_000.0)
-    heard(site)
+    assert_event_reaches_all(site)
 
 
-def three_of_all_are_seen(site: Site) -> None:
-    """Nobody sees more than three: each takes its turn at the service as if all did."""
-    all_serve(site, 90_000.0)
+def only_three_agents_are_visible(site: Site) -> None:
+    """No agent sees more than three others: each must pace its dials to the service for the whole fleet."""
+    wait_until_all_serve(site, 90_000.0)
 
 
-def a_rolling_restart_in_the_middle(site: Site) -> None:
+def rolling_restart_during_the_start(site: Site) -> None:
     site.run(3000.0)
     for tenth in range(10):
         names = [name for name in site.agents if int(name[1:]) % 10 == tenth]
@@ -166,38 +172,38 @@
         for name in names:
             site.start(int(name[1:]))
         site.run(500.0)
-    all_serve(site, 30_000.0)
+    wait_until_all_serve(site, 30_000.0)
     site.run(3000.0)
-    heard(site)
+    assert_event_reaches_all(site)
 
 
-def one_that_accepts_and_never_speaks(site: Site) -> None:
+def server_accepts_and_never_answers(site: Site) -> None:
     site.parties["h1"].mute = True
-    all_serve(site, 20_000.0)
-    heard(site)
+    wait_until_all_serve(site, 20_000.0)
+    assert_event_reaches_all(site)
 
 
 CASES: dict[str, tuple[Callable[[Site], None], dict[str, object]]] = {
-    "all at once": (all_at_once, {}),
-    "list service and lobby servers away for 10 s": (service_away_and_back, {}),
-    "it dies again and again": (away_again_from_the_rush, {}),
-    "a zone's feeders die in the first second": (feeders_die_in_the_first_second, {}),
+    "all at once": (start_all_at_once, {}),
+    "list service and lobby servers away for 10 s": (service_and_servers_return, {}),
+    "it dies again and again": (service_fails_repeatedly, {}),
+    "a zone's feeders die in the first second": (feeders_fail_during_the_start, {}),
     "feeders stall": (feeders_stall, {}),
     "half hold a list 100 events old": (
-        half_hold_an_old_list,
+        half_start_with_an_old_list,
         {"offset": lambda number: 100 if number % 2 else 0},
     ),
-    "clocks 5 s apart": (all_at_once, {"skew_ms": 5000.0}),
-    "a zone is cut off": (a_zone_cut_off_during_the_start, {}),
-    "three of all are seen": (three_of_all_are_seen, {}),
-    "a rolling restart": (a_rolling_restart_in_the_middle, {}),
-    "a server that never speaks": (one_that_accepts_and_never_speaks, {}),
+    "clocks 5 s apart": (start_all_at_once, {"skew_ms": 5000.0}),
+    "a zone is cut off": (zone_partitioned_during_the_start, {}),
+    "three of all are seen": (only_three_agents_are_visible, {}),
+    "a rolling restart": (rolling_restart_during_the_start, {}),
+    "a server that never speaks": (server_accepts_and_never_answers, {}),
 }
 
 
-def made(case: str, count: int, seed: int, eager: bool = False) -> Site:
-    more = CASES[case][1]
-    site = Site(count, seed, eager=eager, **more)  # type: ignore[arg-type]
+def build_site(case: str, count: int, seed: int, eager: bool = False) -> Site:
+    options = CASES[case][1]
+    site = Site(count, seed, eager=eager, **options)  # type: ignore[arg-type]
     if case == "half hold a list 100 events old":
         site.last = site.kept_from = 100
     if case == "three of all are seen":
@@ -209,101 +215,111 @@
     return site
 
 
-def played(case: str, count: int, seed: int, eager: bool = False) -> None:
-    site = made(case, count, seed, eager)
+def run_scenario(case: str, count: int, seed: int, eager: bool = False) -> None:
+    site = build_site(case, count, seed, eager)
     CASES[case][0](site)
-    spared(site)
+    assert_not_overloaded(site)
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("case", CASES)
-def test_a_cold_start_spares_all_and_all_serve(case: str, seed: int) -> None:
-    played(case, COUNT, seed)
+def test_a_cold_start_overloads_nothing_and_all_agents_serve(case: str, seed: int) -> None:
+    run_scenario(case, AGENT_COUNT, seed)
 
 
 @pytest.mark.parametrize("case", ["all at once", "list service and lobby servers away for 10 s"])
-def test_a_thousand(case: str) -> None:
-    played(case, 1000, 9)
+def test_a_cold_start_of_a_thousand_agents(case: str) -> None:
+    run_scenario(case, 1000, 9)
 
 
-def test_each_case_is_red_with_the_part_turned_off() -> None:
+def test_each_scenario_fails_with_pacing_and_feeding_turned_off() -> None:
     for case in CASES:
         with pytest.raises(AssertionError):
-            played(case, COUNT, 0, eager=True)
+            run_scenario(case, AGENT_COUNT, 0, eager=True)
 
 
-# The parts by themselves
+# Unit tests
 
 
-def test_turns_are_spread_over_the_window_with_gaps_that_grow_and_tokens_that_run_out() -> None:
-    at = Settings(agents=200)
-    agents = [Turns(at, random.Random(number), 0.0) for number in range(200)]
-    first = sorted(turns.first("h0", 0.0) for turns in agents)
+def test_dials_are_spread_over_the_window_and_redials_are_limited_by_tokens() -> None:
+    pacing_settings = Settings(agents=200)
+    pacers = [DialPacer(pacing_settings, random.Random(number), 0.0) for number in range(200)]
+    first = sorted(pacer.schedule_first("h0", 0.0) for pacer in pacers)
     assert first[-1] <= 2500.0 and busiest(first) <= 20
-    again = sorted(turns.again("h1", 50_000.0) for turns in agents)
-    assert busiest(again) <= 20  # also the first redial after a loss that all have seen at once
-    one, now, dials = agents[0], 100_000.0, 0
+    redials = sorted(pacer.schedule_redial("h1", 50_000.0) for pacer in pacers)
+    assert busiest(redials) <= 20  # all agents lose their connection at the same moment
+    single_pacer, now, dials = pacers[0], 100_000.0, 0
     while now < 400_000.0:
-        now += one.again("h2", now) + 1.0
+        now += single_pacer.schedule_redial("h2", now) + 1.0
         dials += 1
-    assert dials <= at.redials + 300_000.0 / at.redial_ms + 1.0
+    assert dials <= pacing_settings.redials + 300_000.0 / pacing_settings.redial_ms + 1.0
 
 
-def test_pressure_is_passed_on_once_and_goes() -> None:
-    one, other = (Turns(Settings(agents=100), random.Random(seed), 0.0) for seed in (1, 2))
+def test_reported_pressure_does_not_add_up_and_decays() -> None:
+    first, second = (DialPacer(Settings(agents=100), random.Random(seed), 0.0) for seed in (1, 2))
     for _ in range(10):
-        one.pressed("h0", 0.0)
-    for _ in range(100):  # words that go in circles add nothing
-        for target, level in one.pressures(0.0):
-            other.heard(target, level, 0.0)
-        for target, level in other.pressures(0.0):
-            one.heard(target, level, 0.0)
-    assert one.pressure("h0", 0.0) == other.pressure("h0", 0.0) == 4.0
-    assert other.pressure("h0", 10_000.0) == pytest.approx(1.0)
-    other.heard("h0", float("nan"), 0.0)
-    assert other.window_ms("h0", 0.0) == 4.0 * other.window_ms("h1", 0.0)
-
-
-def test_a_needed_dial_goes_at_once_only_where_nobody_else_may_be_dialling() -> None:
-    turns = Turns(Settings(agents=100), random.Random(1), 0.0)
-    assert turns.needed("h0", 100.0) > 0.0  # the start's own window
-    assert turns.needed("h1", 10_000.0) == 0.0
-    turns.up("h1", 10_000.0)
-    wait = turns.again("h1", 20_000.0)
-    assert turns.needed("h1", 20_000.0) == pytest.approx(wait)  # the turn it has
-    turns.up("h1", 20_000.0 + wait)
-    assert turns.needed("h1", 30_000.0) == 0.0
-
-
-def test_servers_are_spread_evenly_over_agents_that_see_each_other() -> None:
+        first.raise_pressure("h0", 0.0)
+    for _ in range(100):  # levels reported back to their origin raise nothing
+        for target, level in first.reportable_pressures(0.0):
+            second.merge_pressure(target, level, 0.0)
+        for target, level in second.reportable_pressures(0.0):
+            first.merge_pressure(target, level, 0.0)
+    assert first.pressure("h0", 0.0) == second.pressure("h0", 0.0) == 4.0
+    assert second.pressure("h0", 10_000.0) == pytest.approx(1.0)
+    second.merge_pressure("h0", float("nan"), 0.0)
+    assert second.window_ms("h0", 0.0) == 4.0 * second.window_ms("h1", 0.0)
+
+
+def test_an_on_demand_dial_goes_at_once_unless_other_agents_may_dial_the_target() -> None:
+    pacer = DialPacer(Settings(agents=100), random.Random(1), 0.0)
+    assert pacer.schedule_on_demand("h0", 100.0) > 0.0  # within the window of the start
+    assert pacer.schedule_on_demand("h1", 10_000.0) == 0.0
+    pacer.on_connected("h1", 10_000.0)
+    delay = pacer.schedule_redial("h1", 20_000.0)
+    assert pacer.schedule_on_demand("h1", 20_000.0) == pytest.approx(delay)  # the dial already scheduled
+    pacer.on_connected("h1", 20_000.0 + delay)
+    assert pacer.schedule_on_demand("h1", 30_000.0) == 0.0
+
+
+def test_initial_servers_are_spread_evenly_over_agents_that_see_each_other() -> None:
     servers, names = [f"h{number}" for number in range(24)], [f"a{number}" for number in range(200)]
     load = dict.fromkeys(servers, 0)
     for name in names:
-        chosen = chosen_servers(servers, name, names, 4)
+        chosen = initial_servers(servers, name, names, 4)
         assert len(chosen) == 4
         for server in chosen:
             load[server] += 1
     assert max(load.values()) - min(load.values()) <= 1
-    assert chosen_servers(servers[:3], "a1", names, 4) == set(servers[:3])
-    gone = ranked("z", names, 3)[0]  # one leaves: the others keep their rank
-    assert ranked("z", [name for name in names if name != gone], 2) == ranked("z", names, 3)[1:]
-
-
-def test_ready_waits_for_a_list_for_servers_that_answer_and_for_its_wave() -> None:
-    waves = Waves(Settings(agents=100, wave=0.25, wave_ms=5000.0), 0.0)
-    assert not waves.look(Local(0, 0, 0), 0.0) and waves.why == "a list of servers"
-    assert not waves.look(Local(3, 1, 3), 10.0) and waves.why == "servers that answer: 1 of 2"
-    assert not waves.look(Local(3, 2, 3, prepared=5), 20.0) and "its wave: 6 of 100" in waves.why
-    assert not waves.look(Local(3, 2, 3, prepared=5, serving=10), 5000.0)
-    assert waves.look(Local(3, 2, 3, prepared=5, serving=10), 5020.0)
-    assert waves.look(Local(0, 0, 0), 5030.0)  # once it serves, this is over
-    rolling = Waves(Settings(agents=100, wave=0.25), 0.0)
-    assert rolling.look(Local(3, 3, 3, serving=80), 0.0)
-
-
-told = st.builds(
-    lambda at, count, age, here, asks: Told(
-        at, tuple(b"event %d" % (at + 1 + n) for n in range(count)), age, here, asks
+    assert initial_servers(servers[:3], "a1", names, 4) == set(servers[:3])
+    departed = ranked("z", names, 3)[0]  # the others keep their order
+    assert ranked("z", [name for name in names if name != departed], 2) == ranked("z", names, 3)[1:]
+
+
+def test_readiness_waits_for_a_list_then_for_answering_servers_then_for_other_agents() -> None:
+    readiness = StagedReadiness(Settings(agents=100, wave=0.25, wave_ms=5000.0), 0.0)
+    assert not readiness.update(StartProgress(0, 0, 0), 0.0) and readiness.waits_for == "a list of servers"
+    assert (
+        not readiness.update(StartProgress(3, 1, 3), 10.0)
+        and readiness.waits_for == "servers that answer: 1 of 2"
+    )
+    assert (
+        not readiness.update(StartProgress(3, 2, 3, prepared=5), 20.0)
+        and "its wave: 6 of 100" in readiness.waits_for
+    )
+    assert not readiness.update(StartProgress(3, 2, 3, prepared=5, serving=10), 5000.0)
+    assert readiness.update(StartProgress(3, 2, 3, prepared=5, serving=10), 5020.0)
+    assert readiness.update(StartProgress(0, 0, 0), 5030.0)  # once ready, it stays ready
+    rolling = StagedReadiness(Settings(agents=100, wave=0.25), 0.0)
+    assert rolling.update(StartProgress(3, 3, 3, serving=80), 0.0)
+
+
+feed_updates = st.builds(
+    lambda after_offset, count, age, connected, dials_service: FeedUpdate(
+        after_offset,
+        tuple(b"event %d" % (after_offset + 1 + n) for n in range(count)),
+        age,
+        connected,
+        dials_service,
     ),
     st.integers(0, 12),
     st.integers(0, 4),
@@ -312,8 +328,8 @@
     st.booleans(),
 )
 steps = st.one_of(
-    st.tuples(st.just("told"), st.sampled_from(["b", "c", "d"]), told),
-    st.tuples(st.just("ask"), st.sampled_from(["b", "c", "d"]), st.builds(Ask, st.integers(0, 12))),
+    st.tuples(st.just("told"), st.sampled_from(["b", "c", "d"]), feed_updates),
+    st.tuples(st.just("ask"), st.sampled_from(["b", "c", "d"]), st.builds(Subscribe, st.integers(0, 12))),
     st.tuples(st.just("members"), st.sets(st.sampled_from(["b", "c", "d", "e"])), st.none()),
     st.tuples(st.sampled_from(["up", "down", "word", "tick"]), st.none(), st.none()),
     st.tuples(st.just("time"), st.sampled_from([100.0, 1000.0, 4000.0]), st.none()),
@@ -322,68 +338,70 @@
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(st.lists(steps, max_size=60))
-def test_whatever_comes_events_are_taken_in_order_and_an_old_list_is_looked_after(
+def test_events_are_applied_in_order_and_a_newer_list_is_sought(
     script: list[tuple[str, object, object]],
 ) -> None:
     feed, now, offset = Feed("a", "z", 0, Settings(agents=4, feeders=1, patience_ms=5000.0), 0.0), 0.0, 0
-    connected = asked = False
+    connected = connect_requested = False
 
-    def do(event: feeding.Event) -> None:
-        nonlocal offset, connected, asked
+    def handle(event: feeding.Event) -> None:
+        nonlocal offset, connected, connect_requested
         for action in feed.handle(event, now):
             match action:
-                case feeding.Take(events):
+                case feeding.ApplyEvents(events):
                     for line in events:
-                        assert int(line.split()[1]) <= offset + 1, "S1: a gap"
+                        assert int(line.split()[1]) <= offset + 1, "S1: events skipped"
                         offset = max(offset, int(line.split()[1]))
-                        do(feeding.Applied(offset, line))
+                        handle(feeding.EventApplied(offset, line))
                 case feeding.Connect(_):
-                    assert not asked, "two connections to the service"
-                    asked = True
+                    assert not connect_requested, "two connections to the service"
+                    connect_requested = True
                 case feeding.Disconnect():
-                    assert asked
-                    connected = asked = False
-                case feeding.Say(_, Told(at, events)):
-                    assert at + len(events) <= offset or not events
+                    assert connect_requested
+                    connected = connect_requested = False
+                case feeding.Send(_, FeedUpdate(after_offset, events)):
+                    assert after_offset + len(events) <= offset or not events
         assert feed.offset == offset
-        assert asked is (feed.role in (Role.FEEDING, Role.ALONE))
+        assert connect_requested is (feed.role in (Role.FEEDING, Role.STANDALONE))
 
     for what, first, second in script:
         match what:
             case "told" | "ask":
-                do(feeding.Heard(str(first), second))  # type: ignore[arg-type]
+                handle(feeding.MessageReceived(str(first), second))  # type: ignore[arg-type]
             case "members":
-                do(feeding.Members(dict.fromkeys(sorted(first), "z")))  # type: ignore[call-overload]
-            case "up" if asked:
+                handle(feeding.MembersChanged(dict.fromkeys(sorted(first), "z")))  # type: ignore[call-overload]
+            case "up" if connect_requested:
                 connected = True
-                do(feeding.Up())
-            case "down" if asked:
+                handle(feeding.ServiceConnected())
+            case "down" if connect_requested:
                 connected = False
-                do(feeding.Down())
+                handle(feeding.ServiceDisconnected())
             case "word" if connected:
                 offset += 1
-                do(feeding.Word(offset, b"event %d" % offset))
+                handle(feeding.ServiceHeard(offset, b"event %d" % offset))
             case "tick":
-                do(feeding.Tick())
+                handle(feeding.Tick())
             case "time":
                 now += first  # type: ignore[operator]
-    for _ in range(60):  # S2: with nobody to hear, it goes to the service itself
+    for _ in range(60):  # S2: without other agents it must dial the service itself
         now += 250.0
-        do(feeding.Members({}))
-        do(feeding.Tick())
-    assert asked
-
-
-def test_an_agent_that_hears_the_service_dials_its_new_address_and_one_that_is_fed_does_not() -> None:
-    said: list[str] = []
-    fleet: Any = SimpleNamespace(record=SimpleNamespace(event=lambda what, **more: said.append(what)))
-    part = Starting(Settings(agents=4), "a", fleet)
-    part.agent = SimpleNamespace(side=SimpleNamespace(bus=None))
-    assert part.first(LIST) == float("inf")  # before the feed has begun
-    part.feed = Feed("a", "z", 0, Settings(agents=4), 0.0)
-    assert part.first(LIST) == float("inf")
-    part.feed.first, part.feed.role, part.feed.here = True, Role.FEEDING, True
-    assert part.first(LIST) < float("inf") and not part.feed.here and part.feed.dialling
+        handle(feeding.MembersChanged({}))
+        handle(feeding.Tick())
+    assert connect_requested
+
+
+def test_a_feeder_dials_the_new_address_of_the_service_and_a_fed_agent_does_not() -> None:
+    recorded: list[str] = []
+    fleet: Any = SimpleNamespace(record=SimpleNamespace(event=lambda what, **more: recorded.append(what)))
+    coordinator = StartupCoordinator(Settings(agents=4), "a", fleet)
+    coordinator.agent = SimpleNamespace(side=SimpleNamespace(bus=None))
+    assert coordinator.first(LIST) == float("inf")  # the feed has not been created yet
+    coordinator.feed = Feed("a", "z", 0, Settings(agents=4), 0.0)
+    assert coordinator.first(LIST) == float("inf")
+    coordinator.feed.is_feeder, coordinator.feed.role, coordinator.feed.connected = True, Role.FEEDING, True
+    assert (
+        coordinator.first(LIST) < float("inf") and not coordinator.feed.connected and coordinator.feed.dialing
+    )
 
 
 # The configuration
@@ -406,19 +424,19 @@
         ({"lists_a_second": 0}, "lists_a_second"),
     ],
 )
-def test_a_bad_field_is_named_by_reader_and_schema_alike(section: dict[str, Any], field: str) -> None:
+def test_reader_and_schema_reject_an_invalid_field(section: dict[str, Any], field: str) -> None:
     with pytest.raises(ConfigError, match=f"startup.{field}"):
         config_startup.read({"startup": section})
     with pytest.raises(jsonschema.ValidationError):
         jsonschema.validate(section, SCHEMA)
 
 
-def test_the_schema_names_what_the_reader_knows_with_the_same_defaults() -> None:
-    assert {name: told["default"] for name, told in SCHEMA["properties"].items()} == dataclasses.asdict(
-        Settings()
-    )
-    given = {"agents": 200, "wave": 0.5}
-    jsonschema.validate(given, SCHEMA)
-    assert config_startup.read({"startup": given}) == Settings(agents=200, wave=0.5)
+def test_schema_and_reader_have_the_same_fields_and_defaults() -> None:
+    assert {
+        name: described["default"] for name, described in SCHEMA["properties"].items()
+    } == dataclasses.asdict(Settings())
+    section = {"agents": 200, "wave": 0.5}
+    jsonschema.validate(section, SCHEMA)
+    assert config_startup.read({"startup": section}) == Settings(agents=200, wave=0.5)
     with pytest.raises(ConfigError, match="startup"):
-        config_startup.read({"startup": given, "diameter": {}})
+        config_startup.read({"startup": section, "diameter": {}})
