--- a/frostport/startup_coordinator.py
+++ b/frostport/startup_coordinator.py
@@ -59,7 +59,7 @@
 class StartupCoordinator(Dialing):
     """Runs one agent's dial pacer, feed and staged readiness.
 
-    As a `Dialing` it says when the bus and the lobby servers may dial."""
+    It also decides when the bus and the lobby servers may dial."""
 
     def __init__(self, settings: Settings, name: str, fleet: Fleet | None) -> None:
         self.settings, self.name, self.fleet = settings, name, fleet
@@ -251,7 +251,7 @@
             }
         )
 
-    # `Dialing`, for the bus and the lobby servers
+    # When the bus and the lobby servers may dial
 
     def wanted(self, target: str) -> bool:
         return False  # `_choose_servers` dials the initial ones
