--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -122,7 +122,7 @@
 def played(job: tuple[str, int]) -> str:
     case, seed = job
     try:
-        test_startup.played(case, 1000, seed)
+        test_startup.run_scenario(case, 1000, seed)
     except AssertionError as problem:
         return f"{case}, seed {seed}: {str(problem)[:300]}"
     return ""
--- a/frostport/core/dial_policy.py
+++ b/frostport/core/dial_policy.py
@@ -1,7 +1,7 @@
 """When connections are opened: by default at once, and again after a fixed pause.
 
-The event bus and the lobby servers' connections ask the policy before they dial. `frostport/starting.py`
-spreads the dials of a fleet over time instead.
+The event bus and the lobby servers' connections ask the policy before they dial.
+`frostport/startup_coordinator.py` spreads the dials of a fleet over time instead.
 """
 
 from __future__ import annotations
