--- a/frostport/diameter/avp.py
+++ b/frostport/diameter/avp.py
@@ -1,4 +1,7 @@
-"""The Diameter codec (RFC 6733): messages out of a byte stream, AVPs out of messages, and back."""
+"""The Diameter codec (RFC 6733): splits a byte stream into messages, and reads and writes their AVPs.
+
+The texts of AvpError go out in the Error-Message AVP.
+"""
 
 from __future__ import annotations
 
@@ -8,16 +11,17 @@
 from enum import Enum
 from typing import Any
 
-VERSION, HEADER, LONGEST = 1, 20, 64 * 1024
+VERSION, HEADER_BYTES, MAX_MESSAGE_BYTES = 1, 20, 64 * 1024
+# Command flags: the R, P, E and T bits of the message header
 REQUEST, PROXIABLE, ERROR, RETRANSMITTED = 0x80, 0x40, 0x20, 0x10
-VENDOR, MANDATORY = 0x80, 0x40
+VENDOR, MANDATORY = 0x80, 0x40  # AVP flags: the V and M bits
 RESERVED_HEADER_BITS, RESERVED_AVP_BITS = 0x0F, 0x1F
 
-# Commands
+# Command codes, under the first two letters of the RFCs' abbreviations
 CE, AS, CC, DW, DP = 257, 274, 272, 280, 282
-BASE, CREDIT_CONTROL = 0, 4  # applications
+BASE, CREDIT_CONTROL = 0, 4  # Application Ids
 
-# Result codes
+# Values of Result-Code
 SUCCESS = 2001
 COMMAND_UNSUPPORTED, UNABLE_TO_DELIVER, TOO_BUSY = 3001, 3002, 3004
 APPLICATION_UNSUPPORTED, INVALID_HDR_BITS, INVALID_AVP_BITS, UNKNOWN_PEER = 3007, 3008, 3009, 3010
@@ -30,8 +34,8 @@
 LOGOUT, ADMINISTRATIVE = 1, 4  # Termination-Cause
 
 
-class Kind(Enum):
-    """The data formats in use; the figure is the fixed size, 0 for any."""
+class DataFormat(Enum):
+    """AVP data formats (RFC 6733, section 4.2), each with its size in bytes, 0 if that varies."""
 
     OCTETS = ("octets", 0)
     TEXT = ("text", 0)
@@ -41,83 +45,87 @@
     UNSIGNED64 = ("unsigned64", 8)
 
 
-PACK = {
-    Kind.UNSIGNED32: struct.Struct("!I"),
-    Kind.ENUMERATED: struct.Struct("!i"),
-    Kind.UNSIGNED64: struct.Struct("!Q"),
+STRUCT_BY_FORMAT = {
+    DataFormat.UNSIGNED32: struct.Struct("!I"),
+    DataFormat.ENUMERATED: struct.Struct("!i"),
+    DataFormat.UNSIGNED64: struct.Struct("!Q"),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Definition:
-    """What the dictionary says of an AVP."""
+    """The dictionary entry of an AVP; `vendor` is its Vendor-Id, `mandatory` its M bit."""
 
     name: str
     code: int
-    kind: Kind
+    data_format: DataFormat
     vendor: int = 0
     mandatory: bool = True
 
 
-SESSION_ID = Definition("Session-Id", 263, Kind.TEXT)
-ORIGIN_HOST = Definition("Origin-Host", 264, Kind.TEXT)
-ORIGIN_REALM = Definition("Origin-Realm", 296, Kind.TEXT)
-ORIGIN_STATE_ID = Definition("Origin-State-Id", 278, Kind.UNSIGNED32)
-DESTINATION_HOST = Definition("Destination-Host", 293, Kind.TEXT)
-DESTINATION_REALM = Definition("Destination-Realm", 283, Kind.TEXT)
-HOST_IP_ADDRESS = Definition("Host-IP-Address", 257, Kind.OCTETS)
-VENDOR_ID = Definition("Vendor-Id", 266, Kind.UNSIGNED32)
-PRODUCT_NAME = Definition("Product-Name", 269, Kind.TEXT, mandatory=False)
-AUTH_APPLICATION_ID = Definition("Auth-Application-Id", 258, Kind.UNSIGNED32)
-ACCT_APPLICATION_ID = Definition("Acct-Application-Id", 259, Kind.UNSIGNED32)
-VENDOR_SPECIFIC_APPLICATION_ID = Definition("Vendor-Specific-Application-Id", 260, Kind.GROUPED)
-SUPPORTED_VENDOR_ID = Definition("Supported-Vendor-Id", 265, Kind.UNSIGNED32)
-INBAND_SECURITY_ID = Definition("Inband-Security-Id", 299, Kind.UNSIGNED32)
-FIRMWARE_REVISION = Definition("Firmware-Revision", 267, Kind.UNSIGNED32, mandatory=False)
-RESULT_CODE = Definition("Result-Code", 268, Kind.UNSIGNED32)
-ERROR_MESSAGE = Definition("Error-Message", 281, Kind.TEXT, mandatory=False)
-FAILED_AVP = Definition("Failed-AVP", 279, Kind.OCTETS)  # a group, not read: it holds what is malformed
-ROUTE_RECORD = Definition("Route-Record", 282, Kind.TEXT)
-PROXY_INFO = Definition("Proxy-Info", 284, Kind.GROUPED)
-DISCONNECT_CAUSE = Definition("Disconnect-Cause", 273, Kind.ENUMERATED)
-TERMINATION_CAUSE = Definition("Termination-Cause", 295, Kind.ENUMERATED)
-USER_NAME = Definition("User-Name", 1, Kind.TEXT)
-CALLED_STATION_ID = Definition("Called-Station-Id", 30, Kind.TEXT)
-CC_REQUEST_TYPE = Definition("CC-Request-Type", 416, Kind.ENUMERATED)
-CC_REQUEST_NUMBER = Definition("CC-Request-Number", 415, Kind.UNSIGNED32)
-SERVICE_CONTEXT_ID = Definition("Service-Context-Id", 461, Kind.TEXT)
-OC_SUPPORTED_FEATURES = Definition("OC-Supported-Features", 621, Kind.GROUPED, mandatory=False)
-OC_FEATURE_VECTOR = Definition("OC-Feature-Vector", 622, Kind.UNSIGNED64, mandatory=False)
-OC_OLR = Definition("OC-OLR", 623, Kind.GROUPED, mandatory=False)
-OC_SEQUENCE_NUMBER = Definition("OC-Sequence-Number", 624, Kind.UNSIGNED64, mandatory=False)
-OC_VALIDITY_DURATION = Definition("OC-Validity-Duration", 625, Kind.UNSIGNED32, mandatory=False)
-OC_REPORT_TYPE = Definition("OC-Report-Type", 626, Kind.ENUMERATED, mandatory=False)
-OC_REDUCTION_PERCENTAGE = Definition("OC-Reduction-Percentage", 627, Kind.UNSIGNED32, mandatory=False)
-# 3GPP TS 29.273: how long the originator waits for the answer, in milliseconds.
-MAXIMUM_WAIT_TIME = Definition("Maximum-Wait-Time", 1537, Kind.UNSIGNED32, vendor=10415, mandatory=False)
+SESSION_ID = Definition("Session-Id", 263, DataFormat.TEXT)
+ORIGIN_HOST = Definition("Origin-Host", 264, DataFormat.TEXT)
+ORIGIN_REALM = Definition("Origin-Realm", 296, DataFormat.TEXT)
+ORIGIN_STATE_ID = Definition("Origin-State-Id", 278, DataFormat.UNSIGNED32)
+DESTINATION_HOST = Definition("Destination-Host", 293, DataFormat.TEXT)
+DESTINATION_REALM = Definition("Destination-Realm", 283, DataFormat.TEXT)
+HOST_IP_ADDRESS = Definition("Host-IP-Address", 257, DataFormat.OCTETS)
+VENDOR_ID = Definition("Vendor-Id", 266, DataFormat.UNSIGNED32)
+PRODUCT_NAME = Definition("Product-Name", 269, DataFormat.TEXT, mandatory=False)
+AUTH_APPLICATION_ID = Definition("Auth-Application-Id", 258, DataFormat.UNSIGNED32)
+ACCT_APPLICATION_ID = Definition("Acct-Application-Id", 259, DataFormat.UNSIGNED32)
+VENDOR_SPECIFIC_APPLICATION_ID = Definition("Vendor-Specific-Application-Id", 260, DataFormat.GROUPED)
+SUPPORTED_VENDOR_ID = Definition("Supported-Vendor-Id", 265, DataFormat.UNSIGNED32)
+INBAND_SECURITY_ID = Definition("Inband-Security-Id", 299, DataFormat.UNSIGNED32)
+FIRMWARE_REVISION = Definition("Firmware-Revision", 267, DataFormat.UNSIGNED32, mandatory=False)
+RESULT_CODE = Definition("Result-Code", 268, DataFormat.UNSIGNED32)
+ERROR_MESSAGE = Definition("Error-Message", 281, DataFormat.TEXT, mandatory=False)
+FAILED_AVP = Definition("Failed-AVP", 279, DataFormat.OCTETS)  # grouped; its malformed content is not read
+ROUTE_RECORD = Definition("Route-Record", 282, DataFormat.TEXT)
+PROXY_INFO = Definition("Proxy-Info", 284, DataFormat.GROUPED)
+DISCONNECT_CAUSE = Definition("Disconnect-Cause", 273, DataFormat.ENUMERATED)
+TERMINATION_CAUSE = Definition("Termination-Cause", 295, DataFormat.ENUMERATED)
+USER_NAME = Definition("User-Name", 1, DataFormat.TEXT)
+CALLED_STATION_ID = Definition("Called-Station-Id", 30, DataFormat.TEXT)
+CC_REQUEST_TYPE = Definition("CC-Request-Type", 416, DataFormat.ENUMERATED)
+CC_REQUEST_NUMBER = Definition("CC-Request-Number", 415, DataFormat.UNSIGNED32)
+SERVICE_CONTEXT_ID = Definition("Service-Context-Id", 461, DataFormat.TEXT)
+OC_SUPPORTED_FEATURES = Definition("OC-Supported-Features", 621, DataFormat.GROUPED, mandatory=False)
+OC_FEATURE_VECTOR = Definition("OC-Feature-Vector", 622, DataFormat.UNSIGNED64, mandatory=False)
+OC_OLR = Definition("OC-OLR", 623, DataFormat.GROUPED, mandatory=False)
+OC_SEQUENCE_NUMBER = Definition("OC-Sequence-Number", 624, DataFormat.UNSIGNED64, mandatory=False)
+OC_VALIDITY_DURATION = Definition("OC-Validity-Duration", 625, DataFormat.UNSIGNED32, mandatory=False)
+OC_REPORT_TYPE = Definition("OC-Report-Type", 626, DataFormat.ENUMERATED, mandatory=False)
+OC_REDUCTION_PERCENTAGE = Definition("OC-Reduction-Percentage", 627, DataFormat.UNSIGNED32, mandatory=False)
+# 3GPP TS 29.273: how long the originator waits for the answer, in ms.
+MAXIMUM_WAIT_TIME = Definition(
+    "Maximum-Wait-Time", 1537, DataFormat.UNSIGNED32, vendor=10415, mandatory=False
+)
 
 DICTIONARY = {
     (entry.vendor, entry.code): entry for entry in list(globals().values()) if isinstance(entry, Definition)
 }
-# Further AVPs of RFC 8506's CCR and CCA, handed on unread between client and server.
+# Further AVPs of RFC 8506's CCR and CCA, which pass unread between client and server even if mandatory.
 CREDIT_CONTROL_CODES = frozenset({27, 33, 55, 85, 292, 412, 413, 414, *range(417, 463), *range(649, 670)})
 
 
 class AvpError(Exception):
-    """A fault in one AVP or in the whole message: its result code and, if there is one, the AVP at fault."""
+    """A fault in one AVP or in the whole message.
+
+    `result_code` is what the answer has to carry, `failed_avp` the content of its Failed-AVP, empty if none."""
 
-    def __init__(self, result: int, problem: str, failed: bytes = b"") -> None:
+    def __init__(self, result_code: int, problem: str, failed_avp: bytes = b"") -> None:
         super().__init__(problem)
-        self.result, self.failed = result, failed
+        self.result_code, self.failed_avp = result_code, failed_avp
 
 
 class StreamError(Exception):
-    """The stream can't be read any further: the connection has to close."""
+    """The stream can't be split into messages any further: the connection must be closed."""
 
 
 @dataclass(slots=True)
 class Avp:
-    """One AVP, its data not yet read."""
+    """One AVP with undecoded data. `vendor` is 0 without a Vendor-Id, and `encode` sets the V bit from it."""
 
     code: int
     data: bytes
@@ -133,69 +141,71 @@
 
 
 def read_avps(data: bytes) -> list[Avp]:
-    """All AVPs of a message or a group; the first that is malformed is told."""
+    """Splits the data of a message or a grouped AVP into AVPs; raises AvpError at the first malformed one."""
     avps = []
-    at = 0
-    while at < len(data):
-        head = data[at : at + 8]
+    offset = 0
+    while offset < len(data):
+        head = data[offset : offset + 8]
         if len(head) < 8:
             raise AvpError(INVALID_AVP_LENGTH, "AVP header cut off", head.ljust(8, b"\0"))
         code, word = struct.unpack("!II", head)
         flags, length = word >> 24, word & 0xFFFFFF
-        least = 12 if flags & VENDOR else 8
-        if length < least or at + length > len(data):
-            # Guards against lengths that lie: the header alone goes back, with the least data it can have.
+        header_bytes = 12 if flags & VENDOR else 8
+        if length < header_bytes or offset + length > len(data):
+            # Guards against a wrong AVP length: the Failed-AVP holds the AVP's header and as many zero bytes
+            # as its data has at least (RFC 6733, section 7.1.5).
             known = DICTIONARY.get((0, code))
-            empty = Avp(code, bytes(known.kind.value[1]) if known else b"", 0, flags)
+            empty = Avp(code, bytes(known.data_format.value[1]) if known else b"", 0, flags)
             raise AvpError(INVALID_AVP_LENGTH, f"AVP {code}: length {length}", empty.encode())
-        vendor = struct.unpack("!I", data[at + 8 : at + 12])[0] if flags & VENDOR else 0
-        avp = Avp(code, data[at + least : at + length], vendor, flags)
+        vendor = struct.unpack("!I", data[offset + 8 : offset + 12])[0] if flags & VENDOR else 0
+        avp = Avp(code, data[offset + header_bytes : offset + length], vendor, flags)
         if flags & RESERVED_AVP_BITS:
             raise AvpError(INVALID_AVP_BITS, f"AVP {code}: reserved bits", avp.encode())
         avps.append(avp)
-        at += length + (-length % 4)
+        offset += length + (-length % 4)
     return avps
 
 
 def make(definition: Definition, value: Any) -> Avp:
-    """An AVP from a value of its kind; a group is given as its AVPs."""
-    match definition.kind:
-        case Kind.OCTETS:
+    """Builds an AVP from a value of its data format; for a grouped AVP that is its AVPs."""
+    match definition.data_format:
+        case DataFormat.OCTETS:
             data = bytes(value)
-        case Kind.TEXT:
+        case DataFormat.TEXT:
             data = str(value).encode()
-        case Kind.GROUPED:
+        case DataFormat.GROUPED:
             data = b"".join(avp.encode() for avp in value)
         case _:
-            data = PACK[definition.kind].pack(value)
+            data = STRUCT_BY_FORMAT[definition.data_format].pack(value)
     return Avp(definition.code, data, definition.vendor, MANDATORY if definition.mandatory else 0)
 
 
 def value_of(definition: Definition, avp: Avp) -> Any:
-    size = definition.kind.value[1]
+    """Decodes an AVP; the known AVPs inside a group are checked too. Raises AvpError if it is malformed."""
+    size = definition.data_format.value[1]
     if size and len(avp.data) != size:
         raise AvpError(INVALID_AVP_LENGTH, f"{definition.name}: {len(avp.data)} bytes", avp.encode())
-    match definition.kind:
-        case Kind.OCTETS:
+    match definition.data_format:
+        case DataFormat.OCTETS:
             return avp.data
-        case Kind.GROUPED:
+        case DataFormat.GROUPED:
             inner = read_avps(avp.data)
             for part in inner:
                 known = DICTIONARY.get((part.vendor, part.code))
                 if known is not None:
                     value_of(known, part)
             return inner
-        case Kind.TEXT:
+        case DataFormat.TEXT:
             try:
                 return avp.data.decode()
             except UnicodeDecodeError:
                 raise AvpError(INVALID_AVP_VALUE, f"{definition.name}: not UTF-8", avp.encode()) from None
         case _:
-            return PACK[definition.kind].unpack(avp.data)[0]
+            return STRUCT_BY_FORMAT[definition.data_format].unpack(avp.data)[0]
 
 
-def find(avps: Iterable[Avp], definition: Definition) -> Any:
-    """The value of the first such AVP, or None."""
+def find_value(avps: Iterable[Avp], definition: Definition) -> Any:
+    """Returns the value of the first AVP with this definition, or None; raises AvpError if it is malformed."""
     for avp in avps:
         if avp.code == definition.code and avp.vendor == definition.vendor:
             return value_of(definition, avp)
@@ -204,7 +214,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """One Diameter message."""
+    """One Diameter message; `command` is its Command Code, `application` its Application-ID."""
 
     command: int
     application: int
@@ -218,14 +228,15 @@
         return bool(self.flags & REQUEST)
 
     def get(self, definition: Definition) -> Any:
-        return find(self.avps, definition)
+        """Returns the value of the first AVP with this definition, or None."""
+        return find_value(self.avps, definition)
 
     def encode(self) -> bytes:
         body = b"".join(avp.encode() for avp in self.avps)
         return (
             struct.pack(
                 "!IIIII",
-                VERSION << 24 | HEADER + len(body),
+                VERSION << 24 | HEADER_BYTES + len(body),
                 self.flags << 24 | self.command,
                 self.application,
                 self.hop_by_hop,
@@ -235,27 +246,29 @@
         )
 
     def answer(self, result: int, avps: Iterable[Avp]) -> Message:
-        """An answer to this request; the E bit goes with the protocol errors, 3000 to 3999."""
+        """Builds the answer to this request: Session-Id first, Result-Code, `avps`, and the Proxy-Info AVPs.
+
+        The E bit is set for protocol errors, 3000 to 3999."""
         flags = (self.flags & PROXIABLE) | (ERROR if 3000 <= result < 4000 else 0)
-        first = [avp for avp in self.avps if avp.code == SESSION_ID.code and not avp.vendor][:1]
-        info = [avp for avp in self.avps if avp.code == PROXY_INFO.code and not avp.vendor]
+        session_id = [avp for avp in self.avps if avp.code == SESSION_ID.code and not avp.vendor][:1]
+        proxy_info = [avp for avp in self.avps if avp.code == PROXY_INFO.code and not avp.vendor]
         return Message(
             self.command,
             self.application,
             self.hop_by_hop,
             self.end_to_end,
             flags,
-            [*first, make(RESULT_CODE, result), *avps, *info],
+            [*session_id, make(RESULT_CODE, result), *avps, *proxy_info],
         )
 
 
 def read_header(frame: bytes) -> Message:
-    """The header alone: enough to answer a message whose AVPs can't be read."""
-    _, word, application, hop_by_hop, end_to_end = struct.unpack("!IIIII", frame[:HEADER])
+    """Reads the header only: enough to answer a message whose AVPs are malformed."""
+    _, word, application, hop_by_hop, end_to_end = struct.unpack("!IIIII", frame[:HEADER_BYTES])
     return Message(word & 0xFFFFFF, application, hop_by_hop, end_to_end, word >> 24)
 
 
-# What each request must hold once; `once` adds what it may hold once at most.
+# The AVPs that each request must contain.
 REQUIRED: Mapping[int, tuple[Definition, ...]] = {
     CE: (ORIGIN_HOST, ORIGIN_REALM, HOST_IP_ADDRESS, VENDOR_ID, PRODUCT_NAME),
     DW: (ORIGIN_HOST, ORIGIN_REALM),
@@ -272,7 +285,8 @@
     ),
     AS: (SESSION_ID, ORIGIN_HOST, ORIGIN_REALM, DESTINATION_REALM, DESTINATION_HOST, AUTH_APPLICATION_ID),
 }
-SEVERAL = {
+# The known AVPs that may occur more than once; any other must not be repeated.
+REPEATABLE_CODES = {
     entry.code
     for entry in (
         HOST_IP_ADDRESS,
@@ -288,8 +302,10 @@
 }
 
 
-def check(message: Message) -> None:
-    """Whether a request's AVPs are those that its command asks for, in number and in form."""
+def validate_request(message: Message) -> None:
+    """Checks the flags and AVPs of a request: required ones, repeated ones, unknown ones, data formats.
+
+    Raises AvpError with the first fault."""
     if message.flags & (RESERVED_HEADER_BITS | ERROR):
         raise AvpError(INVALID_HDR_BITS, "header bits")
     if message.command not in REQUIRED:
@@ -298,40 +314,45 @@
     for avp in message.avps:
         known = DICTIONARY.get((avp.vendor, avp.code))
         if known is None:
-            carried = message.command == CC and not avp.vendor and avp.code in CREDIT_CONTROL_CODES
-            if avp.flags & MANDATORY and not carried:
+            passed_on = message.command == CC and not avp.vendor and avp.code in CREDIT_CONTROL_CODES
+            if avp.flags & MANDATORY and not passed_on:
                 raise AvpError(AVP_UNSUPPORTED, f"AVP {avp.code}", avp.encode())
             continue
         value_of(known, avp)
-        if known in seen and known.code not in SEVERAL:
+        if known in seen and known.code not in REPEATABLE_CODES:
             raise AvpError(AVP_OCCURS_TOO_MANY_TIMES, known.name, avp.encode())
         seen.add(known)
-    for wanted in REQUIRED[message.command]:
-        if wanted not in seen:
-            example = Avp(wanted.code, bytes(wanted.kind.value[1]), wanted.vendor, MANDATORY)
-            raise AvpError(MISSING_AVP, f"{wanted.name} missing", example.encode())
+    for required in REQUIRED[message.command]:
+        if required not in seen:
+            example = Avp(required.code, bytes(required.data_format.value[1]), required.vendor, MANDATORY)
+            raise AvpError(MISSING_AVP, f"{required.name} missing", example.encode())
+
 
+def validate_answer(message: Message) -> None:
+    """Checks that the known AVPs of an answer can be decoded; required ones are not checked here.
 
-def check_values(message: Message) -> None:
-    """Whether the AVPs of an answer can be read; what it must hold is its reader's concern."""
+    Raises AvpError with the first fault."""
     for avp in message.avps:
         known = DICTIONARY.get((avp.vendor, avp.code))
         if known is not None:
             value_of(known, avp)
 
 
-class Frames:
-    """Cuts a stream into messages. What can't be a Diameter message ends the stream."""
+class MessageSplitter:
+    """Splits a byte stream into messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     @property
     def partial(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether an incomplete message is buffered."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
+        """Returns the messages completed by `data`, undecoded.
+
+        Raises StreamError if the version or the length in a header can't be that of a message."""
         self._buffer += data
         frames = []
         while len(self._buffer) >= 4:
@@ -339,7 +360,7 @@
             version, length = word >> 24, word & 0xFFFFFF
             if version != VERSION:
                 raise StreamError(f"version {version}")
-            if length < HEADER or length % 4 or length > LONGEST:
+            if length < HEADER_BYTES or length % 4 or length > MAX_MESSAGE_BYTES:
                 raise StreamError(f"message length {length}")
             if len(self._buffer) < length:
                 break
--- a/frostport/diameter/front.py
+++ b/frostport/diameter/front.py
@@ -16,19 +16,19 @@
 from frostport.core.slots import Slots
 from frostport.diameter import avp
 from frostport.diameter.avp import Avp, Message, make
-from frostport.diameter.peer import Identity, Node, Peer, PeerConnection
+from frostport.diameter.peer import DiameterNode, Identity, Peer, PeerConnection
 from frostport.interface import Outcome
 
 log = logging.getLogger("frostport.diameter.front")
 
-REMEMBER_MS = 60_000.0  # how long the answer to a set-up is kept for its duplicates
-OWED_MS = 60_000.0  # how long a release is owed to a client that does not hear it
-WAIT_MOST = 10.0  # a set-up may ask for so many times its class's deadline
-DUPLICATES_MOST = 8  # of one set-up, waiting for its answer
-OPEN_MOST = 1_000  # set-ups without an answer, of all clients
+ANSWER_KEEP_MS = 60_000.0  # how long the answer to a set-up is kept for its duplicates
+RELEASE_KEEP_MS = 60_000.0  # how long a release is owed to a client that does not hear it
+MAX_WAIT_FACTOR = 10.0  # a set-up may ask for so many times its class's deadline
+MAX_WAITING_DUPLICATES = 8  # of one set-up, waiting for its answer
+MAX_OPEN_SET_UPS = 1_000  # set-ups without an answer, of all clients
 LOSS_ALGORITHM = 1  # OLR_DEFAULT_ALGO (RFC 7683)
 HOST_REPORT = 0
-OWN = frozenset(
+HOP_AVPS = frozenset(
     (entry.vendor, entry.code)
     for entry in (
         avp.SESSION_ID,
@@ -53,9 +53,9 @@
 )
 
 
-def carried(message: Message) -> bytes:
+def service_avps(message: Message) -> bytes:
     """The AVPs that concern the service: they go on unchanged."""
-    return b"".join(found.encode() for found in message.avps if (found.vendor, found.code) not in OWN)
+    return b"".join(found.encode() for found in message.avps if (found.vendor, found.code) not in HOP_AVPS)
 
 
 @dataclass(slots=True, eq=False)
@@ -64,15 +64,15 @@
 
     client: str
     realm: str
-    heeds_overload: bool
-    waiting: list[tuple[PeerConnection, Message]] = field(default_factory=list)
+    supports_overload_control: bool
+    waiting_requests: list[tuple[PeerConnection, Message]] = field(default_factory=list)
     answer: tuple[int, list[Avp]] | None = None
     ended_by: int = -1  # the End-to-End id of the termination that ended it
-    heard_on: PeerConnection | None = None  # where the answer was given last
-    held: bool = False  # its end is not told yet: a duplicate gets the answer first
+    answered_on: PeerConnection | None = None  # where the answer was given last
+    end_held: bool = False  # its end is not told yet: a duplicate gets the answer first
 
 
-class DiameterFront(Node):
+class DiameterFront(DiameterNode):
     """Takes credit-control requests from client peers, and answers each once."""
 
     def __init__(
@@ -83,23 +83,27 @@
         clients: list[str],
         numbers: dict[str, int],
         interval_ms: float,
-        chance: random.Random,
+        rng: random.Random,
         gate: Gate,
-        left: Callable[[object], bool] = lambda transport: False,
+        closed_by_peer: Callable[[object], bool] = lambda transport: False,
     ) -> None:
         """`left`: whether the other side of a transport has closed, asked of the system."""
-        super().__init__(identity, broker.clock, broker.deadlines, interval_ms, chance)
+        super().__init__(identity, broker.clock, broker.deadlines, interval_ms, rng)
         self.broker, self.lifecycle, self.numbers, self.gate = broker, lifecycle, numbers, gate
-        self.left = left
-        self.by_admission: dict[int, PeerConnection] = {}
+        self.closed_by_peer = closed_by_peer
+        self.connections_by_admission: dict[int, PeerConnection] = {}
         self.sessions: dict[str, Session] = {}
-        self.owed: dict[str, tuple[str, Outcome]] = {}  # releases not yet answered: client ("": any), outcome
-        self.aborts: dict[int, str] = {}  # hop-by-hop ids of releases on their way
-        self.sequence = int(broker.clock.now())
-        self.longest_ms = max((cls.deadline_ms for cls in broker.rules.settings.classes), default=0.0)
-        self.callers: Slots[PeerConnection] = Slots()
+        self.pending_releases: dict[
+            str, tuple[str, Outcome]
+        ] = {}  # releases not yet answered: client ("": any), outcome
+        self.aborts_sent: dict[int, str] = {}  # hop-by-hop ids of releases on their way
+        self.overload_sequence = int(broker.clock.now())
+        self.longest_deadline_ms = max(
+            (cls.deadline_ms for cls in broker.rules.settings.classes), default=0.0
+        )
+        self.accepted_connections: Slots[PeerConnection] = Slots()
         for host in clients:
-            self.add(Peer(host))
+            self.add_peer(Peer(host))
 
     def build(self, address: str) -> PeerConnection | None:
         """A protocol for a new connection that the gate admits; those who make room for it are closed."""
@@ -107,17 +111,20 @@
         self.shed(verdict.shed)
         if verdict.admission is None:
             return None
-        link = self.connection()
-        link.caller, link.admission = self.callers.add(link), verdict.admission
-        self.by_admission[verdict.admission.number] = link
-        return link
+        connection = self.make_connection()
+        connection.accepted_slot, connection.admission = (
+            self.accepted_connections.add(connection),
+            verdict.admission,
+        )
+        self.connections_by_admission[verdict.admission.number] = connection
+        return connection
 
-    def shed(self, seats: Iterable[Admission]) -> None:
+    def shed(self, admissions: Iterable[Admission]) -> None:
         """Closes connections that the gate has given up."""
-        for seat in seats:
-            link = self.by_admission.get(seat.number)
-            if link is not None:
-                link.drop()
+        for admission in admissions:
+            connection = self.connections_by_admission.get(admission.number)
+            if connection is not None:
+                connection.drop()
 
     def empty(self) -> None:
         """A drain leaves peers' connections up: a peer is told of it by its watchdogs, not by a close."""
@@ -136,76 +143,88 @@
     def busy(self) -> bool:
         return False
 
-    def closed(self, link: PeerConnection) -> None:
-        if link.caller >= 0:
-            self.callers.free(link.caller)
-            link.caller = -1
-        if link.admission is not None:
-            del self.by_admission[link.admission.number]
-            self.gate.remove(link.admission)
-            link.admission = None
-        super().closed(link)
+    def on_close(self, connection: PeerConnection) -> None:
+        if connection.accepted_slot >= 0:
+            self.accepted_connections.free(connection.accepted_slot)
+            connection.accepted_slot = -1
+        if connection.admission is not None:
+            del self.connections_by_admission[connection.admission.number]
+            self.gate.remove(connection.admission)
+            connection.admission = None
+        super().on_close(connection)
 
     # From clients
 
-    def request(self, link: PeerConnection, message: Message) -> None:
+    def handle_request(self, connection: PeerConnection, message: Message) -> None:
         if message.command != avp.CC:
-            link.reply(message, avp.COMMAND_UNSUPPORTED, error=f"command {message.command}")
+            connection.reply(message, avp.COMMAND_UNSUPPORTED, error=f"command {message.command}")
             return
         match message.get(avp.CC_REQUEST_TYPE):
             case avp.INITIAL:
-                self.initial(link, message)
+                self.handle_initial(connection, message)
             case avp.TERMINATION:
-                self.terminate(link, message)
+                self.handle_termination(connection, message)
             case avp.UPDATE | avp.EVENT:
-                self._answer(link, message, avp.UNABLE_TO_COMPLY, [], "this request type is not served here")
+                self._send_answer(
+                    connection, message, avp.UNABLE_TO_COMPLY, [], "this request type is not served here"
+                )
             case _:
                 wrong = next(found for found in message.avps if found.code == avp.CC_REQUEST_TYPE.code)
-                link.reply(message, avp.INVALID_AVP_VALUE, error="CC-Request-Type", failed=wrong.encode())
+                connection.reply(
+                    message, avp.INVALID_AVP_VALUE, error="CC-Request-Type", failed=wrong.encode()
+                )
 
-    def initial(self, link: PeerConnection, message: Message) -> None:
+    def handle_initial(self, connection: PeerConnection, message: Message) -> None:
         self.broker.recorder.refresh()
-        name = str(message.get(avp.SESSION_ID))
-        known = self.sessions.get(name)
-        if known is not None and known.client != link.host:
-            self._answer(link, message, avp.UNKNOWN_SESSION_ID, [], "the session is another client's")
+        session_id = str(message.get(avp.SESSION_ID))
+        known = self.sessions.get(session_id)
+        if known is not None and known.client != connection.host:
+            self._send_answer(
+                connection, message, avp.UNKNOWN_SESSION_ID, [], "the session is another client's"
+            )
             return
-        if known is not None and known.answer is None and len(known.waiting) >= DUPLICATES_MOST:
-            self._answer(link, message, avp.TOO_BUSY, [], "too many duplicates")
+        if (
+            known is not None
+            and known.answer is None
+            and len(known.waiting_requests) >= MAX_WAITING_DUPLICATES
+        ):
+            self._send_answer(connection, message, avp.TOO_BUSY, [], "too many duplicates")
             return
         if known is not None and known.answer is None:
-            known.waiting.append((link, message))  # a duplicate: it gets the same answer, with the first
+            known.waiting_requests.append(
+                (connection, message)
+            )  # a duplicate: it gets the same answer, with the first
             return
         if known is not None and known.answer is not None:
-            known.heard_on = link
-            self._answer(link, message, *known.answer)
-            if known.held:
-                self._tell(name, known)
+            known.answered_on = connection
+            self._send_answer(connection, message, *known.answer)
+            if known.end_held:
+                self._end_hold(session_id, known)
             return
         context = next(found for found in message.avps if found.code == avp.SERVICE_CONTEXT_ID.code)
         cls = {cls.name: cls for cls in self.broker.rules.settings.classes}.get(
             str(message.get(avp.SERVICE_CONTEXT_ID)).partition("@")[0]
         )
         if cls is None:
-            link.reply(message, avp.INVALID_AVP_VALUE, error="no such service", failed=context.encode())
+            connection.reply(message, avp.INVALID_AVP_VALUE, error="no such service", failed=context.encode())
             return
         if not self.lifecycle.accepts_requests():
             self.broker.metrics.deferred(cls.name)
-            self._answer(link, message, avp.TOO_BUSY, [], "going down")
+            self._send_answer(connection, message, avp.TOO_BUSY, [], "going down")
             return
-        if self.lifecycle.is_draining() and self._carries_calls(link.host):
+        if self.lifecycle.is_draining() and self._carries_calls(connection.host):
             self.broker.metrics.deferred(cls.name)
-            self._answer(link, message, avp.TOO_BUSY, [], "draining")
+            self._send_answer(connection, message, avp.TOO_BUSY, [], "draining")
             return
-        if self.broker.open_count >= OPEN_MOST:
+        if self.broker.open_count >= MAX_OPEN_SET_UPS:
             self.broker.metrics.deferred(cls.name)
-            self._answer(link, message, avp.TOO_BUSY, [], "too many set-ups open")
+            self._send_answer(connection, message, avp.TOO_BUSY, [], "too many set-ups open")
             return
         wait = message.get(avp.MAXIMUM_WAIT_TIME)
         left = cls.deadline_ms if wait is None else float(wait)
-        if not 0.0 < left <= max(cls.deadline_ms * WAIT_MOST, 1.0):
+        if not 0.0 < left <= max(cls.deadline_ms * MAX_WAIT_FACTOR, 1.0):
             wrong = next(found for found in message.avps if found.code == avp.MAXIMUM_WAIT_TIME.code)
-            link.reply(
+            connection.reply(
                 message,
                 avp.INVALID_AVP_VALUE,
                 error="no time that a caller could wait",
@@ -214,29 +233,29 @@
             return
         called = str(message.get(avp.CALLED_STATION_ID) or "")
         features = message.get(avp.OC_SUPPORTED_FEATURES)
-        vector = avp.find(features, avp.OC_FEATURE_VECTOR) if features is not None else 0
-        self.sessions[name] = Session(
-            link.host,
+        vector = avp.find_value(features, avp.OC_FEATURE_VECTOR) if features is not None else 0
+        self.sessions[session_id] = Session(
+            connection.host,
             str(message.get(avp.ORIGIN_REALM)),
             features is not None and bool((LOSS_ALGORITHM if vector is None else vector) & LOSS_ALGORITHM),
-            [(link, message)],
+            [(connection, message)],
         )
         request = Request(
-            name,
+            session_id,
             cls.name,
             called,
-            carried(message),
+            service_avps(message),
             self.clock.now() + left,
             self,
-            link.slot,
-            link.realm,
-            client=link.host,
+            connection.slot,
+            connection.realm,
+            client=connection.host,
             end_to_end_id=message.end_to_end,
         )
         self.broker.request_arrived(
             request,
             api.CallArrived(
-                name,
+                session_id,
                 cls.name,
                 "-",
                 left,
@@ -245,74 +264,83 @@
             ),
         )
 
-    def terminate(self, link: PeerConnection, message: Message) -> None:
+    def handle_termination(self, connection: PeerConnection, message: Message) -> None:
         self.broker.recorder.refresh()
-        name = str(message.get(avp.SESSION_ID))
-        request = self.broker.find_request(name)
-        known = self.sessions.get(name)
-        if known is not None and known.client != link.host:
-            self._answer(link, message, avp.UNKNOWN_SESSION_ID, [], "the session is another client's")
+        session_id = str(message.get(avp.SESSION_ID))
+        request = self.broker.find_request(session_id)
+        known = self.sessions.get(session_id)
+        if known is not None and known.client != connection.host:
+            self._send_answer(
+                connection, message, avp.UNKNOWN_SESSION_ID, [], "the session is another client's"
+            )
             return
-        self._settle(name)
+        self._settle_release(session_id)
         if request is None:
             if known is not None and known.ended_by == message.end_to_end:
                 # The same termination again (RFC 6733, 5.5.4): its answer was lost, and is given again.
-                self.broker.recorder.barrier(lambda: self._answer(link, message, avp.SUCCESS, []))
+                self.broker.recorder.barrier(lambda: self._send_answer(connection, message, avp.SUCCESS, []))
                 return
             if known is not None and known.answer is None:
-                del self.sessions[name]  # given up: its answer waits for a record, and is no longer owed
-            self.broker.release_unknown(name)
-            self._answer(link, message, avp.UNKNOWN_SESSION_ID, [], "no such session")
+                del self.sessions[
+                    session_id
+                ]  # given up: its answer waits for a record, and is no longer owed
+            self.broker.release_unknown(session_id)
+            self._send_answer(connection, message, avp.UNKNOWN_SESSION_ID, [], "no such session")
             return
         request.ended_by = message.end_to_end
         if known is not None and known.answer is None:
-            del self.sessions[name]  # given up: no answer is owed
+            del self.sessions[session_id]  # given up: no answer is owed
         elif known is not None:
             known.ended_by = message.end_to_end
-            self._forget(name)
+            self._schedule_removal(session_id)
         if request.state is State.OPEN:
             self.broker.gone(request)
         else:
             self.broker.release(request)
-        self.broker.recorder.barrier(lambda: self._answer(link, message, avp.SUCCESS, []))
+        self.broker.recorder.barrier(lambda: self._send_answer(connection, message, avp.SUCCESS, []))
 
-    def answer(self, link: PeerConnection, message: Message) -> None:
+    def handle_answer(self, connection: PeerConnection, message: Message) -> None:
         """A release was heard, whatever the client says of it."""
-        self._settle(self.aborts.pop(message.hop_by_hop, ""))
+        self._settle_release(self.aborts_sent.pop(message.hop_by_hop, ""))
 
-    def _settle(self, call: str) -> None:
+    def _settle_release(self, call: str) -> None:
         """A release is no longer owed, if it was."""
-        if self.owed.pop(call, None) is not None:
+        if self.pending_releases.pop(call, None) is not None:
             self.broker.recorder.clear_owed_end(call)
 
-    def opened(self, link: PeerConnection) -> None:
-        super().opened(link)
-        if link.admission is not None and self.by_admission.get(link.admission.number) is link:
+    def on_open(self, connection: PeerConnection) -> None:
+        super().on_open(connection)
+        if (
+            connection.admission is not None
+            and self.connections_by_admission.get(connection.admission.number) is connection
+        ):
             # A configured peer is a known client, and its connection carries what it is owed: it stays.
-            self.gate.trust(link.admission, self.clock.now())
-            over = self.gate.mark_identified(link.admission, link.realm)
-            self.gate.begin_use(link.admission)
+            self.gate.trust(connection.admission, self.clock.now())
+            over = self.gate.mark_identified(connection.admission, connection.realm)
+            self.gate.begin_use(connection.admission)
             if over is not None:
-                link.disconnect(avp.BUSY)
+                connection.disconnect(avp.BUSY)
                 return
-        for call, (client, outcome) in list(self.owed.items()):
+        for call, (client, outcome) in list(self.pending_releases.items()):
             session = self.sessions.get(call)
-            if client in ("", link.host) and (session is None or not session.held):
-                self._abort(call, client, outcome)
+            if client in ("", connection.host) and (session is None or not session.end_held):
+                self._send_abort(call, client, outcome)
 
-    def lost(self, peer: Peer, link: PeerConnection) -> None:
+    def connection_lost(self, peer: Peer, connection: PeerConnection) -> None:
         """The set-ups that wait on a connection alone go with it."""
-        self.aborts = {
+        self.aborts_sent = {
             hop: call
-            for hop, call in self.aborts.items()
-            if self.owed.get(call, (peer.host,))[0] != peer.host
+            for hop, call in self.aborts_sent.items()
+            if self.pending_releases.get(call, (peer.host,))[0] != peer.host
         }
-        for name, session in list(self.sessions.items()):
+        for session_id, session in list(self.sessions.items()):
             if session.answer is None:
-                session.waiting = [(at, message) for at, message in session.waiting if at is not link]
-                request = self.broker.find_request(name)
-                if not session.waiting and request is not None:
-                    del self.sessions[name]
+                session.waiting_requests = [
+                    (at, message) for at, message in session.waiting_requests if at is not connection
+                ]
+                request = self.broker.find_request(session_id)
+                if not session.waiting_requests and request is not None:
+                    del self.sessions[session_id]
                     self.broker.gone(request)
                     self.broker.release(request)  # where its answer waited for a record
 
@@ -321,76 +349,80 @@
     def is_waiting(self, request: Request) -> bool:
         session = self.sessions.get(request.id)
         # Guards against a close that nobody hears while a peer that does not read is not read from.
-        return session is not None and not all(self.left(link.transport) for link, _ in session.waiting)
+        return session is not None and not all(
+            self.closed_by_peer(connection.transport) for connection, _ in session.waiting_requests
+        )
 
     def call_established(self, request: Request, description: Body) -> None:
         assert isinstance(description, bytes)
-        self._final(request, avp.SUCCESS, avp.read_avps(description))
+        self._send_final(request, avp.SUCCESS, avp.read_avps(description))
 
     def call_refused(self, request: Request, stay_away_ms: float) -> None:
         session = self.sessions.get(request.id)
         advice = []
-        if session is not None and session.heeds_overload and stay_away_ms > 0.0:
-            self.sequence += 1
+        if session is not None and session.supports_overload_control and stay_away_ms > 0.0:
+            self.overload_sequence += 1
             seconds = math.ceil(stay_away_ms / 1000.0)
             advice = [
                 make(avp.OC_SUPPORTED_FEATURES, [make(avp.OC_FEATURE_VECTOR, LOSS_ALGORITHM)]),
                 make(
                     avp.OC_OLR,
                     [
-                        make(avp.OC_SEQUENCE_NUMBER, self.sequence),
+                        make(avp.OC_SEQUENCE_NUMBER, self.overload_sequence),
                         make(avp.OC_REPORT_TYPE, HOST_REPORT),
                         make(avp.OC_REDUCTION_PERCENTAGE, 100),
                         make(avp.OC_VALIDITY_DURATION, seconds),
                     ],
                 ),
             ]
-        self._final(request, avp.TOO_BUSY, advice)
+        self._send_final(request, avp.TOO_BUSY, advice)
 
     def call_failed(self, request: Request) -> None:
-        self._final(request, avp.UNABLE_TO_COMPLY, [])
+        self._send_final(request, avp.UNABLE_TO_COMPLY, [])
 
     def call_ended(
-        self, call: str, place: int, outcome: Outcome, given: RecordedAnswer | None = None
+        self, call: str, connection_id: int, outcome: Outcome, given: RecordedAnswer | None = None
     ) -> None:
         session, now = self.sessions.get(call), self.clock.now()
         client = session.client if session is not None else ""
-        self._forget(call)
-        self._owe(call, client, outcome, now)
-        if session is None or not self._hold(call, session, given, now):
-            self._abort(call, client, outcome)
+        self._schedule_removal(call)
+        self._keep_release(call, client, outcome, now)
+        if session is None or not self._hold_release(call, session, given, now):
+            self._send_abort(call, client, outcome)
 
-    def _hold(self, call: str, session: Session, given: RecordedAnswer | None, now: float) -> bool:
+    def _hold_release(self, call: str, session: Session, given: RecordedAnswer | None, now: float) -> bool:
         """Guards a client that waits for the answer of a repeated set-up against hearing the end first.
 
         Once the end is told without the answer, duplicates hear that the call has failed."""
         peer = self.peers.get(session.client)
         if given is None or (
-            session.heard_on is not None and peer is not None and peer.open() is session.heard_on
+            session.answered_on is not None
+            and peer is not None
+            and peer.open_connection() is session.answered_on
         ):
             return False
-        until = held_until(given.recorded_at_ms, now, self.longest_ms)
-        if session.heard_on is not None or until <= now:  # no restart since the answer, or nobody waits
+        until = held_until(given.recorded_at_ms, now, self.longest_deadline_ms)
+        if session.answered_on is not None or until <= now:  # no restart since the answer, or nobody waits
             session.answer = (avp.UNABLE_TO_COMPLY, [])
             return False
-        session.held = True
-        self.deadlines.set(until, lambda: self._expired(call, session))
+        session.end_held = True
+        self.deadlines.set(until, lambda: self._on_hold_expired(call, session))
         return True
 
-    def _expired(self, call: str, session: Session) -> None:
-        if session.held:
+    def _on_hold_expired(self, call: str, session: Session) -> None:
+        if session.end_held:
             session.answer = (avp.UNABLE_TO_COMPLY, [])
-            self._tell(call, session)
+            self._end_hold(call, session)
 
-    def _tell(self, call: str, session: Session) -> None:
+    def _end_hold(self, call: str, session: Session) -> None:
         """The end that was held back."""
-        session.held = False
-        if (owed := self.owed.get(call)) is not None:
-            self._abort(call, *owed)
+        session.end_held = False
+        if (owed := self.pending_releases.get(call)) is not None:
+            self._send_abort(call, *owed)
 
-    def _owe(self, call: str, client: str, outcome: Outcome, since: float) -> None:
-        self.owed[call] = (client, outcome)
-        self.deadlines.set(since + OWED_MS, lambda: self._no_more(call))
+    def _keep_release(self, call: str, client: str, outcome: Outcome, since: float) -> None:
+        self.pending_releases[call] = (client, outcome)
+        self.deadlines.set(since + RELEASE_KEEP_MS, lambda: self._expire_release(call))
 
     def resume(
         self, owed: Mapping[str, tuple[str, Outcome, float]], given: Callable[[str], RecordedAnswer | None]
@@ -398,9 +430,9 @@
         """Releases owed since before a restart: client, outcome, since when. The sessions are known."""
         now = self.clock.now()
         for call, (client, outcome, since) in owed.items():
-            self._owe(call, client, outcome, since)
+            self._keep_release(call, client, outcome, since)
             if (session := self.sessions.get(call)) is not None:
-                self._hold(call, session, given(call), now)
+                self._hold_release(call, session, given(call), now)
 
     def resume_session(
         self,
@@ -419,37 +451,37 @@
         session.answer = (results.get(answer, avp.UNABLE_TO_COMPLY), avp.read_avps(body))
         self.sessions[call] = session
         if over_at is not None:
-            self.deadlines.set(over_at + REMEMBER_MS, lambda: self._drop(call, session))
+            self.deadlines.set(over_at + ANSWER_KEEP_MS, lambda: self._remove_session(call, session))
 
-    def _no_more(self, call: str) -> None:
+    def _expire_release(self, call: str) -> None:
         """Guards against clients that never answer a release: it is not owed for good."""
-        self._settle(call)
-        self.aborts = {hop: of for hop, of in self.aborts.items() if of != call}
+        self._settle_release(call)
+        self.aborts_sent = {hop: of for hop, of in self.aborts_sent.items() if of != call}
 
-    def _final(self, request: Request, result: int, avps: list[Avp]) -> None:
+    def _send_final(self, request: Request, result: int, avps: list[Avp]) -> None:
         session = self.sessions.get(request.id)
         if session is None:
             return
         session.answer = (result, avps)
-        for link, message in session.waiting:
-            session.heard_on = link
-            self._answer(link, message, result, avps)
-        session.waiting = []
+        for connection, message in session.waiting_requests:
+            session.answered_on = connection
+            self._send_answer(connection, message, result, avps)
+        session.waiting_requests = []
         if result != avp.SUCCESS:
-            self._forget(request.id)
+            self._schedule_removal(request.id)
 
-    def _forget(self, call: str) -> None:
+    def _schedule_removal(self, call: str) -> None:
         """The session's answer is kept a while for duplicates still on their way."""
         session = self.sessions.get(call)
         if session is not None:
-            self.deadlines.set(self.clock.now() + REMEMBER_MS, lambda: self._drop(call, session))
+            self.deadlines.set(self.clock.now() + ANSWER_KEEP_MS, lambda: self._remove_session(call, session))
 
-    def _drop(self, call: str, session: Session) -> None:
+    def _remove_session(self, call: str, session: Session) -> None:
         if self.sessions.get(call) is session:
             del self.sessions[call]
 
-    def _answer(
-        self, link: PeerConnection, message: Message, result: int, avps: list[Avp], error: str = ""
+    def _send_answer(
+        self, connection: PeerConnection, message: Message, result: int, avps: list[Avp], error: str = ""
     ) -> None:
         echoed = [
             found
@@ -457,24 +489,24 @@
             if not found.vendor and found.code in (avp.CC_REQUEST_TYPE.code, avp.CC_REQUEST_NUMBER.code)
         ]
         application = make(avp.AUTH_APPLICATION_ID, avp.CREDIT_CONTROL)
-        link.reply(message, result, [application, *echoed, *avps], error)
+        connection.reply(message, result, [application, *echoed, *avps], error)
 
-    def _abort(self, call: str, client: str, outcome: Outcome) -> None:
+    def _send_abort(self, call: str, client: str, outcome: Outcome) -> None:
         """Tells the client that its call is over; a client that isn't there hears it when it comes back."""
         cause = avp.LOGOUT if outcome is Outcome.OK else avp.ADMINISTRATIVE
         for peer in self.peers.values():
-            link = peer.open()
-            if link is not None and client in ("", peer.host):
-                hop = link.ask(
+            connection = peer.open_connection()
+            if connection is not None and client in ("", peer.host):
+                hop_by_hop = connection.send_request(
                     avp.AS,
                     [
                         make(avp.SESSION_ID, call),
                         *self.identity.avps(),
-                        make(avp.DESTINATION_REALM, link.realm),
+                        make(avp.DESTINATION_REALM, connection.realm),
                         make(avp.DESTINATION_HOST, peer.host),
                         make(avp.AUTH_APPLICATION_ID, avp.CREDIT_CONTROL),
                         make(avp.TERMINATION_CAUSE, cause),
                     ],
                     avp.CREDIT_CONTROL,
                 )
-                self.aborts[hop] = call
+                self.aborts_sent[hop_by_hop] = call
--- a/frostport/diameter/peer.py
+++ b/frostport/diameter/peer.py
@@ -1,4 +1,8 @@
-"""The peer state machine (RFC 6733, section 5): capabilities, watchdogs, goodbyes, hop-by-hop ids."""
+"""The peer state machine (RFC 6733, section 5), shared by the front and the route.
+
+A connection exchanges capabilities, answers watchdogs and disconnects by itself; messages of the application
+go to its handler.
+"""
 
 from __future__ import annotations
 
@@ -21,44 +25,44 @@
 from frostport.core.rate_limited_log import RateLimitedLog
 from frostport.core.slots import Slots
 from frostport.diameter import avp
-from frostport.diameter.avp import Avp, AvpError, Frames, Message, StreamError, make
-from frostport.diameter.watchdog import Watch, Watchdog
+from frostport.diameter.avp import Avp, AvpError, Message, MessageSplitter, StreamError, make
+from frostport.diameter.watchdog import Watchdog, WatchdogState
 
 log = logging.getLogger("frostport.diameter")
 
-EXCHANGE_MS = 10_000.0  # a capabilities exchange that takes longer is given up
-CALLER_MS = 2_000.0  # the same where the peer calls: who connects has something to say
-HALF_MESSAGE_MS = 2_000.0  # a message that stops short for so long ends its connection
-STUCK_MS = 2_000.0  # so does a peer that does not read what is sent to it
-LAST_WORDS_MS = 1_000.0  # for what was said before a close to leave
-MESSAGES_A_TURN = 50
-ASKED_MOST = 1_000  # requests on one connection without an answer, the oldest of which are forgotten
-RELAY = 0xFFFFFFFF
-GOODBYE_MS = 1_000.0  # how long a disconnect waits for its answer
-
+EXCHANGE_TIMEOUT_MS = 10_000.0  # of a connection opened here: to connect, and for the CEA
+CER_TIMEOUT_MS = 2_000.0  # of an accepted connection; its peer should send the CER at once
+PARTIAL_MESSAGE_TIMEOUT_MS = 2_000.0  # for a message that has begun to be completed
+WRITE_STALL_TIMEOUT_MS = 2_000.0  # for a peer to read what was written to it
+CLOSE_TIMEOUT_MS = 1_000.0  # for buffered output to be sent before a connection is aborted
+MESSAGES_PER_TURN = 50
+MAX_UNANSWERED_REQUESTS = 1_000  # per connection; beyond that the oldest are forgotten
+RELAY_APPLICATION = 0xFFFFFFFF  # the Application Id of relay agents, which take any application
+DPA_TIMEOUT_MS = 1_000.0  # for the answer to a Disconnect-Peer-Request
 
 complaints = RateLimitedLog(log)
 
 
-def cancelled(deadline: Deadline | None) -> Deadline | None:
+def cancel_if_set(deadline: Deadline | None) -> Deadline | None:
+    """Cancels a deadline, if there is one; returns None, to be assigned in its place."""
     if deadline is not None:
         deadline.cancel()
     return None
 
 
-class Link(Enum):
+class ConnectionState(Enum):
     """The states of one connection to a peer."""
 
-    WAIT_CER = "wait-cer"  # the peer called us
-    WAIT_CEA = "wait-cea"  # we called the peer
-    OPEN = "open"
-    CLOSING = "closing"  # a disconnect is under way
+    WAIT_CER = "wait-cer"  # accepted: the peer has to send its CER
+    WAIT_CEA = "wait-cea"  # opened here: the CER is sent
+    OPEN = "open"  # capabilities are exchanged
+    CLOSING = "closing"  # a Disconnect-Peer-Request is sent
     CLOSED = "closed"
 
 
 @dataclass(slots=True)
 class Identity:
-    """Who this node is to its peers."""
+    """This node's identity towards its peers: Origin-Host, Origin-Realm, Origin-State-Id, Host-IP-Address."""
 
     host: str
     realm: str
@@ -66,9 +70,11 @@
     address: str = "127.0.0.1"
 
     def avps(self) -> list[Avp]:
+        """Origin-Host and Origin-Realm, which every message has."""
         return [make(avp.ORIGIN_HOST, self.host), make(avp.ORIGIN_REALM, self.realm)]
 
-    def capabilities(self) -> list[Avp]:
+    def capability_avps(self) -> list[Avp]:
+        """The AVPs of a CER or CEA, except Result-Code."""
         packed = ipaddress.ip_address(self.address).packed
         family = struct.pack("!H", 1 if len(packed) == 4 else 2)
         return [
@@ -81,119 +87,127 @@
         ]
 
 
-class Owner:
-    """What the front or the route hears of a connection; by default nothing."""
+class ConnectionHandler:
+    """The events of a connection, for the front and the route; by default they are ignored."""
 
-    def may_open(self, host: str) -> bool:
+    def is_known_peer(self, host: str) -> bool:
         """Whether a peer of this name may connect here."""
         return True
 
-    def opened(self, link: PeerConnection) -> None:
-        """The capabilities are exchanged."""
+    def on_open(self, connection: PeerConnection) -> None:
+        """Called when capabilities are exchanged."""
 
-    def request(self, link: PeerConnection, message: Message) -> None:
-        """A request of the application, its AVPs checked."""
+    def handle_request(self, connection: PeerConnection, message: Message) -> None:
+        """Handles a credit-control request, whose AVPs have been validated."""
 
-    def answer(self, link: PeerConnection, message: Message) -> None:
-        """An answer of the application."""
+    def handle_answer(self, connection: PeerConnection, message: Message) -> None:
+        """Handles an answer of the application to a request sent on this connection."""
 
-    def watchdog(self, link: PeerConnection, answered: bool) -> None:
-        """Something was heard; `answered` where it answers a watchdog."""
+    def on_message(self, connection: PeerConnection, is_watchdog_answer: bool) -> None:
+        """Called for each request, and for each answer except CEA and DPA."""
 
-    def leaving(self, link: PeerConnection, cause: int) -> None:
-        """The peer asked to disconnect."""
+    def on_disconnect_request(self, connection: PeerConnection, cause: int) -> None:
+        """Called for a Disconnect-Peer-Request; `cause` is its Disconnect-Cause."""
 
-    def closed(self, link: PeerConnection) -> None:
-        """The connection is gone."""
+    def on_close(self, connection: PeerConnection) -> None:
+        """Called once when the connection is closed."""
 
 
 class PeerConnection(protocol.Protocol):
-    """One connection to a peer, whichever side opened it."""
+    """One connection to a peer, whichever side opened it.
+
+    Until capabilities are exchanged, `host` is the peer that was dialed or "?"."""
 
     transport: Any = None
 
     def __init__(
         self,
         identity: Identity,
-        owner: Owner,
+        handler: ConnectionHandler,
         clock: Clock,
         deadlines: Deadlines,
-        called: str,
-        first_id: Callable[[], int],
+        dialed_host: str,
+        next_id: Callable[[], int],
     ) -> None:
-        self.identity, self.owner, self.clock, self.deadlines = identity, owner, clock, deadlines
-        self.called, self.next_id = called, first_id  # the peer that was called, "" where it calls
-        self.state = Link.CLOSED
-        self.host, self.realm = called or "?", ""
-        self.state_id: int | None = None
-        self.process_seen_ms = 0.0  # since when the peer's process is known to go on, ms
-        self.slot = self.caller = -1
-        self.admission: Admission | None = None  # where the peer calls
-        self.released: Callable[[], None] = lambda: None  # its descriptor is free again
-        self._frames = Frames()
-        self._waiting: deque[bytes] = deque()  # messages read and not yet handled
-        self._limit: Deadline | None = None  # for the exchange of capabilities, or a goodbye
-        self._half: Deadline | None = None
-        self._stuck: Deadline | None = None
-        self._again: Deadline | None = None
-        self._deaf = False  # it is being closed: nothing more is heard
-        self._asked: dict[int, None] = {}  # hop-by-hop ids of requests not yet answered
-
-    # The connection
+        self.identity, self.handler, self.clock, self.deadlines = identity, handler, clock, deadlines
+        self.dialed_host, self.next_id = dialed_host, next_id  # "" on an accepted connection
+        self.state = ConnectionState.CLOSED
+        self.host, self.realm = dialed_host or "?", ""
+        self.state_id: int | None = None  # the peer's Origin-State-Id
+        self.process_since_ms = 0.0  # the peer's process is known to be the same since then, ms
+        self.slot = self.accepted_slot = -1  # among open connections, among accepted ones; -1: none
+        self.admission: Admission | None = None  # of an accepted connection
+        self.released: Callable[[], None] = lambda: None  # called when its descriptor is free
+        self._splitter = MessageSplitter()
+        self._pending_frames: deque[bytes] = deque()  # messages read and not handled yet
+        self._timeout: Deadline | None = None  # of the capabilities exchange, a disconnect or a close
+        self._partial_timeout: Deadline | None = None
+        self._write_stall_timeout: Deadline | None = None
+        self._next_turn: Deadline | None = None
+        self._ignore_input = False  # closed, or closed once buffered output is sent
+        self._unanswered: dict[int, None] = {}  # Hop-by-Hop Identifiers of requests sent, oldest first
+
+    # Twisted's protocol and producer methods, and the ways to close
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         if interfaces.ITCPTransport.providedBy(self.transport):
             self.transport.setTcpNoDelay(True)
-        self.state = Link.WAIT_CEA if self.called else Link.WAIT_CER
+        self.state = ConnectionState.WAIT_CEA if self.dialed_host else ConnectionState.WAIT_CER
         self.transport.registerProducer(self, True)
-        # Guards against connections that come by hundreds and say nothing.
-        limit = EXCHANGE_MS if self.called else CALLER_MS
-        self._limit = self.deadlines.set(self.clock.now() + limit, self.drop)
-        if self.called:
-            self.ask(avp.CE, self.identity.capabilities())
+        # Guards against hundreds of connections that send nothing.
+        limit = EXCHANGE_TIMEOUT_MS if self.dialed_host else CER_TIMEOUT_MS
+        self._timeout = self.deadlines.set(self.clock.now() + limit, self.drop)
+        if self.dialed_host:
+            self.send_request(avp.CE, self.identity.capability_avps())
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self._deaf:
+        if self._ignore_input:
             return
         try:
-            self._waiting.extend(self._frames.feed(data))
+            self._pending_frames.extend(self._splitter.feed(data))
         except StreamError as problem:
-            complaints.warn(self.clock.now(), self.host, f"closed: {problem}")
+            complaints.warn(self.clock.now(), self.host, f"closing the connection: {problem}")
             self.drop()
             return
-        self._work()
-        if not self._frames.partial:
-            self._half = cancelled(self._half)
-        elif self._half is None and not self._deaf:
-            self._half = self.deadlines.set(self.clock.now() + HALF_MESSAGE_MS, self.drop)
-
-    def _work(self) -> None:
-        """Handles some messages; then the others' turn comes, and nothing more is read until the next."""
-        self._again = None
-        for _ in range(MESSAGES_A_TURN):
-            if self._deaf or not self._waiting:
+        self._handle_frames()
+        if not self._splitter.partial:
+            self._partial_timeout = cancel_if_set(self._partial_timeout)
+        elif self._partial_timeout is None and not self._ignore_input:
+            self._partial_timeout = self.deadlines.set(
+                self.clock.now() + PARTIAL_MESSAGE_TIMEOUT_MS, self.drop
+            )
+
+    def _handle_frames(self) -> None:
+        """Handles up to MESSAGES_PER_TURN messages, then yields to other connections.
+
+        Reading pauses until all messages that were read are handled."""
+        self._next_turn = None
+        for _ in range(MESSAGES_PER_TURN):
+            if self._ignore_input or not self._pending_frames:
                 break
             try:
-                self._frame(self._waiting.popleft())
-            except Exception:  # a fault in one message costs that message, not the agent
-                log.exception("%s: message failed", self.host)
-        if self._deaf:
+                self._handle_frame(self._pending_frames.popleft())
+            except Exception:  # affects this message only
+                log.exception("%s: exception while handling a message", self.host)
+        if self._ignore_input:
             return
-        if self._waiting:
+        if self._pending_frames:
             self.transport.pauseProducing()
-            self._again = self.deadlines.set(self.clock.now(), self._work)
-        elif self._stuck is None:
+            self._next_turn = self.deadlines.set(self.clock.now(), self._handle_frames)
+        elif self._write_stall_timeout is None:
             self.transport.resumeProducing()
 
     def pauseProducing(self) -> None:  # noqa: N802 (Twisted's name)
-        """Guards against a peer that asks and does not read: no more is read from it until it does."""
-        if not self._deaf and self._stuck is None:
+        """Guards against a peer that sends requests and does not read: nothing is read from it until it does."""
+        if not self._ignore_input and self._write_stall_timeout is None:
             self.transport.pauseProducing()
-            self._stuck = self.deadlines.set(self.clock.now() + STUCK_MS, self.drop)
+            self._write_stall_timeout = self.deadlines.set(
+                self.clock.now() + WRITE_STALL_TIMEOUT_MS, self.drop
+            )
 
     def resumeProducing(self) -> None:  # noqa: N802
-        self._stuck = cancelled(self._stuck)
-        if not self._deaf and not self._waiting:
+        self._write_stall_timeout = cancel_if_set(self._write_stall_timeout)
+        if not self._ignore_input and not self._pending_frames:
             self.transport.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
@@ -201,52 +215,52 @@
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
         self.released()
-        self._end()
+        self._on_closed()
 
-    def _end(self) -> None:
-        self._deaf = True
-        for deadline in (self._limit, self._half, self._stuck, self._again):
-            cancelled(deadline)
-        if self.state is not Link.CLOSED:
-            self.state = Link.CLOSED
-            self.owner.closed(self)
+    def _on_closed(self) -> None:
+        self._ignore_input = True
+        for deadline in (self._timeout, self._partial_timeout, self._write_stall_timeout, self._next_turn):
+            cancel_if_set(deadline)
+        if self.state is not ConnectionState.CLOSED:
+            self.state = ConnectionState.CLOSED
+            self.handler.on_close(self)
 
     def drop(self) -> None:
-        """Closes at once; what is open on it ends with it."""
-        if self.state is not Link.CLOSED:
+        """Aborts the connection; messages not handled yet are discarded."""
+        if self.state is not ConnectionState.CLOSED:
             self.transport.abortConnection()
-            self._end()
+            self._on_closed()
 
-    def hang_up(self) -> None:
-        """Closes once what was said has left."""
-        if not self._deaf:
-            self._deaf = True
+    def close_gracefully(self) -> None:
+        """Closes once the buffered output is sent; input is ignored meanwhile."""
+        if not self._ignore_input:
+            self._ignore_input = True
             self.transport.unregisterProducer()
             self.transport.loseConnection()
-            cancelled(self._limit)
-            self._limit = self.deadlines.set(self.clock.now() + LAST_WORDS_MS, self.drop)
+            cancel_if_set(self._timeout)
+            self._timeout = self.deadlines.set(self.clock.now() + CLOSE_TIMEOUT_MS, self.drop)
 
     def disconnect(self, cause: int = avp.REBOOTING) -> None:
-        """Says goodbye; the peer's answer, or its silence, closes the connection."""
-        if self.state is Link.OPEN:
-            self.state = Link.CLOSING
-            self.ask(avp.DP, [*self.identity.avps(), make(avp.DISCONNECT_CAUSE, cause)])
-            self._limit = self.deadlines.set(self.clock.now() + GOODBYE_MS, self.drop)
+        """Sends a Disconnect-Peer-Request; the connection is closed by its answer, or after DPA_TIMEOUT_MS."""
+        if self.state is ConnectionState.OPEN:
+            self.state = ConnectionState.CLOSING
+            self.send_request(avp.DP, [*self.identity.avps(), make(avp.DISCONNECT_CAUSE, cause)])
+            self._timeout = self.deadlines.set(self.clock.now() + DPA_TIMEOUT_MS, self.drop)
 
     # Sending
 
-    def ask(self, command: int, avps: list[Avp], application: int = avp.BASE) -> int:
-        """Sends a request; returns its hop-by-hop id."""
-        hop = self.next_id()
+    def send_request(self, command: int, avps: list[Avp], application: int = avp.BASE) -> int:
+        """Sends a request; returns its Hop-by-Hop Identifier, which is also its End-to-End Identifier."""
+        hop_by_hop = self.next_id()
         flags = avp.REQUEST | (avp.PROXIABLE if application else 0)
-        self._asked[hop] = None
-        while len(self._asked) > ASKED_MOST:  # guards against a peer that never answers
-            del self._asked[next(iter(self._asked))]
-        self.say(Message(command, application, hop, hop, flags, avps))
-        return hop
-
-    def say(self, message: Message) -> None:
-        if self.state is not Link.CLOSED:
+        self._unanswered[hop_by_hop] = None
+        while len(self._unanswered) > MAX_UNANSWERED_REQUESTS:  # guards against a peer that never answers
+            del self._unanswered[next(iter(self._unanswered))]
+        self.send_message(Message(command, application, hop_by_hop, hop_by_hop, flags, avps))
+        return hop_by_hop
+
+    def send_message(self, message: Message) -> None:
+        if self.state is not ConnectionState.CLOSED:
             self.transport.write(message.encode())
 
     def reply(
@@ -257,152 +271,162 @@
         error: str = "",
         failed: bytes = b"",
     ) -> None:
+        """Answers a request; `error` is the Error-Message, `failed` the content of the Failed-AVP."""
         rest = [*self.identity.avps(), *(avps or [])]
         if error:
             rest.append(make(avp.ERROR_MESSAGE, error))
         if failed:
             rest.append(Avp(avp.FAILED_AVP.code, failed, 0, avp.MANDATORY))
-        self.say(request.answer(result, rest))
+        self.send_message(request.answer(result, rest))
 
-    # Hearing
+    # Receiving
 
-    def _frame(self, frame: bytes) -> None:
+    def _handle_frame(self, frame: bytes) -> None:
         message = avp.read_header(frame)
         try:
-            message.avps = avp.read_avps(frame[avp.HEADER :])
+            message.avps = avp.read_avps(frame[avp.HEADER_BYTES :])
             if message.is_request:
-                avp.check(message)
+                avp.validate_request(message)
             else:
-                avp.check_values(message)
+                avp.validate_answer(message)
         except AvpError as problem:
             complaints.warn(self.clock.now(), self.host, f"command {message.command}: {problem}")
             if not message.is_request:
-                # Guards against waiting for an answer that can't be read: all that is open here ends at once.
+                # Guards against waiting for the deadline of a request whose answer can't be read: all requests
+                # open on this connection fail at once.
                 self.drop()
                 return
-            if problem.result != avp.INVALID_HDR_BITS or not message.flags & avp.ERROR:
-                message.avps = readable_session(frame)
-                self.reply(message, problem.result, error=str(problem), failed=problem.failed)
-            if self.state is Link.WAIT_CER:
-                self.hang_up()
+            if problem.result_code != avp.INVALID_HDR_BITS or not message.flags & avp.ERROR:
+                message.avps = read_session_id(frame)
+                self.reply(message, problem.result_code, error=str(problem), failed=problem.failed_avp)
+            if self.state is ConnectionState.WAIT_CER:
+                self.close_gracefully()
             return
         if not message.is_request:
-            self._answer(message)
+            self._handle_answer(message)
         elif message.command == avp.CE:
-            self._capabilities(message)
-        elif self.state is Link.WAIT_CER or self.state is Link.WAIT_CEA:
-            log.warning("%s: command %d before capabilities: closed", self.host, message.command)
+            self._handle_cer(message)
+        elif self.state is ConnectionState.WAIT_CER or self.state is ConnectionState.WAIT_CEA:
+            log.warning(
+                "%s: command %d before the capabilities exchange: closing the connection",
+                self.host,
+                message.command,
+            )
             self.drop()
         else:
-            self._request(message)
+            self._handle_request(message)
 
-    def _request(self, message: Message) -> None:
-        self.owner.watchdog(self, False)
+    def _handle_request(self, message: Message) -> None:
+        self.handler.on_message(self, False)
         if message.command == avp.DW:
-            self._state_id(message)
+            self._check_state_id(message)
             self.reply(message, avp.SUCCESS, [make(avp.ORIGIN_STATE_ID, self.identity.state_id)])
         elif message.command == avp.DP:
             self.reply(message, avp.SUCCESS)
-            self.owner.leaving(self, message.get(avp.DISCONNECT_CAUSE))
+            self.handler.on_disconnect_request(self, message.get(avp.DISCONNECT_CAUSE))
         elif message.application != avp.CREDIT_CONTROL:
             self.reply(message, avp.APPLICATION_UNSUPPORTED, error=f"application {message.application}")
         else:
-            self.owner.request(self, message)
+            self.handler.handle_request(self, message)
 
-    def _answer(self, message: Message) -> None:
-        if message.hop_by_hop not in self._asked:
-            complaints.warn(self.clock.now(), self.host, "answer to nothing asked dropped")
+    def _handle_answer(self, message: Message) -> None:
+        if message.hop_by_hop not in self._unanswered:
+            complaints.warn(self.clock.now(), self.host, "answer without a request dropped")
             return
-        del self._asked[message.hop_by_hop]
+        del self._unanswered[message.hop_by_hop]
         if message.command == avp.CE:
-            self._capabilities_answer(message)
+            self._handle_cea(message)
             return
         if message.command == avp.DP:
-            self.hang_up()
+            self.close_gracefully()
             return
         if message.command == avp.DW:
-            self._state_id(message)
-        self.owner.watchdog(self, message.command == avp.DW)
+            self._check_state_id(message)
+        self.handler.on_message(self, message.command == avp.DW)
         if message.command not in (avp.DW,):
-            self.owner.answer(self, message)
+            self.handler.handle_answer(self, message)
 
-    def _state_id(self, message: Message) -> None:
+    def _check_state_id(self, message: Message) -> None:
         state_id = message.get(avp.ORIGIN_STATE_ID)
         if state_id is not None and self.state_id is not None and state_id > self.state_id:
-            # Guards against a peer that restarted behind an open connection: its sessions are gone.
-            log.warning("%s: new Origin-State-Id: connection dropped", self.host)
+            # Guards against a peer that restarted behind an open connection: its sessions are lost.
+            log.warning("%s: new Origin-State-Id: dropping the connection", self.host)
             self.drop()
 
-    def _capabilities(self, message: Message) -> None:
+    def _handle_cer(self, message: Message) -> None:
         host = str(message.get(avp.ORIGIN_HOST))
         result, error = avp.SUCCESS, ""
-        if self.state is not Link.WAIT_CER:
+        if self.state is not ConnectionState.WAIT_CER:
             result, error = avp.UNABLE_TO_COMPLY, "capabilities are exchanged already"
-        elif not self.owner.may_open(host):
+        elif not self.handler.is_known_peer(host):
             result, error = avp.UNKNOWN_PEER, f"unknown peer {host}"
-        elif not common(message):
+        elif not has_common_application(message):
             result, error = avp.NO_COMMON_APPLICATION, "credit control is spoken here"
-        self.reply(message, result, self.identity.capabilities()[2:], error)
+        self.reply(message, result, self.identity.capability_avps()[2:], error)
         if result == avp.SUCCESS:
-            self._open(message)
-        elif self.state is Link.WAIT_CER:
+            self._enter_open(message)
+        elif self.state is ConnectionState.WAIT_CER:
             complaints.warn(self.clock.now(), host, error)
-            self.hang_up()
+            self.close_gracefully()
 
-    def _capabilities_answer(self, message: Message) -> None:
+    def _handle_cea(self, message: Message) -> None:
         result, host = message.get(avp.RESULT_CODE), str(message.get(avp.ORIGIN_HOST))
-        if self.state is not Link.WAIT_CEA:
+        if self.state is not ConnectionState.WAIT_CEA:
             return
-        if result != avp.SUCCESS or host != self.called or not common(message):
-            log.warning("%s: capabilities refused: result %s", host, result)
+        if result != avp.SUCCESS or host != self.dialed_host or not has_common_application(message):
+            log.warning("%s: capabilities exchange failed: result %s", host, result)
             self.drop()
         else:
-            self._open(message)
+            self._enter_open(message)
 
-    def _open(self, message: Message) -> None:
-        if self._limit is not None:
-            self._limit.cancel()
+    def _enter_open(self, message: Message) -> None:
+        if self._timeout is not None:
+            self._timeout.cancel()
         self.host, self.realm = str(message.get(avp.ORIGIN_HOST)), str(message.get(avp.ORIGIN_REALM) or "")
         self.state_id = message.get(avp.ORIGIN_STATE_ID)
-        self.state = Link.OPEN
-        self.owner.opened(self)
+        self.state = ConnectionState.OPEN
+        self.handler.on_open(self)
 
 
-def common(message: Message) -> bool:
-    """Whether a peer's capabilities name credit control, or the relay that takes any application."""
+def has_common_application(message: Message) -> bool:
+    """Whether a peer's capabilities name credit control, or the relay application."""
     applications = []
     for found in message.avps:
         known = avp.DICTIONARY.get((found.vendor, found.code))
         if known in (avp.AUTH_APPLICATION_ID, avp.ACCT_APPLICATION_ID):
             applications.append(avp.value_of(known, found))
         elif known is avp.VENDOR_SPECIFIC_APPLICATION_ID:
-            applications.append(avp.find(avp.read_avps(found.data), avp.AUTH_APPLICATION_ID))
-    return avp.CREDIT_CONTROL in applications or RELAY in applications
+            applications.append(avp.find_value(avp.read_avps(found.data), avp.AUTH_APPLICATION_ID))
+    return avp.CREDIT_CONTROL in applications or RELAY_APPLICATION in applications
 
 
-def readable_session(frame: bytes) -> list[Avp]:
-    """The Session-Id of a message that can't be read whole: it comes first (RFC 6733, section 8.8)."""
-    code, word = struct.unpack("!II", frame[avp.HEADER : avp.HEADER + 8].ljust(8, b"\0"))
+def read_session_id(frame: bytes) -> list[Avp]:
+    """The Session-Id AVP of a malformed message, if readable; it comes first (RFC 6733, section 8.8)."""
+    code, word = struct.unpack("!II", frame[avp.HEADER_BYTES : avp.HEADER_BYTES + 8].ljust(8, b"\0"))
     length = word & 0xFFFFFF
-    if code != avp.SESSION_ID.code or not 8 < length <= len(frame) - avp.HEADER:
+    if code != avp.SESSION_ID.code or not 8 < length <= len(frame) - avp.HEADER_BYTES:
         return []
-    return [Avp(code, frame[avp.HEADER + 8 : avp.HEADER + length], 0, word >> 24)]
+    return [Avp(code, frame[avp.HEADER_BYTES + 8 : avp.HEADER_BYTES + length], 0, word >> 24)]
 
 
 class Peer:
-    """One peer by its name: its watchdog outlives its connections."""
+    """A configured peer. Its watchdog spans all its connections."""
 
     def __init__(self, host: str) -> None:
         self.host = host
-        self.link: PeerConnection | None = None
+        self.connection: PeerConnection | None = None
         self.watchdog: Watchdog
 
-    def open(self) -> PeerConnection | None:
-        return self.link if self.link is not None and self.link.state is Link.OPEN else None
+    def open_connection(self) -> PeerConnection | None:
+        return (
+            self.connection
+            if self.connection is not None and self.connection.state is ConnectionState.OPEN
+            else None
+        )
 
 
-class Node(Owner):
-    """What the front and the route share: peers by name, their connections in slots, their watchdogs."""
+class DiameterNode(ConnectionHandler):
+    """The base of the front and the route: the peers by host, their connections and their watchdogs."""
 
     def __init__(
         self,
@@ -410,78 +434,82 @@
         clock: Clock,
         deadlines: Deadlines,
         interval_ms: float,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.identity, self.clock, self.deadlines = identity, clock, deadlines
-        self.interval_ms, self.chance = interval_ms, chance
-        self.links: Slots[PeerConnection] = Slots()
+        self.interval_ms, self.rng = interval_ms, rng
+        self.connections: Slots[PeerConnection] = Slots()
         self.peers: dict[str, Peer] = {}
-        self._ids = chance.getrandbits(32)
+        self._last_id = rng.getrandbits(32)
 
     def next_id(self) -> int:
-        self._ids = (self._ids + 1) & 0xFFFFFFFF
-        return self._ids
+        """Returns a new Hop-by-Hop and End-to-End Identifier."""
+        self._last_id = (self._last_id + 1) & 0xFFFFFFFF
+        return self._last_id
+
+    def add_peer(self, peer: Peer) -> None:
+        """Adds a peer and creates its watchdog."""
 
-    def add(self, peer: Peer) -> None:
-        def ask() -> None:
-            if peer.link is not None:
-                peer.link.ask(
+        def send_watchdog_request() -> None:
+            if peer.connection is not None:
+                peer.connection.send_request(
                     avp.DW, [*self.identity.avps(), make(avp.ORIGIN_STATE_ID, self.identity.state_id)]
                 )
 
-        def close() -> None:
-            if peer.link is not None:
-                peer.link.drop()
+        def drop_connection() -> None:
+            if peer.connection is not None:
+                peer.connection.drop()
 
         peer.watchdog = Watchdog(
             self.clock,
             self.deadlines,
             self.interval_ms,
-            self.chance,
-            ask,
-            close,
-            lambda before, after: self.watched(peer, before, after),
+            self.rng,
+            send_watchdog_request,
+            drop_connection,
+            lambda before, after: self.on_watchdog_change(peer, before, after),
         )
         self.peers[peer.host] = peer
 
-    def connection(self, called: str = "") -> PeerConnection:
-        return PeerConnection(self.identity, self, self.clock, self.deadlines, called, self.next_id)
+    def make_connection(self, dialed_host: str = "") -> PeerConnection:
+        return PeerConnection(self.identity, self, self.clock, self.deadlines, dialed_host, self.next_id)
 
-    def watched(self, peer: Peer, before: Watch, after: Watch) -> None:
+    def on_watchdog_change(self, peer: Peer, before: WatchdogState, after: WatchdogState) -> None:
+        """Called when the state of a peer's watchdog changes."""
         log.info("%s: watchdog %s -> %s", peer.host, before.value, after.value)
 
-    def may_open(self, host: str) -> bool:
+    def is_known_peer(self, host: str) -> bool:
         return host in self.peers
 
-    def opened(self, link: PeerConnection) -> None:
-        peer = self.peers[link.host]
-        if peer.link is not None:
-            # Guards against a peer that calls again behind a connection that only looks open.
-            old = peer.link
-            self.closed(old)
+    def on_open(self, connection: PeerConnection) -> None:
+        peer = self.peers[connection.host]
+        if peer.connection is not None:
+            # Guards against a half-open connection of a peer that has connected again.
+            old = peer.connection
+            self.on_close(old)
             old.drop()
-        link.slot = self.links.add(link)
-        peer.link = link
-        peer.watchdog.up()
-
-    def watchdog(self, link: PeerConnection, answered: bool) -> None:
-        peer = self.peers.get(link.host)
-        if peer is not None and peer.link is link:
-            peer.watchdog.heard(answered)
-
-    def closed(self, link: PeerConnection) -> None:
-        peer = self.peers.get(link.host)
-        if peer is None or peer.link is not link:
+        connection.slot = self.connections.add(connection)
+        peer.connection = connection
+        peer.watchdog.connection_up()
+
+    def on_message(self, connection: PeerConnection, is_watchdog_answer: bool) -> None:
+        peer = self.peers.get(connection.host)
+        if peer is not None and peer.connection is connection:
+            peer.watchdog.on_message(is_watchdog_answer)
+
+    def on_close(self, connection: PeerConnection) -> None:
+        peer = self.peers.get(connection.host)
+        if peer is None or peer.connection is not connection:
             return
-        peer.link = None
-        self.lost(peer, link)
-        self.links.free(link.slot)
-        peer.watchdog.down()
+        peer.connection = None
+        self.connection_lost(peer, connection)
+        self.connections.free(connection.slot)
+        peer.watchdog.connection_down()
 
-    def lost(self, peer: Peer, link: PeerConnection) -> None:
-        """A peer's connection is gone."""
+    def connection_lost(self, peer: Peer, connection: PeerConnection) -> None:
+        """Called when the open connection of a peer is closed."""
 
     def disconnect(self) -> None:
-        """The program ends: every peer is told."""
-        for link in self.links:
-            link.disconnect()
+        """Sends every peer a Disconnect-Peer-Request, at the end of the program."""
+        for connection in self.connections:
+            connection.disconnect()
--- a/frostport/diameter/route.py
+++ b/frostport/diameter/route.py
@@ -22,10 +22,10 @@
 )
 from frostport.diameter import avp
 from frostport.diameter.avp import Message, make
-from frostport.diameter.front import carried
-from frostport.diameter.peer import EXCHANGE_MS, Identity, Node, Peer, PeerConnection
+from frostport.diameter.front import service_avps
+from frostport.diameter.peer import EXCHANGE_TIMEOUT_MS, DiameterNode, Identity, Peer, PeerConnection
 from frostport.diameter.settings import DiameterServer
-from frostport.diameter.watchdog import Watch
+from frostport.diameter.watchdog import WatchdogState
 from frostport.interface import Lifecycle, ListKind, Outcome
 
 log = logging.getLogger("frostport.diameter.route")
@@ -39,18 +39,18 @@
     def __init__(self, entry: DiameterServer, liveness: ServerLiveness) -> None:
         super().__init__(entry.host)
         self.liveness = liveness
-        self.entry = entry
-        self.out: dict[int, Attempt] = {}  # by hop-by-hop id
-        self.owed: list[str] = []  # sessions to be ended once it is back
-        self.told: Lifecycle | None = None
+        self.config = entry
+        self.open_attempts: dict[int, Attempt] = {}  # by hop-by-hop id
+        self.pending_releases: list[str] = []  # sessions to be ended once it is back
+        self.announced_state: Lifecycle | None = None
         self.started_ms = 0.0
         self.state_id: int | None = None
-        self.lost: Deadline | None = None
+        self.sessions_lost_timer: Deadline | None = None
         self.dialing: PeerConnection | None = None
-        self.redial: Deadline | None = None
+        self.redial_timer: Deadline | None = None
 
 
-class DiameterRoute(Node):
+class DiameterRoute(DiameterNode):
     """Sets calls up at server peers. A peer that misses a watchdog is told to the module as draining."""
 
     def __init__(
@@ -61,20 +61,20 @@
         servers: list[DiameterServer],
         interval_ms: float,
         sessions_lost_ms: float,
-        chance: random.Random,
+        rng: random.Random,
         connect: Callable[[str, PeerConnection], defer.Deferred[object]],
     ) -> None:
-        super().__init__(identity, broker.clock, broker.deadlines, interval_ms, chance)
+        super().__init__(identity, broker.clock, broker.deadlines, interval_ms, rng)
         self.broker, self.front, self.connect = broker, front, connect
         self.sessions_lost_ms = sessions_lost_ms
         self.servers: dict[str, ServerPeer] = {}
         self.version = 0
-        self.ending = False
-        self._sweep = LivenessSweep(self.clock, self.deadlines, self.servers.values, self._look_at)
+        self.stopping = False
+        self._sweep = LivenessSweep(self.clock, self.deadlines, self.servers.values, self._check_liveness)
         for entry in servers:
             liveness = ServerLiveness(broker.clock.now(), sessions_lost_ms)
             self.servers[entry.host] = ServerPeer(entry, liveness)
-            self.add(self.servers[entry.host])
+            self.add_peer(self.servers[entry.host])
 
     def start(self) -> None:
         self.broker.update_server_list(
@@ -85,11 +85,11 @@
         self._sweep.start()
 
     def dial(self, server: ServerPeer) -> None:
-        if server.link is not None or server.dialing is not None or self.ending:
+        if server.connection is not None or server.dialing is not None or self.stopping:
             return
-        server.dialing = self.connection(server.host)
-        dialing = self.connect(server.entry.dial, server.dialing)
-        limit = self.deadlines.set(self.clock.now() + EXCHANGE_MS, dialing.cancel)
+        server.dialing = self.make_connection(server.host)
+        dialing = self.connect(server.config.dial, server.dialing)
+        limit = self.deadlines.set(self.clock.now() + EXCHANGE_TIMEOUT_MS, dialing.cancel)
 
         def settled(result: object) -> object:
             limit.cancel()
@@ -103,85 +103,89 @@
 
     def _redial(self, server: ServerPeer) -> None:
         server.dialing = None
-        if server.redial is not None:
-            server.redial.cancel()
-        if not self.ending:
-            server.redial = self.deadlines.set(self.clock.now() + REDIAL_MS, lambda: self.dial(server))
+        if server.redial_timer is not None:
+            server.redial_timer.cancel()
+        if not self.stopping:
+            server.redial_timer = self.deadlines.set(self.clock.now() + REDIAL_MS, lambda: self.dial(server))
 
-    def tell(self, server: ServerPeer, state: Lifecycle) -> None:
+    def announce(self, server: ServerPeer, state: Lifecycle) -> None:
         """Changes the module's list, if this is a change."""
-        if server.told is state or (server.told is None and state is not Lifecycle.READY):
+        if server.announced_state is state or (
+            server.announced_state is None and state is not Lifecycle.READY
+        ):
             return
-        server.told = None if state is Lifecycle.GONE else state
+        server.announced_state = None if state is Lifecycle.GONE else state
         self.version += 1
         log.info("%s is told as %s", server.host, state.value)
         self.broker.update_server_list(
             ListKind.CHANGES,
             self.version,
-            [api.Server(server.host, server.entry.number, state, server.entry.zone, server.started_ms)],
+            [api.Server(server.host, server.config.number, state, server.config.zone, server.started_ms)],
         )
 
     # Peers
 
-    def opened(self, link: PeerConnection) -> None:
-        server = self.servers[link.host]
-        if server.lost is not None:
-            server.lost.cancel()
-        before, server.state_id = server.state_id, link.state_id
+    def on_open(self, connection: PeerConnection) -> None:
+        server = self.servers[connection.host]
+        if server.sessions_lost_timer is not None:
+            server.sessions_lost_timer.cancel()
+        before, server.state_id = server.state_id, connection.state_id
         # The same Origin-State-Id says that the process goes on (RFC 6733, section 8.16).
-        same_process = before is not None and before == link.state_id
-        link.process_seen_ms = 0.0 if same_process else self.clock.now()
-        if before is not None and link.state_id is not None and link.state_id > before:
+        same_process = before is not None and before == connection.state_id
+        connection.process_since_ms = 0.0 if same_process else self.clock.now()
+        if before is not None and connection.state_id is not None and connection.state_id > before:
             self.broker.end_established_calls(
                 server.host, self.clock.now(), "a new process: its sessions are gone"
             )
-            for call in server.owed:
+            for call in server.pending_releases:
                 self.broker.recorder.clear_owed_release(server.host, call)
-            server.owed.clear()
-        self.broker.recorder.record_peer(server.host, link.state_id, server.started_ms)
+            server.pending_releases.clear()
+        self.broker.recorder.record_peer(server.host, connection.state_id, server.started_ms)
         server.dialing = None
-        super().opened(link)
-        owed, server.owed = server.owed, []
+        super().on_open(connection)
+        owed, server.pending_releases = server.pending_releases, []
         for call in owed:
-            self._end_session(server, call)
+            self._send_termination(server, call)
             self.broker.recorder.clear_owed_release(server.host, call)
 
-    def watched(self, peer: Peer, before: Watch, after: Watch) -> None:
-        super().watched(peer, before, after)
+    def on_watchdog_change(self, peer: Peer, before: WatchdogState, after: WatchdogState) -> None:
+        super().on_watchdog_change(peer, before, after)
         server = self.servers[peer.host]
-        if after is Watch.OKAY:
-            if before is Watch.REOPEN:
+        if after is WatchdogState.OKAY:
+            if before is WatchdogState.REOPEN:
                 server.started_ms = self.clock.now()  # back on a new connection: treated as cold
                 self.broker.recorder.record_peer(server.host, server.state_id, server.started_ms)
-            self.tell(server, Lifecycle.READY)
-        elif after in (Watch.SUSPECT, Watch.DOWN):
-            self.tell(server, Lifecycle.DRAINING)
-
-    def leaving(self, link: PeerConnection, cause: int) -> None:
-        log.info("%s: asks to disconnect, cause %d", link.host, cause)
-        self.tell(self.servers[link.host], Lifecycle.DRAINING)
-
-    def closed(self, link: PeerConnection) -> None:
-        super().closed(link)
-        server = self.servers[link.host]
-        if server.dialing is link:  # it closed before it was open: there is no peer to be lost
+            self.announce(server, Lifecycle.READY)
+        elif after in (WatchdogState.SUSPECT, WatchdogState.DOWN):
+            self.announce(server, Lifecycle.DRAINING)
+
+    def on_disconnect_request(self, connection: PeerConnection, cause: int) -> None:
+        log.info("%s: asks to disconnect, cause %d", connection.host, cause)
+        self.announce(self.servers[connection.host], Lifecycle.DRAINING)
+
+    def on_close(self, connection: PeerConnection) -> None:
+        super().on_close(connection)
+        server = self.servers[connection.host]
+        if server.dialing is connection:  # it closed before it was open: there is no peer to be lost
             self._redial(server)
 
-    def lost(self, peer: Peer, link: PeerConnection) -> None:
+    def connection_lost(self, peer: Peer, connection: PeerConnection) -> None:
         server = self.servers[peer.host]
-        out, server.out = server.out, {}
-        self.tell(server, Lifecycle.DRAINING)
+        out, server.open_attempts = server.open_attempts, {}
+        self.announce(server, Lifecycle.DRAINING)
         for attempt in out.values():
-            self._owe(server, attempt.request.id)  # it may have set the call up unheard
+            self._queue_release(server, attempt.request.id)  # it may have set the call up unheard
             self.broker.attempt_ended(attempt, Outcome.RESET)
-        self._await(server)
+        self._start_sessions_lost_timer(server)
         self._redial(server)
 
-    def _await(self, server: ServerPeer) -> None:
-        server.lost = self.deadlines.set(self.clock.now() + self.sessions_lost_ms, lambda: self._gone(server))
+    def _start_sessions_lost_timer(self, server: ServerPeer) -> None:
+        server.sessions_lost_timer = self.deadlines.set(
+            self.clock.now() + self.sessions_lost_ms, lambda: self._on_sessions_lost(server)
+        )
 
-    def _owe(self, server: ServerPeer, call: str) -> None:
-        server.owed.append(call)
+    def _queue_release(self, server: ServerPeer, call: str) -> None:
+        server.pending_releases.append(call)
         self.broker.recorder.record_owed_release(server.host, call)
 
     def resume(
@@ -194,13 +198,15 @@
                 self.servers[host].state_id, self.servers[host].started_ms = state_id, started_ms
         for host, call in releases:
             if host in self.servers:
-                self._owe(self.servers[host], call)
+                self._queue_release(self.servers[host], call)
             else:
                 self.broker.recorder.clear_owed_release(host, call)
         for server in self.servers.values():
-            self._await(server)  # one that does not come back in time has lost what stood there
+            self._start_sessions_lost_timer(
+                server
+            )  # one that does not come back in time has lost what stood there
 
-    def _gone(self, server: ServerPeer) -> None:
+    def _on_sessions_lost(self, server: ServerPeer) -> None:
         """Away too long: what stood there is over towards its clients, and ended there when it is back."""
         for request in self.broker.requests:
             if (
@@ -208,23 +214,23 @@
                 and request.attempt is not None
                 and request.attempt.server == server.host
             ):
-                self._owe(server, request.id)
+                self._queue_release(server, request.id)
         self.broker.end_established_calls(server.host, self.clock.now(), "away too long")
-        self.tell(server, Lifecycle.GONE)
+        self.announce(server, Lifecycle.GONE)
 
     # Liveness
 
-    def watchdog(self, link: PeerConnection, answered: bool) -> None:
-        super().watchdog(link, answered)
-        server = self.servers.get(link.host)
+    def on_message(self, connection: PeerConnection, is_watchdog_answer: bool) -> None:
+        super().on_message(connection, is_watchdog_answer)
+        server = self.servers.get(connection.host)
         if (
             server is not None
-            and server.link is link
-            and server.liveness.heard(self.clock.now(), link.process_seen_ms)
+            and server.connection is connection
+            and server.liveness.heard(self.clock.now(), connection.process_since_ms)
         ):
             log.info("%s: liveness: suspected -> alive", server.host)
 
-    def _look_at(self, server: ServerPeer, now_ms: float) -> None:
+    def _check_liveness(self, server: ServerPeer, now_ms: float) -> None:
         if not server.liveness.is_quiet(now_ms):
             return
         for action in server.liveness.evaluate(now_ms, self.broker.has_established_calls(server.host)):
@@ -237,72 +243,74 @@
                     )
                     self.broker.metrics.server_suspected(server.host)
                 case CheckLiveness():
-                    self._ask_for_life(server)
+                    self._request_sign_of_life(server)
                 case CallsLost(since_ms, stood_by_ms):
-                    self._calls_lost(server, since_ms, stood_by_ms)
+                    self._on_calls_lost(server, since_ms, stood_by_ms)
 
-    def _ask_for_life(self, server: ServerPeer) -> None:
+    def _request_sign_of_life(self, server: ServerPeer) -> None:
         """A watchdog request beside the watchdog's own, whose interval RFC 3539 does not let go under 6 s."""
-        link = server.open()
-        if link is not None:
-            link.ask(avp.DW, [*self.identity.avps(), make(avp.ORIGIN_STATE_ID, self.identity.state_id)])
+        connection = server.open_connection()
+        if connection is not None:
+            connection.send_request(
+                avp.DW, [*self.identity.avps(), make(avp.ORIGIN_STATE_ID, self.identity.state_id)]
+            )
 
-    def _calls_lost(self, server: ServerPeer, since_ms: float, stood_by_ms: float) -> None:
+    def _on_calls_lost(self, server: ServerPeer, since_ms: float, stood_by_ms: float) -> None:
         silent_ms = self.clock.now() - since_ms
         log.warning("%s: liveness: suspected -> lost, silent for %.0f ms", server.host, silent_ms)
         over = self.broker.end_established_calls(server.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
-        link = server.open()
-        if link is not None and link.process_seen_ms <= since_ms:
-            link.drop()
+        connection = server.open_connection()
+        if connection is not None and connection.process_since_ms <= since_ms:
+            connection.drop()
         for call in over:
-            self._end_session(server, call)
+            self._send_termination(server, call)
 
     # From the broker
 
     def send(self, attempt: Attempt) -> None:
         server, request = self.servers[attempt.server], attempt.request
-        link = server.open()
-        if link is None:
+        connection = server.open_connection()
+        if connection is None:
             self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
             return
         body = request.description
         assert isinstance(body, bytes)
         left = max(1, round(attempt.deadline_at_ms - self.clock.now()))
-        attempt.route_ref = link.ask(
+        attempt.route_ref = connection.send_request(
             avp.CC,
             [
-                *self._head(server, request.id, avp.INITIAL, attempt.number),
+                *self._ccr_head(server, request.id, avp.INITIAL, attempt.number),
                 make(avp.SERVICE_CONTEXT_ID, f"{request.call_class}@{self.identity.realm}"),
                 make(avp.MAXIMUM_WAIT_TIME, left),
                 *avp.read_avps(body),
             ],
             avp.CREDIT_CONTROL,
         )
-        server.out[attempt.route_ref] = attempt
+        server.open_attempts[attempt.route_ref] = attempt
         self.broker.metrics.sent(request.call_class)
 
-    def _head(self, server: ServerPeer, call: str, kind: int, number: int) -> list[avp.Avp]:
-        link = server.open()
+    def _ccr_head(self, server: ServerPeer, call: str, request_type: int, number: int) -> list[avp.Avp]:
+        connection = server.open_connection()
         return [
             make(avp.SESSION_ID, call),
             *self.identity.avps(),
-            make(avp.DESTINATION_REALM, link.realm if link is not None else ""),
+            make(avp.DESTINATION_REALM, connection.realm if connection is not None else ""),
             make(avp.DESTINATION_HOST, server.host),
             make(avp.AUTH_APPLICATION_ID, avp.CREDIT_CONTROL),
-            make(avp.CC_REQUEST_TYPE, kind),
+            make(avp.CC_REQUEST_TYPE, request_type),
             make(avp.CC_REQUEST_NUMBER, number),
         ]
 
-    def _end_session(self, server: ServerPeer, call: str) -> None:
-        link = server.open()
-        if link is None:
-            self._owe(server, call)
+    def _send_termination(self, server: ServerPeer, call: str) -> None:
+        connection = server.open_connection()
+        if connection is None:
+            self._queue_release(server, call)
         else:
             last = self.broker.rules.settings.try_limit
-            link.ask(
+            connection.send_request(
                 avp.CC,
                 [
-                    *self._head(server, call, avp.TERMINATION, last),
+                    *self._ccr_head(server, call, avp.TERMINATION, last),
                     make(avp.SERVICE_CONTEXT_ID, f"release@{self.identity.realm}"),
                 ],
                 avp.CREDIT_CONTROL,
@@ -310,44 +318,46 @@
 
     def give_up(self, attempt: Attempt) -> None:
         server = self.servers[attempt.server]
-        if attempt.route_ref is not None and server.out.pop(attempt.route_ref, None) is attempt:
-            self._end_session(server, attempt.request.id)
+        if attempt.route_ref is not None and server.open_attempts.pop(attempt.route_ref, None) is attempt:
+            self._send_termination(server, attempt.request.id)
 
     def release(self, attempt: Attempt) -> None:
-        self._end_session(self.servers[attempt.server], attempt.request.id)
+        self._send_termination(self.servers[attempt.server], attempt.request.id)
 
     def release_unknown(self, call: str) -> None:
         for server in self.servers.values():
-            if server.open() is not None:
-                self._end_session(server, call)
+            if server.open_connection() is not None:
+                self._send_termination(server, call)
 
     def probe(self, server: str, number: int) -> None:
         self.broker.probe_ended(number, Outcome.NOT_SENT)  # the watchdog is all that tests a peer
 
     # From servers
 
-    def answer(self, link: PeerConnection, message: Message) -> None:
+    def handle_answer(self, connection: PeerConnection, message: Message) -> None:
         result = message.get(avp.RESULT_CODE)
-        attempt = self.servers[link.host].out.pop(message.hop_by_hop, None)
+        attempt = self.servers[connection.host].open_attempts.pop(message.hop_by_hop, None)
         if attempt is None:
             return  # the answer to a release, or late: its session was ended when it was given up
         match result:
             case avp.SUCCESS:
-                self.broker.call_established(attempt, carried(message))
+                self.broker.call_established(attempt, service_avps(message))
             case avp.TOO_BUSY:
                 self.broker.attempt_ended(attempt, Outcome.FULL, api.NOTE_PROCESSOR_FULL)
             case _:
                 self.broker.attempt_ended(attempt, Outcome.ERROR)
 
-    def request(self, link: PeerConnection, message: Message) -> None:
+    def handle_request(self, connection: PeerConnection, message: Message) -> None:
         """A server ends a call."""
         if message.command != avp.AS:
-            link.reply(message, avp.COMMAND_UNSUPPORTED, error=f"command {message.command}")
+            connection.reply(message, avp.COMMAND_UNSUPPORTED, error=f"command {message.command}")
             return
         name = str(message.get(avp.SESSION_ID))
         cause = message.get(avp.TERMINATION_CAUSE)
         outcome = Outcome.OK if cause in (None, avp.LOGOUT) else Outcome.RESET
-        if self.broker.recorder.defers(name, link.host, lambda: self.request(link, message)):
+        if self.broker.recorder.defers(
+            name, connection.host, lambda: self.handle_request(connection, message)
+        ):
             return
         request = self.broker.find_request(name)
         attempt = request.attempt if request is not None else None
@@ -355,16 +365,18 @@
             fresh = name not in self.broker.ended_ids
             self.broker.unknown_call_ended(name, self.front, outcome)
             result = avp.SUCCESS if fresh else avp.UNKNOWN_SESSION_ID
-            self.broker.recorder.barrier(lambda: link.reply(message, result))
-        elif attempt is None or attempt.server != link.host:
-            link.reply(message, avp.UNKNOWN_SESSION_ID)
+            self.broker.recorder.barrier(lambda: connection.reply(message, result))
+        elif attempt is None or attempt.server != connection.host:
+            connection.reply(message, avp.UNKNOWN_SESSION_ID)
         else:
-            self._over(link, request, attempt, outcome)
-            self.broker.recorder.barrier(lambda: link.reply(message, avp.SUCCESS))
+            self._end_call(connection, request, attempt, outcome)
+            self.broker.recorder.barrier(lambda: connection.reply(message, avp.SUCCESS))
 
-    def _over(self, link: PeerConnection, request: Request, attempt: Attempt, outcome: Outcome) -> None:
+    def _end_call(
+        self, connection: PeerConnection, request: Request, attempt: Attempt, outcome: Outcome
+    ) -> None:
         if request.state is State.OPEN and attempt.route_ref is not None:
-            self.servers[link.host].out.pop(attempt.route_ref, None)
+            self.servers[connection.host].open_attempts.pop(attempt.route_ref, None)
             if outcome is Outcome.OK:
                 self.broker.ended_unanswered(attempt)
                 return
--- a/frostport/diameter/settings.py
+++ b/frostport/diameter/settings.py
@@ -1,4 +1,7 @@
-"""What the second front is told at its start."""
+"""The `diameter` section of the configuration; `frostport.config` reads and checks it.
+
+The fields are configuration keys.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DiameterServer:
-    """One lobby server of the operator's file."""
+    """One lobby server that the agent calls.
+
+    `host` is its Origin-Host, `dial` its address, `number` the number by which the
+    decision module knows it."""
 
     host: str
     dial: str
@@ -17,7 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DiameterConfig:
-    """The second front: who this node is, which clients may connect, and which servers it calls."""
+    """This node's identity, the client peers that may connect, and the server peers that it calls.
+
+    `watchdog_ms` is the interval Tw of RFC 3539. A server that has been away for `sessions_lost_ms` is taken
+    to have lost its sessions."""
 
     host: str
     realm: str
--- a/frostport/diameter/watchdog.py
+++ b/frostport/diameter/watchdog.py
@@ -1,4 +1,4 @@
-"""The watchdog of RFC 3539, section 3.4.1: five states, one timer, and no wire."""
+"""The transport watchdog of RFC 3539, section 3.4.1, without any I/O."""
 
 from __future__ import annotations
 
@@ -9,112 +9,115 @@
 from frostport.core.clock import Clock
 from frostport.core.deadlines import Deadline, Deadlines
 
-JITTER_MS = 2000.0
-REOPEN_ANSWERS = 3  # watchdogs to be answered before a returning peer counts as up
+JITTER_MS = 2000.0  # the timer is the interval (Tw) plus or minus up to this, as RFC 3539 asks
+REOPEN_ANSWER_COUNT = 3  # watchdog answers until a peer that came back is OKAY
 
 
-class Watch(Enum):
-    """The state of a connection to a peer, as the watchdog sees it."""
+class WatchdogState(Enum):
+    """The states of a peer, as RFC 3539 names them."""
 
-    INITIAL = "INITIAL"  # never been up
-    OKAY = "OKAY"
-    SUSPECT = "SUSPECT"  # a watchdog was not answered in time
-    DOWN = "DOWN"
-    REOPEN = "REOPEN"  # connected again, not yet trusted
+    INITIAL = "INITIAL"  # no connection so far
+    OKAY = "OKAY"  # set-ups may be sent
+    SUSPECT = "SUSPECT"  # a watchdog request was not answered in time
+    DOWN = "DOWN"  # not connected
+    REOPEN = "REOPEN"  # connected again, not OKAY until it has answered REOPEN_ANSWER_COUNT requests
 
 
 class Watchdog:
-    """One peer's watchdog; it outlives the peer's connections."""
+    """The watchdog of one peer, over all its connections."""
 
     def __init__(
         self,
         clock: Clock,
         deadlines: Deadlines,
         interval_ms: float,
-        chance: random.Random,
-        ask: Callable[[], None],
-        close: Callable[[], None],
-        changed: Callable[[Watch, Watch], None],
+        rng: random.Random,
+        send_request: Callable[[], None],
+        close_connection: Callable[[], None],
+        on_change: Callable[[WatchdogState, WatchdogState], None],
     ) -> None:
-        self.clock, self.deadlines, self.interval_ms, self.chance = clock, deadlines, interval_ms, chance
-        self.ask, self.close, self.changed = ask, close, changed
-        self.state = Watch.INITIAL
+        """`send_request` sends a Device-Watchdog-Request, `close_connection` closes the peer's connection, and
+        `on_change` gets the state before and after. `interval_ms` is Tw."""
+        self.clock, self.deadlines, self.interval_ms, self.rng = clock, deadlines, interval_ms, rng
+        self.send_request, self.close_connection, self.on_change = send_request, close_connection, on_change
+        self.state = WatchdogState.INITIAL
         self.pending = False  # a watchdog request is unanswered
-        self.answers = 0
+        self.answer_count = 0  # NumDWA: answers in REOPEN, or -1 after one was missed
         self._timer: Deadline | None = None
 
-    def _enter(self, state: Watch) -> None:
+    def _enter(self, state: WatchdogState) -> None:
         before, self.state = self.state, state
         if before is not state:
-            self.changed(before, state)
+            self.on_change(before, state)
 
-    def _set(self) -> None:
+    def _set_timer(self) -> None:
         self.stop()
-        jitter = self.chance.uniform(-JITTER_MS, JITTER_MS)
-        self._timer = self.deadlines.set(self.clock.now() + self.interval_ms + jitter, self.expired)
+        jitter = self.rng.uniform(-JITTER_MS, JITTER_MS)
+        self._timer = self.deadlines.set(self.clock.now() + self.interval_ms + jitter, self._on_timer)
 
     def stop(self) -> None:
+        """Cancels the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         self.pending = True
-        self.ask()
+        self.send_request()
 
-    def up(self) -> None:
-        """The capabilities are exchanged: a first connection is trusted, a later one has to show itself."""
+    def connection_up(self) -> None:
+        """Called when capabilities are exchanged. A first connection is OKAY at once, a later one is tested."""
         self.pending = False
-        self._set()
-        if self.state is Watch.INITIAL:
-            self._enter(Watch.OKAY)
-        elif self.state is Watch.DOWN:
-            self.answers = 0
-            self._enter(Watch.REOPEN)
-            self._ask()
-
-    def down(self) -> None:
-        """The connection is gone."""
+        self._set_timer()
+        if self.state is WatchdogState.INITIAL:
+            self._enter(WatchdogState.OKAY)
+        elif self.state is WatchdogState.DOWN:
+            self.answer_count = 0
+            self._enter(WatchdogState.REOPEN)
+            self._send_request()
+
+    def connection_down(self) -> None:
+        """Called when the connection is closed."""
         self.stop()
         self.pending = False
-        if self.state is not Watch.INITIAL:
-            self._enter(Watch.DOWN)
+        if self.state is not WatchdogState.INITIAL:
+            self._enter(WatchdogState.DOWN)
 
-    def heard(self, answer: bool) -> None:
-        """A message came; `answer` where it is the answer to a watchdog."""
-        if self.state is Watch.REOPEN:
-            if answer:
+    def on_message(self, is_answer: bool) -> None:
+        """Called for each message; `is_answer` if it is a Device-Watchdog-Answer."""
+        if self.state is WatchdogState.REOPEN:
+            if is_answer:
                 self.pending = False
-                self.answers += 1
-                if self.answers >= REOPEN_ANSWERS:
-                    self._set()
-                    self._enter(Watch.OKAY)
+                self.answer_count += 1
+                if self.answer_count >= REOPEN_ANSWER_COUNT:
+                    self._set_timer()
+                    self._enter(WatchdogState.OKAY)
             return
-        if answer:
+        if is_answer:
             self.pending = False
-        if self.state in (Watch.OKAY, Watch.SUSPECT):
-            self._set()
-            self._enter(Watch.OKAY)
+        if self.state in (WatchdogState.OKAY, WatchdogState.SUSPECT):
+            self._set_timer()
+            self._enter(WatchdogState.OKAY)
 
-    def expired(self) -> None:
+    def _on_timer(self) -> None:
         match self.state:
-            case Watch.OKAY if not self.pending:
-                self._ask()
-                self._set()
-            case Watch.OKAY:
-                self._enter(Watch.SUSPECT)
-                self._set()
-            case Watch.SUSPECT:
-                self.close()
-                self.down()
-            case Watch.REOPEN if not self.pending:
-                self._ask()
-                self._set()
-            case Watch.REOPEN if self.answers >= 0:
-                self.answers = -1  # one watchdog may be missed, not two
-                self._set()
-            case Watch.REOPEN:
-                self.close()
-                self.down()
+            case WatchdogState.OKAY if not self.pending:
+                self._send_request()
+                self._set_timer()
+            case WatchdogState.OKAY:
+                self._enter(WatchdogState.SUSPECT)
+                self._set_timer()
+            case WatchdogState.SUSPECT:
+                self.close_connection()
+                self.connection_down()
+            case WatchdogState.REOPEN if not self.pending:
+                self._send_request()
+                self._set_timer()
+            case WatchdogState.REOPEN if self.answer_count >= 0:
+                self.answer_count = -1  # one request may go unanswered, not two
+                self._set_timer()
+            case WatchdogState.REOPEN:
+                self.close_connection()
+                self.connection_down()
             case _:
                 pass
--- a/frostport/diameter_side.py
+++ b/frostport/diameter_side.py
@@ -100,6 +100,6 @@
 
     def disconnect(self) -> None:
         """Disconnects from all peers; the route opens no further connection."""
-        self.route.ending = True
+        self.route.stopping = True
         self.front.disconnect()
         self.route.disconnect()
--- a/tests/diameter.py
+++ b/tests/diameter.py
@@ -11,12 +11,12 @@
 from typing import Any
 
 from frostport.diameter import avp
-from frostport.diameter.avp import Avp, Frames, Message, make
+from frostport.diameter.avp import Avp, Message, MessageSplitter, make
 from tests.scenario import SETTINGS, Actor, Heard, Wire, World
 
-NAMES = {avp.CE: "CE", avp.CC: "CC", avp.AS: "AS", avp.DW: "DW", avp.DP: "DP"}
-KINDS = {avp.INITIAL: "-I", avp.UPDATE: "-U", avp.TERMINATION: "-T", avp.EVENT: "-E"}
-SHOWN = {
+COMMAND_NAMES = {avp.CE: "CE", avp.CC: "CC", avp.AS: "AS", avp.DW: "DW", avp.DP: "DP"}
+SUFFIX_BY_REQUEST_TYPE = {avp.INITIAL: "-I", avp.UPDATE: "-U", avp.TERMINATION: "-T", avp.EVENT: "-E"}
+SHOWN_AVPS = {
     "result": avp.RESULT_CODE,
     "wait": avp.MAXIMUM_WAIT_TIME,
     "key": avp.CALLED_STATION_ID,
@@ -42,7 +42,7 @@
     }
 
 
-def extra(given: Heard) -> list[Avp]:
+def extra_avps(given: Heard) -> list[Avp]:
     """The AVP that `with=CODE:FLAGS:DATA` adds."""
     if "with" not in given:
         return []
@@ -55,23 +55,23 @@
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__(world, name)
-        self.frames, self.ids = Frames(), 0
-        self.asked: dict[tuple[str, str], Message] = {}
+        self.splitter, self.last_id = MessageSplitter(), 0
+        self.requests: dict[tuple[str, str], Message] = {}
         self.bare, self.state_id = False, 1
 
     def connect(self, wire: Wire) -> None:
-        self.wires, self.frames = [wire], Frames()
+        self.wires, self.splitter = [wire], MessageSplitter()
         if self.name.startswith("c") and not self.bare:
             self.send("CER")
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        for frame in self.frames.feed(data):
+        for frame in self.splitter.feed(data):
             message = avp.read_header(frame)
-            message.avps = avp.read_avps(frame[avp.HEADER :])
-            heard = self.show(message)
-            note(self, "hears", heard)
+            message.avps = avp.read_avps(frame[avp.HEADER_BYTES :])
+            heard = self.describe(message)
+            record_event(self, "hears", heard)
             if message.is_request:
-                self.asked[heard[""], heard["tag"]] = message
+                self.requests[heard[""], heard["tag"]] = message
             if heard[""] == "CER" and not self.bare:
                 self.send("CEA result=2001")
             elif heard[""] == "DWR":
@@ -82,14 +82,18 @@
             elif heard[""] not in ("DWA", "CCA-T") and (heard[""] != "CEA" or self.bare):
                 self.inbox.append(heard)
 
-    def show(self, message: Message) -> Heard:
-        kind = KINDS.get(message.get(avp.CC_REQUEST_TYPE), "") if message.command == avp.CC else ""
+    def describe(self, message: Message) -> Heard:
+        kind = (
+            SUFFIX_BY_REQUEST_TYPE.get(message.get(avp.CC_REQUEST_TYPE), "")
+            if message.command == avp.CC
+            else ""
+        )
         way = "R" if message.is_request else "A"
         heard = {
-            "": f"{NAMES.get(message.command, message.command)}{way}{kind}",
+            "": f"{COMMAND_NAMES.get(message.command, message.command)}{way}{kind}",
             "tag": message.get(avp.SESSION_ID) or "",
         }
-        for name, definition in SHOWN.items():
+        for name, definition in SHOWN_AVPS.items():
             value = message.get(definition)
             heard.update({} if value is None else {name: str(value)})
         heard["error"] = str(int(bool(message.flags & avp.ERROR)))
@@ -99,7 +103,7 @@
             length = int.from_bytes(failed[5:8], "big")
             heard["failed"] = f"{int.from_bytes(failed[:4], 'big')}:{failed[8:length].hex()}"
         if report:
-            heard["back"] = str(avp.find(report, avp.OC_VALIDITY_DURATION))
+            heard["back"] = str(avp.find_value(report, avp.OC_VALIDITY_DURATION))
         return heard
 
     def encode(self, text: str) -> bytes:
@@ -108,7 +112,7 @@
         name, *rest = text.split()
         session = rest.pop(0) if rest and "=" not in rest[0] else ""
         given = dict(pair.split("=", 1) for pair in rest)
-        note(self, "says", {"": name, "tag": session, **given})
+        record_event(self, "says", {"": name, "tag": session, **given})
         avps = [make(avp.ORIGIN_HOST, given.get("host", self.name)), make(avp.ORIGIN_REALM, "there")]
         if session:
             avps.insert(0, make(avp.SESSION_ID, session))
@@ -123,13 +127,13 @@
         if name[:2] in ("CE", "DW"):
             avps.append(make(avp.ORIGIN_STATE_ID, self.state_id))
         if name[2] == "A":
-            return self.answer(name, session, given, avps)
+            return self.encode_answer(name, session, given, avps)
         if name[:2] in ("CC", "AS"):
             avps += [make(avp.DESTINATION_REALM, "here"), make(avp.AUTH_APPLICATION_ID, avp.CREDIT_CONTROL)]
         if name[:2] == "AS":
             avps.append(make(avp.DESTINATION_HOST, "n0"))
         if name[:2] == "CC":
-            kind = next(code for code, ending in KINDS.items() if ending == name[3:])
+            kind = next(code for code, ending in SUFFIX_BY_REQUEST_TYPE.items() if ending == name[3:])
             avps += [
                 make(avp.SERVICE_CONTEXT_ID, given.get("svc", "race@there")),
                 make(avp.CC_REQUEST_TYPE, kind),
@@ -137,27 +141,27 @@
             ]
             avps += [make(avp.DESTINATION_HOST, given["dest"])] if "dest" in given else []
             avps += [make(avp.OC_SUPPORTED_FEATURES, [])] if "oc" in given else []
-        for field, definition in SHOWN.items():
+        for field, definition in SHOWN_AVPS.items():
             if field in given and field != "svc":
-                number = definition.kind is not avp.Kind.TEXT
+                number = definition.data_format is not avp.DataFormat.TEXT
                 avps.append(make(definition, int(given[field]) if number else given[field]))
         avps = [entry for entry in avps if str(entry.code) != given.get("without")]
-        avps += extra(given)
-        self.ids += 1
-        command = next(code for code, short in NAMES.items() if short == name[:2])
+        avps += extra_avps(given)
+        self.last_id += 1
+        command = next(code for code, short in COMMAND_NAMES.items() if short == name[:2])
         application = avp.CREDIT_CONTROL if command in (avp.CC, avp.AS) else 0
         flags = avp.REQUEST | (avp.RETRANSMITTED if "T" in given else 0)
         return Message(
             int(given.get("command", command)),
             int(given.get("to", application)),
-            self.ids,
-            int(given.get("id", self.ids)),
+            self.last_id,
+            int(given.get("id", self.last_id)),
             flags,
             avps,
         ).encode()
 
-    def answer(self, name: str, session: str, given: Heard, avps: list[Avp]) -> bytes:
-        asked = self.asked[f"{name[:2]}R{name[3:] or ('-I' if name == 'CCA' else '')}", session]
+    def encode_answer(self, name: str, session: str, given: Heard, avps: list[Avp]) -> bytes:
+        asked = self.requests[f"{name[:2]}R{name[3:] or ('-I' if name == 'CCA' else '')}", session]
         result = int(given["result"])
         return Message(
             asked.command,
@@ -168,7 +172,7 @@
             [
                 *avps,
                 make(avp.RESULT_CODE, result),
-                *extra(given),
+                *extra_avps(given),
                 *([make(avp.CALLED_STATION_ID, given["key"])] if "key" in given else []),
             ],
         ).encode()
@@ -186,10 +190,10 @@
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
         super().connectionLost(reason)
-        note(self, "hears", {"": "closed", "tag": ""})
+        record_event(self, "hears", {"": "closed", "tag": ""})
 
     def close(self, how: str) -> None:
-        note(self, "says", {"": "closed", "tag": ""})
+        record_event(self, "says", {"": "closed", "tag": ""})
         super().close(how)
 
 
@@ -203,7 +207,7 @@
         super().__init__(record)
 
 
-def note(actor: Actor, way: str, heard: Heard) -> None:
+def record_event(actor: Actor, way: str, heard: Heard) -> None:
     world = actor.world
     if isinstance(world, DiameterWorld):
         agent = getattr(world, "agent", None)
--- a/tests/test_diameter.py
+++ b/tests/test_diameter.py
@@ -451,7 +451,9 @@
 def test_a_length_that_lies_is_told_with_its_header() -> None:
     with pytest.raises(avp.AvpError) as told:
         avp.read_avps(bytes.fromhex("0000010840000099") + b"x")
-    assert told.value.result == avp.INVALID_AVP_LENGTH and told.value.failed.hex() == "0000010840000008"
+    assert (
+        told.value.result_code == avp.INVALID_AVP_LENGTH and told.value.failed_avp.hex() == "0000010840000008"
+    )
 
 
 @pytest.mark.parametrize("at", range(1, 60, 7))
@@ -460,11 +462,11 @@
         avp.CC, 4, 7, 9, avp.REQUEST, [avp.make(avp.SESSION_ID, "ab"), avp.make(avp.MAXIMUM_WAIT_TIME, 5)]
     )
     data = message.encode() * 2
-    frames = avp.Frames()
+    frames = avp.MessageSplitter()
     found = frames.feed(data[:at]) + frames.feed(data[at:])
     assert found == [message.encode()] * 2
     read = avp.read_header(found[0])
-    read.avps = avp.read_avps(found[0][avp.HEADER :])
+    read.avps = avp.read_avps(found[0][avp.HEADER_BYTES :])
     assert read.get(avp.SESSION_ID) == "ab" and read.get(avp.MAXIMUM_WAIT_TIME) == 5
 
 
--- a/trials/diameter.py
+++ b/trials/diameter.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from frostport.diameter import avp
-from frostport.diameter.avp import Avp, Frames, Message, make
+from frostport.diameter.avp import Avp, Message, MessageSplitter, make
 
 REALM = "here"
 BUSY_CAUSE, REFUSED_CAUSE, FAILED_CAUSE, NORMAL_CAUSE = 34, 42, 41, 16
@@ -34,7 +34,7 @@
     def __init__(self, host: str, calls: bool, state_id: int = 1) -> None:
         """`calls`: whether this peer opened the connection, and so asks for the capabilities."""
         self._host, self._calls, self._state_id = host, calls, state_id
-        self._frames = Frames()
+        self._frames = MessageSplitter()
         self._next_id = 0
         self._asked: dict[tuple[int, str], Message] = {}  # requests that wait for this peer's answer
         self._sent: dict[int, int] = {}  # the kind of each CCR that this peer sent, by hop-by-hop id
@@ -59,7 +59,7 @@
         replies: list[bytes] = []
         for frame in self._frames.feed(data):
             message = avp.read_header(frame)
-            message.avps = avp.read_avps(frame[avp.HEADER :])
+            message.avps = avp.read_avps(frame[avp.HEADER_BYTES :])
             replies.append(self._base(message))
             heard = self._application(message)
             if heard is not None:
