--- a/frostport/diameter/avp.py
+++ b/frostport/diameter/avp.py
@@ -112,7 +112,7 @@
 class AvpError(Exception):
     """A fault in one AVP or in the whole message.
 
-    `result_code` is what the answer has to carry, `failed_avp` the content of its Failed-AVP, empty if none."""
+    `result_code` is what the answer carries, `failed_avp` the content of its Failed-AVP, empty for none."""
 
     def __init__(self, result_code: int, problem: str, failed_avp: bytes = b"") -> None:
         super().__init__(problem)
@@ -205,7 +205,7 @@
 
 
 def find_value(avps: Iterable[Avp], definition: Definition) -> Any:
-    """Returns the value of the first AVP with this definition, or None; raises AvpError if it is malformed."""
+    """The value of the first AVP with this definition, or None. Raises AvpError if it is malformed."""
     for avp in avps:
         if avp.code == definition.code and avp.vendor == definition.vendor:
             return value_of(definition, avp)
--- a/frostport/diameter/front.py
+++ b/frostport/diameter/front.py
@@ -1,4 +1,8 @@
-"""The Diameter front: clients are peers that connect here; a CCR-Initial is a set-up (RFC 8506)."""
+"""The Diameter front: client peers connect here and set up calls by credit control (RFC 8506).
+
+A CCR-Initial is a set-up, its CCA the answer. A CCR-Termination is a give-up or a release. An ASR tells the
+client that its call has ended.
+"""
 
 from __future__ import annotations
 
@@ -21,14 +25,15 @@
 
 log = logging.getLogger("frostport.diameter.front")
 
-ANSWER_KEEP_MS = 60_000.0  # how long the answer to a set-up is kept for its duplicates
-RELEASE_KEEP_MS = 60_000.0  # how long a release is owed to a client that does not hear it
-MAX_WAIT_FACTOR = 10.0  # a set-up may ask for so many times its class's deadline
-MAX_WAITING_DUPLICATES = 8  # of one set-up, waiting for its answer
-MAX_OPEN_SET_UPS = 1_000  # set-ups without an answer, of all clients
+ANSWER_KEEP_MS = 60_000.0  # how long the answer is kept for duplicates of a set-up whose call is over
+RELEASE_KEEP_MS = 60_000.0  # how long a release is kept for a client that does not confirm it
+MAX_WAIT_FACTOR = 10.0  # Maximum-Wait-Time may be up to this many times the deadline of the class
+MAX_WAITING_DUPLICATES = 8  # of one set-up, until its answer
+MAX_OPEN_SET_UPS = 1_000  # of all clients; further ones are refused
 LOSS_ALGORITHM = 1  # OLR_DEFAULT_ALGO (RFC 7683)
-HOST_REPORT = 0
-HOP_AVPS = frozenset(
+HOST_REPORT = 0  # OC-Report-Type of an overload report on this host
+# AVPs of one side that are not forwarded to the other, where the agent sends its own.
+NOT_PASSED_ON = frozenset(
     (entry.vendor, entry.code)
     for entry in (
         avp.SESSION_ID,
@@ -54,26 +59,32 @@
 
 
 def service_avps(message: Message) -> bytes:
-    """The AVPs that concern the service: they go on unchanged."""
-    return b"".join(found.encode() for found in message.avps if (found.vendor, found.code) not in HOP_AVPS)
+    """The AVPs that concern the service, encoded; they are forwarded unchanged."""
+    return b"".join(
+        found.encode() for found in message.avps if (found.vendor, found.code) not in NOT_PASSED_ON
+    )
 
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """One call as its client sees it: who it is, what waits for the answer, and the answer once given."""
+    """One call as its client sees it. It is kept for ANSWER_KEEP_MS after the call, for duplicates.
+
+    `answer` is the Result-Code and the AVPs of the final answer."""
 
     client: str
     realm: str
     supports_overload_control: bool
     waiting_requests: list[tuple[PeerConnection, Message]] = field(default_factory=list)
     answer: tuple[int, list[Avp]] | None = None
-    ended_by: int = -1  # the End-to-End id of the termination that ended it
-    answered_on: PeerConnection | None = None  # where the answer was given last
-    end_held: bool = False  # its end is not told yet: a duplicate gets the answer first
+    ended_by: int = -1  # End-to-End Identifier of the CCR-Termination that ended it
+    answered_on: PeerConnection | None = None  # the connection on which the answer was sent last
+    end_held: bool = False  # the ASR is held back, so that a duplicate gets the answer first
 
 
 class DiameterFront(DiameterNode):
-    """Takes credit-control requests from client peers, and answers each once."""
+    """The broker's `Front` for client peers. It answers each credit-control request once.
+
+    It also keeps the releases of calls that ended at a server until a client confirms them."""
 
     def __init__(
         self,
@@ -87,16 +98,16 @@
         gate: Gate,
         closed_by_peer: Callable[[object], bool] = lambda transport: False,
     ) -> None:
-        """`left`: whether the other side of a transport has closed, asked of the system."""
+        """`numbers` has the servers' numbers by host, for set-ups that name one in Destination-Host.
+        `closed_by_peer` asks the system whether the other side of a transport has closed."""
         super().__init__(identity, broker.clock, broker.deadlines, interval_ms, rng)
         self.broker, self.lifecycle, self.numbers, self.gate = broker, lifecycle, numbers, gate
         self.closed_by_peer = closed_by_peer
         self.connections_by_admission: dict[int, PeerConnection] = {}
         self.sessions: dict[str, Session] = {}
-        self.pending_releases: dict[
-            str, tuple[str, Outcome]
-        ] = {}  # releases not yet answered: client ("": any), outcome
-        self.aborts_sent: dict[int, str] = {}  # hop-by-hop ids of releases on their way
+        # Unconfirmed releases: call -> (client, outcome); the client is "" if it is not known.
+        self.pending_releases: dict[str, tuple[str, Outcome]] = {}
+        self.aborts_sent: dict[int, str] = {}  # Hop-by-Hop Identifier of an unanswered ASR -> call
         self.overload_sequence = int(broker.clock.now())
         self.longest_deadline_ms = max(
             (cls.deadline_ms for cls in broker.rules.settings.classes), default=0.0
@@ -106,7 +117,7 @@
             self.add_peer(Peer(host))
 
     def build(self, address: str) -> PeerConnection | None:
-        """A protocol for a new connection that the gate admits; those who make room for it are closed."""
+        """A protocol for a new connection if the gate admits it; those evicted for it are closed."""
         verdict = self.gate.admit(address, self.clock.now())
         self.shed(verdict.shed)
         if verdict.admission is None:
@@ -120,27 +131,28 @@
         return connection
 
     def shed(self, admissions: Iterable[Admission]) -> None:
-        """Closes connections that the gate has given up."""
+        """Closes connections that the gate evicts."""
         for admission in admissions:
             connection = self.connections_by_admission.get(admission.number)
             if connection is not None:
                 connection.drop()
 
     def empty(self) -> None:
-        """A drain leaves peers' connections up: a peer is told of it by its watchdogs, not by a close."""
+        """Does nothing: a drain is told to a peer by its watchdogs, and its connection stays open."""
 
     def hang_up(self) -> None:
-        """Peers have heard the goodbye; what was said to them leaves with the process's end."""
+        """Does nothing: `disconnect` has told the peers. Buffered output is sent as the process ends."""
 
     def held(self) -> int:
-        """Client connections that a drain waits for: none, as peers stay."""
+        """The number of client connections that a drain waits for: 0, as peers stay connected."""
         return 0
 
     def _carries_calls(self, client: str) -> bool:
-        """Whether any call of a client is not over."""
+        """Whether a client has a call that is not over, or one that ended less than ANSWER_KEEP_MS ago."""
         return any(session.client == client for session in self.sessions.values())
 
     def busy(self) -> bool:
+        """Whether connections keep the agent from emptying: never, as peers stay connected."""
         return False
 
     def on_close(self, connection: PeerConnection) -> None:
@@ -175,6 +187,9 @@
                 )
 
     def handle_initial(self, connection: PeerConnection, message: Message) -> None:
+        """Handles a set-up: hands it to the broker, or refuses it.
+
+        A duplicate gets the answer of the first, also after the call is over."""
         self.broker.recorder.refresh()
         session_id = str(message.get(avp.SESSION_ID))
         known = self.sessions.get(session_id)
@@ -191,9 +206,7 @@
             self._send_answer(connection, message, avp.TOO_BUSY, [], "too many duplicates")
             return
         if known is not None and known.answer is None:
-            known.waiting_requests.append(
-                (connection, message)
-            )  # a duplicate: it gets the same answer, with the first
+            known.waiting_requests.append((connection, message))  # a duplicate: gets the same answer
             return
         if known is not None and known.answer is not None:
             known.answered_on = connection
@@ -265,6 +278,7 @@
         )
 
     def handle_termination(self, connection: PeerConnection, message: Message) -> None:
+        """Handles a give-up before the answer, or the release of an established call."""
         self.broker.recorder.refresh()
         session_id = str(message.get(avp.SESSION_ID))
         request = self.broker.find_request(session_id)
@@ -277,19 +291,18 @@
         self._settle_release(session_id)
         if request is None:
             if known is not None and known.ended_by == message.end_to_end:
-                # The same termination again (RFC 6733, 5.5.4): its answer was lost, and is given again.
+                # A retransmission (RFC 6733, section 5.5.4): its answer was lost, and is sent again.
                 self.broker.recorder.barrier(lambda: self._send_answer(connection, message, avp.SUCCESS, []))
                 return
             if known is not None and known.answer is None:
-                del self.sessions[
-                    session_id
-                ]  # given up: its answer waits for a record, and is no longer owed
+                # Given up while the answer waits to be recorded: it is not sent any more.
+                del self.sessions[session_id]
             self.broker.release_unknown(session_id)
             self._send_answer(connection, message, avp.UNKNOWN_SESSION_ID, [], "no such session")
             return
         request.ended_by = message.end_to_end
         if known is not None and known.answer is None:
-            del self.sessions[session_id]  # given up: no answer is owed
+            del self.sessions[session_id]  # given up: no answer is sent
         elif known is not None:
             known.ended_by = message.end_to_end
             self._schedule_removal(session_id)
@@ -300,11 +313,11 @@
         self.broker.recorder.barrier(lambda: self._send_answer(connection, message, avp.SUCCESS, []))
 
     def handle_answer(self, connection: PeerConnection, message: Message) -> None:
-        """A release was heard, whatever the client says of it."""
+        """Handles an ASA. Any Result-Code confirms the release: the client has received the ASR."""
         self._settle_release(self.aborts_sent.pop(message.hop_by_hop, ""))
 
     def _settle_release(self, call: str) -> None:
-        """A release is no longer owed, if it was."""
+        """Stops sending a release, confirmed or too old, if there is one."""
         if self.pending_releases.pop(call, None) is not None:
             self.broker.recorder.clear_owed_end(call)
 
@@ -314,7 +327,7 @@
             connection.admission is not None
             and self.connections_by_admission.get(connection.admission.number) is connection
         ):
-            # A configured peer is a known client, and its connection carries what it is owed: it stays.
+            # A configured peer is a known client. Its connection is never evicted, as it carries releases.
             self.gate.trust(connection.admission, self.clock.now())
             over = self.gate.mark_identified(connection.admission, connection.realm)
             self.gate.begin_use(connection.admission)
@@ -327,10 +340,10 @@
                 self._send_abort(call, client, outcome)
 
     def connection_lost(self, peer: Peer, connection: PeerConnection) -> None:
-        """The set-ups that wait on a connection alone go with it."""
+        """Gives up the set-ups that wait for their answer on this connection only."""
         self.aborts_sent = {
-            hop: call
-            for hop, call in self.aborts_sent.items()
+            hop_by_hop: call
+            for hop_by_hop, call in self.aborts_sent.items()
             if self.pending_releases.get(call, (peer.host,))[0] != peer.host
         }
         for session_id, session in list(self.sessions.items()):
@@ -342,13 +355,14 @@
                 if not session.waiting_requests and request is not None:
                     del self.sessions[session_id]
                     self.broker.gone(request)
-                    self.broker.release(request)  # where its answer waited for a record
+                    self.broker.release(request)  # if its answer was still being recorded
 
     # From the broker
 
     def is_waiting(self, request: Request) -> bool:
         session = self.sessions.get(request.id)
-        # Guards against a close that nobody hears while a peer that does not read is not read from.
+        # Guards against an unnoticed close: a peer that does not read is not read from, so that the reactor
+        # does not report its close.
         return session is not None and not all(
             self.closed_by_peer(connection.transport) for connection, _ in session.waiting_requests
         )
@@ -386,14 +400,15 @@
         session, now = self.sessions.get(call), self.clock.now()
         client = session.client if session is not None else ""
         self._schedule_removal(call)
-        self._keep_release(call, client, outcome, now)
+        self._add_release(call, client, outcome, now)
         if session is None or not self._hold_release(call, session, given, now):
             self._send_abort(call, client, outcome)
 
     def _hold_release(self, call: str, session: Session, given: RecordedAnswer | None, now: float) -> bool:
-        """Guards a client that waits for the answer of a repeated set-up against hearing the end first.
+        """Delays a release whose client may have missed the answer, so that it doesn't get the release first.
 
-        Once the end is told without the answer, duplicates hear that the call has failed."""
+        Returns False if the release may be sent now. Once a client that may have missed the answer gets the
+        release, duplicates of its set-up are answered that the call has failed."""
         peer = self.peers.get(session.client)
         if given is None or (
             session.answered_on is not None
@@ -402,7 +417,9 @@
         ):
             return False
         until = held_until(given.recorded_at_ms, now, self.longest_deadline_ms)
-        if session.answered_on is not None or until <= now:  # no restart since the answer, or nobody waits
+        if (
+            session.answered_on is not None or until <= now
+        ):  # no restart since the answer, or no client waits any more
             session.answer = (avp.UNABLE_TO_COMPLY, [])
             return False
         session.end_held = True
@@ -415,22 +432,27 @@
             self._end_hold(call, session)
 
     def _end_hold(self, call: str, session: Session) -> None:
-        """The end that was held back."""
+        """Sends the release that was held back."""
         session.end_held = False
-        if (owed := self.pending_releases.get(call)) is not None:
-            self._send_abort(call, *owed)
+        if (release := self.pending_releases.get(call)) is not None:
+            self._send_abort(call, *release)
 
-    def _keep_release(self, call: str, client: str, outcome: Outcome, since: float) -> None:
+    def _add_release(self, call: str, client: str, outcome: Outcome, since: float) -> None:
         self.pending_releases[call] = (client, outcome)
         self.deadlines.set(since + RELEASE_KEEP_MS, lambda: self._expire_release(call))
 
     def resume(
-        self, owed: Mapping[str, tuple[str, Outcome, float]], given: Callable[[str], RecordedAnswer | None]
+        self,
+        releases: Mapping[str, tuple[str, Outcome, float]],
+        given: Callable[[str], RecordedAnswer | None],
     ) -> None:
-        """Releases owed since before a restart: client, outcome, since when. The sessions are known."""
+        """Takes over releases from before a restart or handover: call -> (client, outcome, since ms).
+
+        Each is sent when its client connects, or held back if the answer may have been missed; `given`
+        returns the recorded answer of a call. The sessions must have been restored."""
         now = self.clock.now()
-        for call, (client, outcome, since) in owed.items():
-            self._keep_release(call, client, outcome, since)
+        for call, (client, outcome, since) in releases.items():
+            self._add_release(call, client, outcome, since)
             if (session := self.sessions.get(call)) is not None:
                 self._hold_release(call, session, given(call), now)
 
@@ -444,8 +466,9 @@
         ended_by: int = -1,
         over_at: float | None = None,
     ) -> None:
-        """A session from before a restart, with the answer that its duplicates get; `over_at`: when it
-        ended."""
+        """Restores a session from before a restart, with the answer for its duplicates.
+
+        `answer` is the recorded kind of answer, `over_at` when the call ended, ms."""
         results = {"stands": avp.SUCCESS, "refused": avp.TOO_BUSY}
         session = Session(client, realm, False, [], ended_by=ended_by)
         session.answer = (results.get(answer, avp.UNABLE_TO_COMPLY), avp.read_avps(body))
@@ -454,11 +477,14 @@
             self.deadlines.set(over_at + ANSWER_KEEP_MS, lambda: self._remove_session(call, session))
 
     def _expire_release(self, call: str) -> None:
-        """Guards against clients that never answer a release: it is not owed for good."""
+        """Guards against clients that never answer an ASR: the release is not kept for ever."""
         self._settle_release(call)
-        self.aborts_sent = {hop: of for hop, of in self.aborts_sent.items() if of != call}
+        self.aborts_sent = {
+            hop_by_hop: other for hop_by_hop, other in self.aborts_sent.items() if other != call
+        }
 
     def _send_final(self, request: Request, result: int, avps: list[Avp]) -> None:
+        """Sends the final answer to a set-up and its duplicates, and keeps it for later ones."""
         session = self.sessions.get(request.id)
         if session is None:
             return
@@ -471,7 +497,7 @@
             self._schedule_removal(request.id)
 
     def _schedule_removal(self, call: str) -> None:
-        """The session's answer is kept a while for duplicates still on their way."""
+        """Removes the session after ANSWER_KEEP_MS: duplicates may still be in transit."""
         session = self.sessions.get(call)
         if session is not None:
             self.deadlines.set(self.clock.now() + ANSWER_KEEP_MS, lambda: self._remove_session(call, session))
@@ -483,6 +509,7 @@
     def _send_answer(
         self, connection: PeerConnection, message: Message, result: int, avps: list[Avp], error: str = ""
     ) -> None:
+        """Sends a CCA, which echoes CC-Request-Type and CC-Request-Number."""
         echoed = [
             found
             for found in message.avps
@@ -492,7 +519,9 @@
         connection.reply(message, result, [application, *echoed, *avps], error)
 
     def _send_abort(self, call: str, client: str, outcome: Outcome) -> None:
-        """Tells the client that its call is over; a client that isn't there hears it when it comes back."""
+        """Sends the release of a call as an ASR. A client that isn't connected gets it once it connects.
+
+        Without a known client, all client peers get it."""
         cause = avp.LOGOUT if outcome is Outcome.OK else avp.ADMINISTRATIVE
         for peer in self.peers.values():
             connection = peer.open_connection()
--- a/frostport/diameter/peer.py
+++ b/frostport/diameter/peer.py
@@ -198,7 +198,7 @@
             self.transport.resumeProducing()
 
     def pauseProducing(self) -> None:  # noqa: N802 (Twisted's name)
-        """Guards against a peer that sends requests and does not read: nothing is read from it until it does."""
+        """Guards against a peer that sends requests and does not read: it is not read from until it does."""
         if not self._ignore_input and self._write_stall_timeout is None:
             self.transport.pauseProducing()
             self._write_stall_timeout = self.deadlines.set(
@@ -241,7 +241,7 @@
             self._timeout = self.deadlines.set(self.clock.now() + CLOSE_TIMEOUT_MS, self.drop)
 
     def disconnect(self, cause: int = avp.REBOOTING) -> None:
-        """Sends a Disconnect-Peer-Request; the connection is closed by its answer, or after DPA_TIMEOUT_MS."""
+        """Sends a Disconnect-Peer-Request; the connection closes with its answer, or after DPA_TIMEOUT_MS."""
         if self.state is ConnectionState.OPEN:
             self.state = ConnectionState.CLOSING
             self.send_request(avp.DP, [*self.identity.avps(), make(avp.DISCONNECT_CAUSE, cause)])
@@ -292,8 +292,8 @@
         except AvpError as problem:
             complaints.warn(self.clock.now(), self.host, f"command {message.command}: {problem}")
             if not message.is_request:
-                # Guards against waiting for the deadline of a request whose answer can't be read: all requests
-                # open on this connection fail at once.
+                # Guards against waiting for an answer that can't be read: all requests open on this
+                # connection fail at once.
                 self.drop()
                 return
             if problem.result_code != avp.INVALID_HDR_BITS or not message.flags & avp.ERROR:
--- a/frostport/diameter/route.py
+++ b/frostport/diameter/route.py
@@ -1,4 +1,8 @@
-"""The Diameter route: lobby servers are peers that are called from here, watched by their watchdogs."""
+"""The Diameter route: connects to the lobby servers as peers, and sets calls up there.
+
+A set-up goes out as a CCR-Initial, a give-up or release as a CCR-Termination. A server ends a call by an ASR.
+The state of a server's watchdog is reported to the decision module as the server list.
+"""
 
 from __future__ import annotations
 
@@ -30,28 +34,31 @@
 
 log = logging.getLogger("frostport.diameter.route")
 
-REDIAL_MS = 1000.0
+REDIAL_MS = 1000.0  # pause before a server is dialed again
 
 
 class ServerPeer(Peer):
-    """A lobby server: what is out on its connection, and what the module was told of it."""
+    """A lobby server. Its pending releases are sent once it is connected."""
 
     def __init__(self, entry: DiameterServer, liveness: ServerLiveness) -> None:
         super().__init__(entry.host)
         self.liveness = liveness
         self.config = entry
-        self.open_attempts: dict[int, Attempt] = {}  # by hop-by-hop id
-        self.pending_releases: list[str] = []  # sessions to be ended once it is back
-        self.announced_state: Lifecycle | None = None
-        self.started_ms = 0.0
-        self.state_id: int | None = None
+        self.open_attempts: dict[int, Attempt] = {}  # by Hop-by-Hop Identifier
+        self.pending_releases: list[str] = []  # calls whose sessions are to be terminated there
+        self.announced_state: Lifecycle | None = None  # as last reported to the decision module; None: gone
+        self.started_ms = 0.0  # when it came back, for its slow start; 0: long ago
+        self.state_id: int | None = None  # its last Origin-State-Id
         self.sessions_lost_timer: Deadline | None = None
-        self.dialing: PeerConnection | None = None
+        self.dialing: PeerConnection | None = None  # until its capabilities are exchanged
         self.redial_timer: Deadline | None = None
 
 
 class DiameterRoute(DiameterNode):
-    """Sets calls up at server peers. A peer that misses a watchdog is told to the module as draining."""
+    """The broker's `Route` to server peers.
+
+    A server is ready while its watchdog is OKAY. One that misses a watchdog, loses its connection or asks to
+    disconnect is draining, and gone once it has been away for `sessions_lost_ms`."""
 
     def __init__(
         self,
@@ -77,14 +84,14 @@
             self.add_peer(self.servers[entry.host])
 
     def start(self) -> None:
-        self.broker.update_server_list(
-            ListKind.PERSISTED, self.version, []
-        )  # each joins once it has been reached
+        """Dials all servers. The server list is empty at first: each joins it once it is connected."""
+        self.broker.update_server_list(ListKind.PERSISTED, self.version, [])
         for server in self.servers.values():
             self.dial(server)
         self._sweep.start()
 
     def dial(self, server: ServerPeer) -> None:
+        """Dials a server, unless it is connected or being dialed."""
         if server.connection is not None or server.dialing is not None or self.stopping:
             return
         server.dialing = self.make_connection(server.host)
@@ -109,14 +116,16 @@
             server.redial_timer = self.deadlines.set(self.clock.now() + REDIAL_MS, lambda: self.dial(server))
 
     def announce(self, server: ServerPeer, state: Lifecycle) -> None:
-        """Changes the module's list, if this is a change."""
+        """Reports a server's state to the decision module, if it has changed.
+
+        A server that is not on its list joins it only as ready."""
         if server.announced_state is state or (
             server.announced_state is None and state is not Lifecycle.READY
         ):
             return
         server.announced_state = None if state is Lifecycle.GONE else state
         self.version += 1
-        log.info("%s is told as %s", server.host, state.value)
+        log.info("%s: reported to the decision module as %s", server.host, state.value)
         self.broker.update_server_list(
             ListKind.CHANGES,
             self.version,
@@ -130,7 +139,7 @@
         if server.sessions_lost_timer is not None:
             server.sessions_lost_timer.cancel()
         before, server.state_id = server.state_id, connection.state_id
-        # The same Origin-State-Id says that the process goes on (RFC 6733, section 8.16).
+        # The same Origin-State-Id means that it is the same process (RFC 6733, section 8.16).
         same_process = before is not None and before == connection.state_id
         connection.process_since_ms = 0.0 if same_process else self.clock.now()
         if before is not None and connection.state_id is not None and connection.state_id > before:
@@ -143,8 +152,8 @@
         self.broker.recorder.record_peer(server.host, connection.state_id, server.started_ms)
         server.dialing = None
         super().on_open(connection)
-        owed, server.pending_releases = server.pending_releases, []
-        for call in owed:
+        releases, server.pending_releases = server.pending_releases, []
+        for call in releases:
             self._send_termination(server, call)
             self.broker.recorder.clear_owed_release(server.host, call)
 
@@ -153,28 +162,30 @@
         server = self.servers[peer.host]
         if after is WatchdogState.OKAY:
             if before is WatchdogState.REOPEN:
-                server.started_ms = self.clock.now()  # back on a new connection: treated as cold
+                server.started_ms = self.clock.now()  # back on a new connection: taken for a cold start
                 self.broker.recorder.record_peer(server.host, server.state_id, server.started_ms)
             self.announce(server, Lifecycle.READY)
         elif after in (WatchdogState.SUSPECT, WatchdogState.DOWN):
             self.announce(server, Lifecycle.DRAINING)
 
     def on_disconnect_request(self, connection: PeerConnection, cause: int) -> None:
-        log.info("%s: asks to disconnect, cause %d", connection.host, cause)
+        log.info("%s: asked to disconnect, cause %d", connection.host, cause)
         self.announce(self.servers[connection.host], Lifecycle.DRAINING)
 
     def on_close(self, connection: PeerConnection) -> None:
         super().on_close(connection)
         server = self.servers[connection.host]
-        if server.dialing is connection:  # it closed before it was open: there is no peer to be lost
+        if (
+            server.dialing is connection
+        ):  # closed before capabilities were exchanged: not seen by `connection_lost`
             self._redial(server)
 
     def connection_lost(self, peer: Peer, connection: PeerConnection) -> None:
         server = self.servers[peer.host]
-        out, server.open_attempts = server.open_attempts, {}
+        attempts, server.open_attempts = server.open_attempts, {}
         self.announce(server, Lifecycle.DRAINING)
-        for attempt in out.values():
-            self._queue_release(server, attempt.request.id)  # it may have set the call up unheard
+        for attempt in attempts.values():
+            self._queue_release(server, attempt.request.id)  # the answer may be lost
             self.broker.attempt_ended(attempt, Outcome.RESET)
         self._start_sessions_lost_timer(server)
         self._redial(server)
@@ -185,14 +196,16 @@
         )
 
     def _queue_release(self, server: ServerPeer, call: str) -> None:
+        """Keeps a release, also on record, until the server is connected."""
         server.pending_releases.append(call)
         self.broker.recorder.record_owed_release(server.host, call)
 
     def resume(
         self, peers: Mapping[str, tuple[int | None, float]], releases: Iterable[tuple[str, str]]
     ) -> None:
-        """What was on record before a restart: Origin-State-Ids and starts; servers and calls to be ended
-        there."""
+        """Takes over what was recorded before a restart or handover.
+
+        `peers` has each server's Origin-State-Id and start, ms, by host; `releases` are (host, call)."""
         for host, (state_id, started_ms) in peers.items():
             if host in self.servers:
                 self.servers[host].state_id, self.servers[host].started_ms = state_id, started_ms
@@ -202,12 +215,10 @@
             else:
                 self.broker.recorder.clear_owed_release(host, call)
         for server in self.servers.values():
-            self._start_sessions_lost_timer(
-                server
-            )  # one that does not come back in time has lost what stood there
+            self._start_sessions_lost_timer(server)  # one that does not come back in time has lost its calls
 
     def _on_sessions_lost(self, server: ServerPeer) -> None:
-        """Away too long: what stood there is over towards its clients, and ended there when it is back."""
+        """Ends the calls of a server that has been away for too long; if it comes back it gets releases."""
         for request in self.broker.requests:
             if (
                 request.state is State.ESTABLISHED
@@ -248,7 +259,9 @@
                     self._on_calls_lost(server, since_ms, stood_by_ms)
 
     def _request_sign_of_life(self, server: ServerPeer) -> None:
-        """A watchdog request beside the watchdog's own, whose interval RFC 3539 does not let go under 6 s."""
+        """Sends a Device-Watchdog-Request of its own.
+
+        Those of the watchdog come too late: RFC 3539 does not allow an interval under 6 s."""
         connection = server.open_connection()
         if connection is not None:
             connection.send_request(
@@ -256,18 +269,22 @@
             )
 
     def _on_calls_lost(self, server: ServerPeer, since_ms: float, stood_by_ms: float) -> None:
+        """Ends the calls of a server that has been silent for too long.
+
+        It gets their releases now or later. A connection from before the silence is dropped first."""
         silent_ms = self.clock.now() - since_ms
         log.warning("%s: liveness: suspected -> lost, silent for %.0f ms", server.host, silent_ms)
-        over = self.broker.end_established_calls(server.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
+        ended = self.broker.end_established_calls(server.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
         connection = server.open_connection()
         if connection is not None and connection.process_since_ms <= since_ms:
             connection.drop()
-        for call in over:
+        for call in ended:
             self._send_termination(server, call)
 
     # From the broker
 
     def send(self, attempt: Attempt) -> None:
+        """Sends an attempt as a CCR-Initial; it fails at once if the server is not connected."""
         server, request = self.servers[attempt.server], attempt.request
         connection = server.open_connection()
         if connection is None:
@@ -279,7 +296,7 @@
         attempt.route_ref = connection.send_request(
             avp.CC,
             [
-                *self._ccr_head(server, request.id, avp.INITIAL, attempt.number),
+                *self._ccr_avps(server, request.id, avp.INITIAL, attempt.number),
                 make(avp.SERVICE_CONTEXT_ID, f"{request.call_class}@{self.identity.realm}"),
                 make(avp.MAXIMUM_WAIT_TIME, left),
                 *avp.read_avps(body),
@@ -289,7 +306,8 @@
         server.open_attempts[attempt.route_ref] = attempt
         self.broker.metrics.sent(request.call_class)
 
-    def _ccr_head(self, server: ServerPeer, call: str, request_type: int, number: int) -> list[avp.Avp]:
+    def _ccr_avps(self, server: ServerPeer, call: str, request_type: int, number: int) -> list[avp.Avp]:
+        """The AVPs that every CCR starts with; `number` is its CC-Request-Number."""
         connection = server.open_connection()
         return [
             make(avp.SESSION_ID, call),
@@ -302,6 +320,7 @@
         ]
 
     def _send_termination(self, server: ServerPeer, call: str) -> None:
+        """Sends a CCR-Termination for a call, or queues it until the server is connected."""
         connection = server.open_connection()
         if connection is None:
             self._queue_release(server, call)
@@ -310,27 +329,31 @@
             connection.send_request(
                 avp.CC,
                 [
-                    *self._ccr_head(server, call, avp.TERMINATION, last),
+                    *self._ccr_avps(server, call, avp.TERMINATION, last),
                     make(avp.SERVICE_CONTEXT_ID, f"release@{self.identity.realm}"),
                 ],
                 avp.CREDIT_CONTROL,
             )
 
     def give_up(self, attempt: Attempt) -> None:
+        """Gives up an open attempt: its late answer, if any, is ignored."""
         server = self.servers[attempt.server]
         if attempt.route_ref is not None and server.open_attempts.pop(attempt.route_ref, None) is attempt:
             self._send_termination(server, attempt.request.id)
 
     def release(self, attempt: Attempt) -> None:
+        """Releases an established call at its server."""
         self._send_termination(self.servers[attempt.server], attempt.request.id)
 
     def release_unknown(self, call: str) -> None:
+        """Releases a call at every connected server, as the server that has it is not known."""
         for server in self.servers.values():
             if server.open_connection() is not None:
                 self._send_termination(server, call)
 
     def probe(self, server: str, number: int) -> None:
-        self.broker.probe_ended(number, Outcome.NOT_SENT)  # the watchdog is all that tests a peer
+        """Sends no probe: a peer is tested by its watchdog alone."""
+        self.broker.probe_ended(number, Outcome.NOT_SENT)
 
     # From servers
 
@@ -338,7 +361,7 @@
         result = message.get(avp.RESULT_CODE)
         attempt = self.servers[connection.host].open_attempts.pop(message.hop_by_hop, None)
         if attempt is None:
-            return  # the answer to a release, or late: its session was ended when it was given up
+            return  # of a CCR-Termination, or late: the session was terminated with the give-up
         match result:
             case avp.SUCCESS:
                 self.broker.call_established(attempt, service_avps(message))
@@ -348,7 +371,7 @@
                 self.broker.attempt_ended(attempt, Outcome.ERROR)
 
     def handle_request(self, connection: PeerConnection, message: Message) -> None:
-        """A server ends a call."""
+        """Handles an ASR: the server ends a call. It is answered once the end is recorded."""
         if message.command != avp.AS:
             connection.reply(message, avp.COMMAND_UNSUPPORTED, error=f"command {message.command}")
             return
@@ -375,6 +398,7 @@
     def _end_call(
         self, connection: PeerConnection, request: Request, attempt: Attempt, outcome: Outcome
     ) -> None:
+        """Ends a call that its server ended. One without an answer yet has failed, and is not sent again."""
         if request.state is State.OPEN and attempt.route_ref is not None:
             self.servers[connection.host].open_attempts.pop(attempt.route_ref, None)
             if outcome is Outcome.OK:
--- a/frostport/diameter/watchdog.py
+++ b/frostport/diameter/watchdog.py
@@ -36,8 +36,8 @@
         close_connection: Callable[[], None],
         on_change: Callable[[WatchdogState, WatchdogState], None],
     ) -> None:
-        """`send_request` sends a Device-Watchdog-Request, `close_connection` closes the peer's connection, and
-        `on_change` gets the state before and after. `interval_ms` is Tw."""
+        """`interval_ms` is Tw. `send_request` sends a Device-Watchdog-Request, `close_connection` closes the
+        connection of the peer, `on_change` gets the state before and after."""
         self.clock, self.deadlines, self.interval_ms, self.rng = clock, deadlines, interval_ms, rng
         self.send_request, self.close_connection, self.on_change = send_request, close_connection, on_change
         self.state = WatchdogState.INITIAL
@@ -66,7 +66,7 @@
         self.send_request()
 
     def connection_up(self) -> None:
-        """Called when capabilities are exchanged. A first connection is OKAY at once, a later one is tested."""
+        """Called when capabilities are exchanged; only the first connection is OKAY at once."""
         self.pending = False
         self._set_timer()
         if self.state is WatchdogState.INITIAL:
