--- a/frostport/diameter/route.py
+++ b/frostport/diameter/route.py
@@ -398,7 +398,9 @@
     def _end_call(
         self, connection: PeerConnection, request: Request, attempt: Attempt, outcome: Outcome
     ) -> None:
-        """Ends a call that its server ended. One without an answer yet has failed, and is not sent again."""
+        """Ends a call that its server has ended.
+
+        Before the answer, a normal end fails the call without another attempt; any other end is a reset."""
         if request.state is State.OPEN and attempt.route_ref is not None:
             self.servers[connection.host].open_attempts.pop(attempt.route_ref, None)
             if outcome is Outcome.OK:
--- a/tests/diameter.py
+++ b/tests/diameter.py
@@ -1,8 +1,9 @@
-"""Stand-ins that speak Diameter for the scenario language, and the audit of what they saw.
+"""Scripted parties that speak Diameter, for the scenario language, and an audit of their messages.
 
 Messages are written as NAME SESSION field=value: CCR-I, CCR-T, CCA (with `result`), ASR, ASA, CER, DWR, DPR.
-A stand-in exchanges capabilities by itself and answers watchdogs; `mute` drops them, `unmute` answers again,
-`bare` leaves the capabilities to the script, and `state=N` is its next Origin-State-Id.
+A party exchanges capabilities and answers watchdogs by itself. After `mute` it ignores watchdogs, after
+`unmute` it answers them again; `bare` leaves the capabilities to the script, and `state=N` sets its
+Origin-State-Id.
 """
 
 from __future__ import annotations
@@ -16,6 +17,7 @@
 
 COMMAND_NAMES = {avp.CE: "CE", avp.CC: "CC", avp.AS: "AS", avp.DW: "DW", avp.DP: "DP"}
 SUFFIX_BY_REQUEST_TYPE = {avp.INITIAL: "-I", avp.UPDATE: "-U", avp.TERMINATION: "-T", avp.EVENT: "-E"}
+# The fields of messages in scripts
 SHOWN_AVPS = {
     "result": avp.RESULT_CODE,
     "wait": avp.MAXIMUM_WAIT_TIME,
@@ -27,6 +29,7 @@
 
 
 def config(**caps: Any) -> dict[str, Any]:
+    """The configuration of an agent with two client and two server peers; `caps` override its settings'."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:1",
@@ -51,7 +54,7 @@
 
 
 class DiameterActor(Actor):
-    """A client or a lobby server."""
+    """A client peer or a lobby server."""
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__(world, name)
@@ -83,14 +86,15 @@
                 self.inbox.append(heard)
 
     def describe(self, message: Message) -> Heard:
-        kind = (
+        """A message as its name, its session and its fields."""
+        suffix = (
             SUFFIX_BY_REQUEST_TYPE.get(message.get(avp.CC_REQUEST_TYPE), "")
             if message.command == avp.CC
             else ""
         )
         way = "R" if message.is_request else "A"
         heard = {
-            "": f"{COMMAND_NAMES.get(message.command, message.command)}{way}{kind}",
+            "": f"{COMMAND_NAMES.get(message.command, message.command)}{way}{suffix}",
             "tag": message.get(avp.SESSION_ID) or "",
         }
         for name, definition in SHOWN_AVPS.items():
@@ -133,18 +137,18 @@
         if name[:2] == "AS":
             avps.append(make(avp.DESTINATION_HOST, "n0"))
         if name[:2] == "CC":
-            kind = next(code for code, ending in SUFFIX_BY_REQUEST_TYPE.items() if ending == name[3:])
+            request_type = next(code for code, ending in SUFFIX_BY_REQUEST_TYPE.items() if ending == name[3:])
             avps += [
                 make(avp.SERVICE_CONTEXT_ID, given.get("svc", "race@there")),
-                make(avp.CC_REQUEST_TYPE, kind),
+                make(avp.CC_REQUEST_TYPE, request_type),
                 make(avp.CC_REQUEST_NUMBER, 0),
             ]
             avps += [make(avp.DESTINATION_HOST, given["dest"])] if "dest" in given else []
             avps += [make(avp.OC_SUPPORTED_FEATURES, [])] if "oc" in given else []
         for field, definition in SHOWN_AVPS.items():
             if field in given and field != "svc":
-                number = definition.data_format is not avp.DataFormat.TEXT
-                avps.append(make(definition, int(given[field]) if number else given[field]))
+                is_number = definition.data_format is not avp.DataFormat.TEXT
+                avps.append(make(definition, int(given[field]) if is_number else given[field]))
         avps = [entry for entry in avps if str(entry.code) != given.get("without")]
         avps += extra_avps(given)
         self.last_id += 1
@@ -161,13 +165,14 @@
         ).encode()
 
     def encode_answer(self, name: str, session: str, given: Heard, avps: list[Avp]) -> bytes:
-        asked = self.requests[f"{name[:2]}R{name[3:] or ('-I' if name == 'CCA' else '')}", session]
+        """Encodes an answer to the last request of this kind and session."""
+        request = self.requests[f"{name[:2]}R{name[3:] or ('-I' if name == 'CCA' else '')}", session]
         result = int(given["result"])
         return Message(
-            asked.command,
-            asked.application,
-            asked.hop_by_hop,
-            asked.end_to_end,
+            request.command,
+            request.application,
+            request.hop_by_hop,
+            request.end_to_end,
             avp.ERROR if 3000 <= result < 4000 else 0,
             [
                 *avps,
@@ -198,7 +203,10 @@
 
 
 class DiameterWorld(World):
-    """The agent with its Diameter front, and the log of all that its peers heard and said."""
+    """An agent with the Diameter front, and the log of all messages that its peers received and sent.
+
+    An entry has the time, the peer, "hears" or "says", the message, and since when the decision module has
+    taken no set-ups there (None: it does)."""
 
     actor = DiameterActor
 
@@ -208,42 +216,43 @@
 
 
 def record_event(actor: Actor, way: str, heard: Heard) -> None:
+    """Adds a message to the log of the world."""
     world = actor.world
     if isinstance(world, DiameterWorld):
         agent = getattr(world, "agent", None)
-        told = agent.rules.servers.get(actor.name) if agent is not None else None
-        world.log.append((world.clock.at, actor.name, way, heard, told.closed_since_ms if told else None))
+        server = agent.rules.servers.get(actor.name) if agent is not None else None
+        world.log.append((world.clock.at, actor.name, way, heard, server.closed_since_ms if server else None))
 
 
 def audit(world: DiameterWorld) -> Iterator[str]:
-    """Reads the log of the peers, not the agent's: one line for each rule that is broken."""
-    out: dict[str, str] = {}  # session: the server where an attempt is out
-    free: dict[str, float] = {}  # session: not to be sent again before
-    finals: dict[str, int] = {}
-    asked: dict[str, int] = {}
+    """Checks the log of the peers, and yields one line for each rule that the agent has broken."""
+    server_by_session: dict[str, str] = {}  # session -> the server of its open attempt
+    may_resend_at: dict[str, float] = {}  # session -> when it may be sent again, ms
+    final_answers: dict[str, int] = {}
+    set_ups: dict[str, int] = {}
     for at, who, way, heard, closed_since_ms in world.log:
         name, call = heard[""], heard["tag"]
         if who.startswith("c"):
-            asked[call] = asked.get(call, 0) + (name == "CCR-I")
-            finals[call] = finals.get(call, 0) + (name == "CCA-I")
+            set_ups[call] = set_ups.get(call, 0) + (name == "CCR-I")
+            final_answers[call] = final_answers.get(call, 0) + (name == "CCA-I")
             continue
         if name == "CCR-I":
-            if call in out:
-                yield f"{call}: two attempts out, at {out[call]} and {who}"
-            if at < free.get(call, 0.0):
-                yield f"{call}: sent again {free[call] - at:.0f} ms too early"
+            if call in server_by_session:
+                yield f"{call}: two attempts out, at {server_by_session[call]} and {who}"
+            if at < may_resend_at.get(call, 0.0):
+                yield f"{call}: sent again {may_resend_at[call] - at:.0f} ms too early"
             if closed_since_ms is not None and at > closed_since_ms + 2000.0:
                 yield f"{call}: sent to {who}, draining since {at - closed_since_ms:.0f} ms"
-            out[call] = who
-        elif name.startswith("CCA") and way == "says" and out.get(call) == who:
-            del out[call]
-        elif name == "CCR-T" and out.get(call) == who:
-            del out[call]
-            free[call] = at + 500.0
+            server_by_session[call] = who
+        elif name.startswith("CCA") and way == "says" and server_by_session.get(call) == who:
+            del server_by_session[call]
+        elif name == "CCR-T" and server_by_session.get(call) == who:
+            del server_by_session[call]
+            may_resend_at[call] = at + 500.0
         elif name == "closed":
-            for lost in [session for session, server in out.items() if server == who]:
-                del out[lost]
-                free[lost] = at + 500.0
-    for call, count in finals.items():
-        if call and count > asked[call]:
-            yield f"{call}: {count} final answers to {asked[call]} requests"
+            for lost in [session for session, server in server_by_session.items() if server == who]:
+                del server_by_session[lost]
+                may_resend_at[lost] = at + 500.0
+    for call, count in final_answers.items():
+        if call and count > set_ups[call]:
+            yield f"{call}: {count} final answers to {set_ups[call]} requests"
--- a/tests/test_diameter.py
+++ b/tests/test_diameter.py
@@ -1,4 +1,4 @@
-"""Scenarios on the Diameter front, with stand-ins for clients and lobby servers that follow a script."""
+"""Scenarios on the Diameter front and route, with scripted clients and lobby servers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     send c1 CCR-I a dest=s0 wait=3000 key=500
     expect s0 CCR-I a wait=3000 key=500 svc=race@here
 """
-STANDS = (
+ESTABLISHED = (
     SET_UP
     + """
     send s0 CCA a result=2001 key=table-7
@@ -25,7 +25,7 @@
     wait 8100
 """
 SCENARIOS = {
-    "a call stands; its server ends it": STANDS
+    "an established call is ended by its server": ESTABLISHED
     + """
         send s0 ASR a cause=1
         expect s0 ASA a result=2001
@@ -35,7 +35,7 @@
         expect s0 ASA a result=5002
         expect c1 nothing
     """,
-    "a call stands; its client releases it": STANDS
+    "an established call is released by its client": ESTABLISHED
     + """
         send c1 CCR-T a
         expect s0 CCR-T a
@@ -44,14 +44,14 @@
         expect s0 nothing
         expect c1 nothing
     """,
-    "a busy server: the other one is tried at once": SET_UP
+    "a busy server: the other server is tried at once": SET_UP
     + """
         send s0 CCA a result=3004
         expect s1 CCR-I a
         send s1 CCA a result=2001
         expect c1 CCA-I a result=2001
     """,
-    "other errors use up the attempts: failed": SET_UP
+    "other errors use up the attempts: the set-up fails": SET_UP
     + """
         send s0 CCA a result=5012
         expect s1 CCR-I a
@@ -62,7 +62,7 @@
         send s1 CCA a result=5012
         expect c1 CCA-I a result=5012 error=0
     """,
-    "time runs out: one answer, the set-up is ended, a late answer changes nothing": SET_UP
+    "the deadline passes: one answer, the attempt is given up, a late answer changes nothing": SET_UP
     + """
         wait 2999
         expect c1 nothing
@@ -73,11 +73,11 @@
         expect s0 nothing
         expect c1 nothing
     """,
-    "without a wait of its own a set-up has its class's deadline": """
+    "a set-up without Maximum-Wait-Time has the deadline of its class": """
         send c1 CCR-I a dest=s0
         expect s0 CCR-I a wait=9000
     """,
-    "who connects and says nothing, or half a message, is closed": """
+    "a connection that sends nothing, or half a message, is closed": """
         send c1 bare
         send c1 raw 010000
         wait 1999
@@ -90,7 +90,7 @@
         wait 2
         expect c2 closed
     """,
-    "an answer that can't be read ends its connection, and all that is open on it": SET_UP
+    "a malformed answer closes its connection and resets the attempts open on it": SET_UP
     + """
         send c2 CCR-I b dest=s0 wait=3000
         expect s0 CCR-I b
@@ -111,7 +111,7 @@
         expect s1 nothing
         expect c1 nothing
     """,
-    "a second copy of an answer, or one to nothing asked, changes nothing": SET_UP
+    "a second copy of an answer, or an answer without a request, changes nothing": SET_UP
     + """
         send s0 CCA a result=2001
         send s0 CCA a result=2001
@@ -119,7 +119,7 @@
         expect c1 nothing
         expect s0 nothing
     """,
-    "a time that no caller could wait": """
+    "a Maximum-Wait-Time out of range is refused": """
         send c1 CCR-I a dest=s0 wait=0
         expect c1 CCA a result=5004 failed=1537:000028af00000000
         send c1 CCR-I a dest=s0 wait=90001
@@ -134,7 +134,7 @@
         expect c1 closed
         expect s0 CCR-T a
     """,
-    "a client that closed, heard by the system alone, held for a retry: nothing begins for it": SET_UP
+    "a client closes during a retry's wait, and only the system notices: no attempt begins for it": SET_UP
     + """
         send s0 CCA a result=3004
         expect s1 CCR-I a
@@ -145,7 +145,7 @@
         expect s1 nothing
         expect agent open 0
     """,
-    "duplicates without end": SET_UP
+    "a set-up with too many duplicates": SET_UP
     + 7
     * """
         send c1 CCR-I a dest=s0 wait=3000
@@ -164,7 +164,7 @@
         expect s0 nothing
         expect c1 nothing
     """,
-    "no server to be had: refused; a client that heeds overload hears when to come back": """
+    "no server available: refused; a client with overload control learns when to retry": """
         close s0 dead
         close s1 dead
         wait 12000
@@ -222,7 +222,7 @@
         send c1 CCR-I b dest=s0 wait=3000
         expect s0 CCR-I b
     """,
-    "a peer lost for good: what stood there is over within 8 s, and ended there when it is back": STANDS
+    "a server that is away: its calls end within 8 s, and are terminated there when it is back": ESTABLISHED
     + """
         close s0 dead
         wait 6900
@@ -233,7 +233,7 @@
         wait 1000
         expect s0 CCR-T a
     """,
-    "a peer that falls silent on an open connection: what stood there is over within 8 s": STANDS
+    "a server that falls silent on an open connection: its calls end within 8 s": ESTABLISHED
     + """
         send s0 mute
         wait 6900
@@ -245,7 +245,7 @@
         wait 1100
         expect s0 CCR-T a
     """,
-    "one that is heard again before: what stood there stands": STANDS
+    "a server that is silent for less than 8 s keeps its calls": ESTABLISHED
     + """
         send s0 mute
         wait 5500
@@ -256,7 +256,7 @@
         send s0 ASR a cause=1
         expect c1 ASR a
     """,
-    "a peer back soon with its state: what stood there stands": STANDS
+    "a server that is back soon with the same Origin-State-Id keeps its calls": ESTABLISHED
     + """
         close s0
         wait 1000
@@ -265,7 +265,7 @@
         send s0 ASR a cause=1
         expect c1 ASR a
     """,
-    "a peer back cold: its sessions are over, it passes REOPEN": STANDS
+    "a peer back cold: its sessions are over, it passes REOPEN": ESTABLISHED
     + """
         close s0
         send s0 state=2
@@ -290,13 +290,13 @@
         close s0
         expect c1 nothing
     """,
-    "a client's set-ups go with its connection": SET_UP
+    "a client that closes its connection gives up its set-ups": SET_UP
     + """
         close c1
         expect s0 CCR-T a
         expect agent open 0
     """,
-    "a release waits for its client": STANDS
+    "a release is kept until its client connects": ESTABLISHED
     + """
         close c1
         send s0 ASR a cause=1
@@ -306,14 +306,14 @@
         send c1 DWR
         expect c1 ASR a
     """,
-    "a session belongs to its client": STANDS
+    "a session belongs to its client": ESTABLISHED
     + """
         send c2 CCR-T a
         expect s0 nothing
         send c2 CCR-I a
         expect c2 CCA-I a result=5002
     """,
-    "after a restart, releases of unknown sessions are passed on both ways": """
+    "after a restart, releases of unknown sessions are forwarded both ways": """
         send c1 DWR
         send s0 ASR a cause=1
         expect s0 ASA a result=2001
@@ -322,7 +322,7 @@
         expect s0 CCR-T b
         expect s1 CCR-T b
     """,
-    "a server that hangs up before its capabilities is dialed once a second, not more": """
+    "a server that closes before the capabilities exchange is dialed once a second": """
         send s0 bare
         close s0
         wait 1000
@@ -342,7 +342,7 @@
         expect s0 closed
         expect s0 CER
     """,
-    "a server that is not the one called is turned away": """
+    "a server with another Origin-Host than the one dialed is disconnected": """
         send s0 bare
         close s0
         wait 1000
@@ -352,7 +352,7 @@
         wait 1000
         expect s0 CER
     """,
-    "an unknown peer is turned away": """
+    "an unknown peer is refused": """
         send c1 bare
         send c1 CER host=stranger
         expect c1 CEA result=3010 error=1
@@ -364,12 +364,12 @@
         expect c1 CEA result=5010
         expect c1 closed
     """,
-    "nothing before the capabilities": """
+    "a request before the capabilities exchange closes the connection": """
         send c1 bare
         send c1 DWR
         expect c1 closed
     """,
-    "a peer that calls again takes the place of its old connection": """
+    "a new connection of a peer replaces its old one": """
         send c1 DWR
         send c1 CCR-I a dest=s0 wait=3000
         expect s0 CCR-I a
@@ -377,7 +377,7 @@
         expect c1 closed
         expect s0 CCR-T a
     """,
-    "a bad version or length closes": """
+    "a wrong version or length closes the connection": """
         send c1 DWR
         send c1 raw 01000013
         expect c1 closed
@@ -385,7 +385,7 @@
         send c1 raw 01ffffff
         expect c1 closed
     """,
-    "malformed requests get the RFC's results": """
+    "malformed requests get the Result-Codes of RFC 6733": """
         send c1 CCR-I a without=461
         expect c1 CCA a result=5005 failed=461: error=0
         send c1 CCR-I a with=263:40:61
@@ -410,7 +410,7 @@
         expect s0 CCR-I a
         expect c1 nothing
     """,
-    "sigterm: what is taken is answered, then the peers hear goodbye": SET_UP
+    "SIGTERM: open set-ups are answered, then the peers are disconnected": SET_UP
     + """
         send agent term
         wait 1000
@@ -426,8 +426,8 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_scenario(name: str) -> None:
-    wanted = config(**{"retry-after": True, "max-retry-after-ms": 2000.0})
-    world = play(SCENARIOS[name], wanted, DiameterWorld)
+    record = config(**{"retry-after": True, "max-retry-after-ms": 2000.0})
+    world = play(SCENARIOS[name], record, DiameterWorld)
     assert isinstance(world, DiameterWorld)
     for at, who, way, heard, _ in world.log:
         print(f"{at:.0f} {who} {way} {heard}")
@@ -435,7 +435,7 @@
     assert len(world.log) > 3
 
 
-def test_the_audit_sees_broken_rules() -> None:
+def test_audit_reports_broken_rules() -> None:
     world = DiameterWorld(config())
     world.log = [
         (0.0, "s0", "hears", {"": "CCR-I", "tag": "a"}, None),
@@ -448,16 +448,17 @@
     assert len(list(audit(world))) == 4
 
 
-def test_a_length_that_lies_is_told_with_its_header() -> None:
-    with pytest.raises(avp.AvpError) as told:
+def test_wrong_avp_length_is_reported_with_the_avp_header() -> None:
+    with pytest.raises(avp.AvpError) as raised:
         avp.read_avps(bytes.fromhex("0000010840000099") + b"x")
     assert (
-        told.value.result_code == avp.INVALID_AVP_LENGTH and told.value.failed_avp.hex() == "0000010840000008"
+        raised.value.result_code == avp.INVALID_AVP_LENGTH
+        and raised.value.failed_avp.hex() == "0000010840000008"
     )
 
 
 @pytest.mark.parametrize("at", range(1, 60, 7))
-def test_messages_come_whole_out_of_any_split(at: int) -> None:
+def test_messages_are_read_from_any_split(at: int) -> None:
     message = avp.Message(
         avp.CC, 4, 7, 9, avp.REQUEST, [avp.make(avp.SESSION_ID, "ab"), avp.make(avp.MAXIMUM_WAIT_TIME, 5)]
     )
@@ -472,7 +473,7 @@
 
 def test_a_draining_agent_refuses_a_peer_that_still_has_calls() -> None:
     play(
-        STANDS
+        ESTABLISHED
         + """
         door drain => OK draining
         send c1 CCR-I b dest=s1 wait=3000
