--- a/frostport/diameter/front.py
+++ b/frostport/diameter/front.py
@@ -138,7 +138,7 @@
                 connection.drop()
 
     def empty(self) -> None:
-        """Does nothing: a drain is told to a peer by its watchdogs, and its connection stays open."""
+        """Does nothing: a peer learns of a drain by its watchdogs, not by a close."""
 
     def hang_up(self) -> None:
         """Does nothing: `disconnect` has told the peers. Buffered output is sent as the process ends."""
--- a/frostport/diameter/route.py
+++ b/frostport/diameter/route.py
@@ -375,19 +375,19 @@
         if message.command != avp.AS:
             connection.reply(message, avp.COMMAND_UNSUPPORTED, error=f"command {message.command}")
             return
-        name = str(message.get(avp.SESSION_ID))
+        session_id = str(message.get(avp.SESSION_ID))
         cause = message.get(avp.TERMINATION_CAUSE)
         outcome = Outcome.OK if cause in (None, avp.LOGOUT) else Outcome.RESET
         if self.broker.recorder.defers(
-            name, connection.host, lambda: self.handle_request(connection, message)
+            session_id, connection.host, lambda: self.handle_request(connection, message)
         ):
             return
-        request = self.broker.find_request(name)
+        request = self.broker.find_request(session_id)
         attempt = request.attempt if request is not None else None
         if request is None:
-            fresh = name not in self.broker.ended_ids
-            self.broker.unknown_call_ended(name, self.front, outcome)
-            result = avp.SUCCESS if fresh else avp.UNKNOWN_SESSION_ID
+            is_first = session_id not in self.broker.ended_ids
+            self.broker.unknown_call_ended(session_id, self.front, outcome)
+            result = avp.SUCCESS if is_first else avp.UNKNOWN_SESSION_ID
             self.broker.recorder.barrier(lambda: connection.reply(message, result))
         elif attempt is None or attempt.server != connection.host:
             connection.reply(message, avp.UNKNOWN_SESSION_ID)
