--- a/frostport/diameter/route.py
+++ b/frostport/diameter/route.py
@@ -1,4 +1,8 @@
-"""The Diameter route: lobby servers are peers that are called from here, watched by their watchdogs."""
+"""The Diameter route: connects to the lobby servers as peers, and sets calls up there.
+
+A set-up goes out as a CCR-Initial, a give-up or release as a CCR-Termination. A server ends a call by an ASR.
+The state of a server's watchdog is reported to the decision module as the server list.
+"""
 
 from __future__ import annotations
 
@@ -22,36 +26,39 @@
 )
 from frostport.diameter import avp
 from frostport.diameter.avp import Message, make
-from frostport.diameter.front import carried
-from frostport.diameter.peer import EXCHANGE_MS, Identity, Node, Peer, PeerConnection
+from frostport.diameter.front import service_avps
+from frostport.diameter.peer import EXCHANGE_TIMEOUT_MS, DiameterNode, Identity, Peer, PeerConnection
 from frostport.diameter.settings import DiameterServer
-from frostport.diameter.watchdog import Watch
+from frostport.diameter.watchdog import WatchdogState
 from frostport.interface import Lifecycle, ListKind, Outcome
 
 log = logging.getLogger("frostport.diameter.route")
 
-REDIAL_MS = 1000.0
+REDIAL_MS = 1000.0  # pause before a server is dialed again
 
 
 class ServerPeer(Peer):
-    """A lobby server: what is out on its connection, and what the module was told of it."""
+    """A lobby server. Its pending releases are sent once it is connected."""
 
     def __init__(self, entry: DiameterServer, liveness: ServerLiveness) -> None:
         super().__init__(entry.host)
         self.liveness = liveness
-        self.entry = entry
-        self.out: dict[int, Attempt] = {}  # by hop-by-hop id
-        self.owed: list[str] = []  # sessions to be ended once it is back
-        self.told: Lifecycle | None = None
-        self.started_ms = 0.0
-        self.state_id: int | None = None
-        self.lost: Deadline | None = None
-        self.dialing: PeerConnection | None = None
-        self.redial: Deadline | None = None
+        self.config = entry
+        self.open_attempts: dict[int, Attempt] = {}  # by Hop-by-Hop Identifier
+        self.pending_releases: list[str] = []  # calls whose sessions are to be terminated there
+        self.announced_state: Lifecycle | None = None  # as last reported to the decision module; None: gone
+        self.started_ms = 0.0  # when it came back, for its slow start; 0: long ago
+        self.state_id: int | None = None  # its last Origin-State-Id
+        self.sessions_lost_timer: Deadline | None = None
+        self.dialing: PeerConnection | None = None  # until its capabilities are exchanged
+        self.redial_timer: Deadline | None = None
+
 
+class DiameterRoute(DiameterNode):
+    """The broker's `Route` to server peers.
 
-class DiameterRoute(Node):
-    """Sets calls up at server peers. A peer that misses a watchdog is told to the module as draining."""
+    A server is ready while its watchdog is OKAY. One that misses a watchdog, loses its connection or asks to
+    disconnect is draining, and gone once it has been away for `sessions_lost_ms`."""
 
     def __init__(
         self,
@@ -61,35 +68,35 @@
         servers: list[DiameterServer],
         interval_ms: float,
         sessions_lost_ms: float,
-        chance: random.Random,
+        rng: random.Random,
         connect: Callable[[str, PeerConnection], defer.Deferred[object]],
     ) -> None:
-        super().__init__(identity, broker.clock, broker.deadlines, interval_ms, chance)
+        super().__init__(identity, broker.clock, broker.deadlines, interval_ms, rng)
         self.broker, self.front, self.connect = broker, front, connect
         self.sessions_lost_ms = sessions_lost_ms
         self.servers: dict[str, ServerPeer] = {}
         self.version = 0
-        self.ending = False
-        self._sweep = LivenessSweep(self.clock, self.deadlines, self.servers.values, self._look_at)
+        self.stopping = False
+        self._sweep = LivenessSweep(self.clock, self.deadlines, self.servers.values, self._check_liveness)
         for entry in servers:
             liveness = ServerLiveness(broker.clock.now(), sessions_lost_ms)
             self.servers[entry.host] = ServerPeer(entry, liveness)
-            self.add(self.servers[entry.host])
+            self.add_peer(self.servers[entry.host])
 
     def start(self) -> None:
-        self.broker.update_server_list(
-            ListKind.PERSISTED, self.version, []
-        )  # each joins once it has been reached
+        """Dials all servers. The server list is empty at first: each joins it once it is connected."""
+        self.broker.update_server_list(ListKind.PERSISTED, self.version, [])
         for server in self.servers.values():
             self.dial(server)
         self._sweep.start()
 
     def dial(self, server: ServerPeer) -> None:
-        if server.link is not None or server.dialing is not None or self.ending:
+        """Dials a server, unless it is connected or being dialed."""
+        if server.connection is not None or server.dialing is not None or self.stopping:
             return
-        server.dialing = self.connection(server.host)
-        dialing = self.connect(server.entry.dial, server.dialing)
-        limit = self.deadlines.set(self.clock.now() + EXCHANGE_MS, dialing.cancel)
+        server.dialing = self.make_connection(server.host)
+        dialing = self.connect(server.config.dial, server.dialing)
+        limit = self.deadlines.set(self.clock.now() + EXCHANGE_TIMEOUT_MS, dialing.cancel)
 
         def settled(result: object) -> object:
             limit.cancel()
@@ -103,128 +110,138 @@
 
     def _redial(self, server: ServerPeer) -> None:
         server.dialing = None
-        if server.redial is not None:
-            server.redial.cancel()
-        if not self.ending:
-            server.redial = self.deadlines.set(self.clock.now() + REDIAL_MS, lambda: self.dial(server))
-
-    def tell(self, server: ServerPeer, state: Lifecycle) -> None:
-        """Changes the module's list, if this is a change."""
-        if server.told is state or (server.told is None and state is not Lifecycle.READY):
+        if server.redial_timer is not None:
+            server.redial_timer.cancel()
+        if not self.stopping:
+            server.redial_timer = self.deadlines.set(self.clock.now() + REDIAL_MS, lambda: self.dial(server))
+
+    def announce(self, server: ServerPeer, state: Lifecycle) -> None:
+        """Reports a server's state to the decision module, if it has changed.
+
+        A server that is not on its list joins it only as ready."""
+        if server.announced_state is state or (
+            server.announced_state is None and state is not Lifecycle.READY
+        ):
             return
-        server.told = None if state is Lifecycle.GONE else state
+        server.announced_state = None if state is Lifecycle.GONE else state
         self.version += 1
-        log.info("%s is told as %s", server.host, state.value)
+        log.info("%s: reported to the decision module as %s", server.host, state.value)
         self.broker.update_server_list(
             ListKind.CHANGES,
             self.version,
-            [api.Server(server.host, server.entry.number, state, server.entry.zone, server.started_ms)],
+            [api.Server(server.host, server.config.number, state, server.config.zone, server.started_ms)],
         )
 
     # Peers
 
-    def opened(self, link: PeerConnection) -> None:
-        server = self.servers[link.host]
-        if server.lost is not None:
-            server.lost.cancel()
-        before, server.state_id = server.state_id, link.state_id
-        # The same Origin-State-Id says that the process goes on (RFC 6733, section 8.16).
-        same_process = before is not None and before == link.state_id
-        link.process_seen_ms = 0.0 if same_process else self.clock.now()
-        if before is not None and link.state_id is not None and link.state_id > before:
+    def on_open(self, connection: PeerConnection) -> None:
+        server = self.servers[connection.host]
+        if server.sessions_lost_timer is not None:
+            server.sessions_lost_timer.cancel()
+        before, server.state_id = server.state_id, connection.state_id
+        # The same Origin-State-Id means that it is the same process (RFC 6733, section 8.16).
+        same_process = before is not None and before == connection.state_id
+        connection.process_since_ms = 0.0 if same_process else self.clock.now()
+        if before is not None and connection.state_id is not None and connection.state_id > before:
             self.broker.end_established_calls(
                 server.host, self.clock.now(), "a new process: its sessions are gone"
             )
-            for call in server.owed:
+            for call in server.pending_releases:
                 self.broker.recorder.clear_owed_release(server.host, call)
-            server.owed.clear()
-        self.broker.recorder.record_peer(server.host, link.state_id, server.started_ms)
+            server.pending_releases.clear()
+        self.broker.recorder.record_peer(server.host, connection.state_id, server.started_ms)
         server.dialing = None
-        super().opened(link)
-        owed, server.owed = server.owed, []
-        for call in owed:
-            self._end_session(server, call)
+        super().on_open(connection)
+        releases, server.pending_releases = server.pending_releases, []
+        for call in releases:
+            self._send_termination(server, call)
             self.broker.recorder.clear_owed_release(server.host, call)
 
-    def watched(self, peer: Peer, before: Watch, after: Watch) -> None:
-        super().watched(peer, before, after)
+    def on_watchdog_change(self, peer: Peer, before: WatchdogState, after: WatchdogState) -> None:
+        super().on_watchdog_change(peer, before, after)
         server = self.servers[peer.host]
-        if after is Watch.OKAY:
-            if before is Watch.REOPEN:
-                server.started_ms = self.clock.now()  # back on a new connection: treated as cold
+        if after is WatchdogState.OKAY:
+            if before is WatchdogState.REOPEN:
+                server.started_ms = self.clock.now()  # back on a new connection: taken for a cold start
                 self.broker.recorder.record_peer(server.host, server.state_id, server.started_ms)
-            self.tell(server, Lifecycle.READY)
-        elif after in (Watch.SUSPECT, Watch.DOWN):
-            self.tell(server, Lifecycle.DRAINING)
-
-    def leaving(self, link: PeerConnection, cause: int) -> None:
-        log.info("%s: asks to disconnect, cause %d", link.host, cause)
-        self.tell(self.servers[link.host], Lifecycle.DRAINING)
-
-    def closed(self, link: PeerConnection) -> None:
-        super().closed(link)
-        server = self.servers[link.host]
-        if server.dialing is link:  # it closed before it was open: there is no peer to be lost
+            self.announce(server, Lifecycle.READY)
+        elif after in (WatchdogState.SUSPECT, WatchdogState.DOWN):
+            self.announce(server, Lifecycle.DRAINING)
+
+    def on_disconnect_request(self, connection: PeerConnection, cause: int) -> None:
+        log.info("%s: asked to disconnect, cause %d", connection.host, cause)
+        self.announce(self.servers[connection.host], Lifecycle.DRAINING)
+
+    def on_close(self, connection: PeerConnection) -> None:
+        super().on_close(connection)
+        server = self.servers[connection.host]
+        if (
+            server.dialing is connection
+        ):  # closed before capabilities were exchanged: not seen by `connection_lost`
             self._redial(server)
 
-    def lost(self, peer: Peer, link: PeerConnection) -> None:
+    def connection_lost(self, peer: Peer, connection: PeerConnection) -> None:
         server = self.servers[peer.host]
-        out, server.out = server.out, {}
-        self.tell(server, Lifecycle.DRAINING)
-        for attempt in out.values():
-            self._owe(server, attempt.request.id)  # it may have set the call up unheard
+        attempts, server.open_attempts = server.open_attempts, {}
+        self.announce(server, Lifecycle.DRAINING)
+        for attempt in attempts.values():
+            self._queue_release(server, attempt.request.id)  # the answer may be lost
             self.broker.attempt_ended(attempt, Outcome.RESET)
-        self._await(server)
+        self._start_sessions_lost_timer(server)
         self._redial(server)
 
-    def _await(self, server: ServerPeer) -> None:
-        server.lost = self.deadlines.set(self.clock.now() + self.sessions_lost_ms, lambda: self._gone(server))
+    def _start_sessions_lost_timer(self, server: ServerPeer) -> None:
+        server.sessions_lost_timer = self.deadlines.set(
+            self.clock.now() + self.sessions_lost_ms, lambda: self._on_sessions_lost(server)
+        )
 
-    def _owe(self, server: ServerPeer, call: str) -> None:
-        server.owed.append(call)
+    def _queue_release(self, server: ServerPeer, call: str) -> None:
+        """Keeps a release, also on record, until the server is connected."""
+        server.pending_releases.append(call)
         self.broker.recorder.record_owed_release(server.host, call)
 
     def resume(
         self, peers: Mapping[str, tuple[int | None, float]], releases: Iterable[tuple[str, str]]
     ) -> None:
-        """What was on record before a restart: Origin-State-Ids and starts; servers and calls to be ended
-        there."""
+        """Takes over what was recorded before a restart or handover.
+
+        `peers` has each server's Origin-State-Id and start, ms, by host; `releases` are (host, call)."""
         for host, (state_id, started_ms) in peers.items():
             if host in self.servers:
                 self.servers[host].state_id, self.servers[host].started_ms = state_id, started_ms
         for host, call in releases:
             if host in self.servers:
-                self._owe(self.servers[host], call)
+                self._queue_release(self.servers[host], call)
             else:
                 self.broker.recorder.clear_owed_release(host, call)
         for server in self.servers.values():
-            self._await(server)  # one that does not come back in time has lost what stood there
+            self._start_sessions_lost_timer(server)  # one that does not come back in time has lost its calls
 
-    def _gone(self, server: ServerPeer) -> None:
-        """Away too long: what stood there is over towards its clients, and ended there when it is back."""
+    def _on_sessions_lost(self, server: ServerPeer) -> None:
+        """Ends the calls of a server that has been away for too long; if it comes back it gets releases."""
         for request in self.broker.requests:
             if (
                 request.state is State.ESTABLISHED
                 and request.attempt is not None
                 and request.attempt.server == server.host
             ):
-                self._owe(server, request.id)
+                self._queue_release(server, request.id)
         self.broker.end_established_calls(server.host, self.clock.now(), "away too long")
-        self.tell(server, Lifecycle.GONE)
+        self.announce(server, Lifecycle.GONE)
 
     # Liveness
 
-    def watchdog(self, link: PeerConnection, answered: bool) -> None:
-        super().watchdog(link, answered)
-        server = self.servers.get(link.host)
+    def on_message(self, connection: PeerConnection, is_watchdog_answer: bool) -> None:
+        super().on_message(connection, is_watchdog_answer)
+        server = self.servers.get(connection.host)
         if (
             server is not None
-            and server.link is link
-            and server.liveness.heard(self.clock.now(), link.process_seen_ms)
+            and server.connection is connection
+            and server.liveness.heard(self.clock.now(), connection.process_since_ms)
         ):
             log.info("%s: liveness: suspected -> alive", server.host)
 
-    def _look_at(self, server: ServerPeer, now_ms: float) -> None:
+    def _check_liveness(self, server: ServerPeer, now_ms: float) -> None:
         if not server.liveness.is_quiet(now_ms):
             return
         for action in server.liveness.evaluate(now_ms, self.broker.has_established_calls(server.host)):
@@ -237,134 +254,155 @@
                     )
                     self.broker.metrics.server_suspected(server.host)
                 case CheckLiveness():
-                    self._ask_for_life(server)
+                    self._request_sign_of_life(server)
                 case CallsLost(since_ms, stood_by_ms):
-                    self._calls_lost(server, since_ms, stood_by_ms)
+                    self._on_calls_lost(server, since_ms, stood_by_ms)
+
+    def _request_sign_of_life(self, server: ServerPeer) -> None:
+        """Sends a Device-Watchdog-Request of its own.
+
+        Those of the watchdog come too late: RFC 3539 does not allow an interval under 6 s."""
+        connection = server.open_connection()
+        if connection is not None:
+            connection.send_request(
+                avp.DW, [*self.identity.avps(), make(avp.ORIGIN_STATE_ID, self.identity.state_id)]
+            )
 
-    def _ask_for_life(self, server: ServerPeer) -> None:
-        """A watchdog request beside the watchdog's own, whose interval RFC 3539 does not let go under 6 s."""
-        link = server.open()
-        if link is not None:
-            link.ask(avp.DW, [*self.identity.avps(), make(avp.ORIGIN_STATE_ID, self.identity.state_id)])
+    def _on_calls_lost(self, server: ServerPeer, since_ms: float, stood_by_ms: float) -> None:
+        """Ends the calls of a server that has been silent for too long.
 
-    def _calls_lost(self, server: ServerPeer, since_ms: float, stood_by_ms: float) -> None:
+        It gets their releases now or later. A connection from before the silence is dropped first."""
         silent_ms = self.clock.now() - since_ms
         log.warning("%s: liveness: suspected -> lost, silent for %.0f ms", server.host, silent_ms)
-        over = self.broker.end_established_calls(server.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
-        link = server.open()
-        if link is not None and link.process_seen_ms <= since_ms:
-            link.drop()
-        for call in over:
-            self._end_session(server, call)
+        ended = self.broker.end_established_calls(server.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
+        connection = server.open_connection()
+        if connection is not None and connection.process_since_ms <= since_ms:
+            connection.drop()
+        for call in ended:
+            self._send_termination(server, call)
 
     # From the broker
 
     def send(self, attempt: Attempt) -> None:
+        """Sends an attempt as a CCR-Initial; it fails at once if the server is not connected."""
         server, request = self.servers[attempt.server], attempt.request
-        link = server.open()
-        if link is None:
+        connection = server.open_connection()
+        if connection is None:
             self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
             return
         body = request.description
         assert isinstance(body, bytes)
         left = max(1, round(attempt.deadline_at_ms - self.clock.now()))
-        attempt.route_ref = link.ask(
+        attempt.route_ref = connection.send_request(
             avp.CC,
             [
-                *self._head(server, request.id, avp.INITIAL, attempt.number),
+                *self._ccr_avps(server, request.id, avp.INITIAL, attempt.number),
                 make(avp.SERVICE_CONTEXT_ID, f"{request.call_class}@{self.identity.realm}"),
                 make(avp.MAXIMUM_WAIT_TIME, left),
                 *avp.read_avps(body),
             ],
             avp.CREDIT_CONTROL,
         )
-        server.out[attempt.route_ref] = attempt
+        server.open_attempts[attempt.route_ref] = attempt
         self.broker.metrics.sent(request.call_class)
 
-    def _head(self, server: ServerPeer, call: str, kind: int, number: int) -> list[avp.Avp]:
-        link = server.open()
+    def _ccr_avps(self, server: ServerPeer, call: str, request_type: int, number: int) -> list[avp.Avp]:
+        """The AVPs that every CCR starts with; `number` is its CC-Request-Number."""
+        connection = server.open_connection()
         return [
             make(avp.SESSION_ID, call),
             *self.identity.avps(),
-            make(avp.DESTINATION_REALM, link.realm if link is not None else ""),
+            make(avp.DESTINATION_REALM, connection.realm if connection is not None else ""),
             make(avp.DESTINATION_HOST, server.host),
             make(avp.AUTH_APPLICATION_ID, avp.CREDIT_CONTROL),
-            make(avp.CC_REQUEST_TYPE, kind),
+            make(avp.CC_REQUEST_TYPE, request_type),
             make(avp.CC_REQUEST_NUMBER, number),
         ]
 
-    def _end_session(self, server: ServerPeer, call: str) -> None:
-        link = server.open()
-        if link is None:
-            self._owe(server, call)
+    def _send_termination(self, server: ServerPeer, call: str) -> None:
+        """Sends a CCR-Termination for a call, or queues it until the server is connected."""
+        connection = server.open_connection()
+        if connection is None:
+            self._queue_release(server, call)
         else:
             last = self.broker.rules.settings.try_limit
-            link.ask(
+            connection.send_request(
                 avp.CC,
                 [
-                    *self._head(server, call, avp.TERMINATION, last),
+                    *self._ccr_avps(server, call, avp.TERMINATION, last),
                     make(avp.SERVICE_CONTEXT_ID, f"release@{self.identity.realm}"),
                 ],
                 avp.CREDIT_CONTROL,
             )
 
     def give_up(self, attempt: Attempt) -> None:
+        """Gives up an open attempt: its late answer, if any, is ignored."""
         server = self.servers[attempt.server]
-        if attempt.route_ref is not None and server.out.pop(attempt.route_ref, None) is attempt:
-            self._end_session(server, attempt.request.id)
+        if attempt.route_ref is not None and server.open_attempts.pop(attempt.route_ref, None) is attempt:
+            self._send_termination(server, attempt.request.id)
 
     def release(self, attempt: Attempt) -> None:
-        self._end_session(self.servers[attempt.server], attempt.request.id)
+        """Releases an established call at its server."""
+        self._send_termination(self.servers[attempt.server], attempt.request.id)
 
     def release_unknown(self, call: str) -> None:
+        """Releases a call at every connected server, as the server that has it is not known."""
         for server in self.servers.values():
-            if server.open() is not None:
-                self._end_session(server, call)
+            if server.open_connection() is not None:
+                self._send_termination(server, call)
 
     def probe(self, server: str, number: int) -> None:
-        self.broker.probe_ended(number, Outcome.NOT_SENT)  # the watchdog is all that tests a peer
+        """Sends no probe: a peer is tested by its watchdog alone."""
+        self.broker.probe_ended(number, Outcome.NOT_SENT)
 
     # From servers
 
-    def answer(self, link: PeerConnection, message: Message) -> None:
+    def handle_answer(self, connection: PeerConnection, message: Message) -> None:
         result = message.get(avp.RESULT_CODE)
-        attempt = self.servers[link.host].out.pop(message.hop_by_hop, None)
+        attempt = self.servers[connection.host].open_attempts.pop(message.hop_by_hop, None)
         if attempt is None:
-            return  # the answer to a release, or late: its session was ended when it was given up
+            return  # of a CCR-Termination, or late: the session was terminated with the give-up
         match result:
             case avp.SUCCESS:
-                self.broker.call_established(attempt, carried(message))
+                self.broker.call_established(attempt, service_avps(message))
             case avp.TOO_BUSY:
                 self.broker.attempt_ended(attempt, Outcome.FULL, api.NOTE_PROCESSOR_FULL)
             case _:
                 self.broker.attempt_ended(attempt, Outcome.ERROR)
 
-    def request(self, link: PeerConnection, message: Message) -> None:
-        """A server ends a call."""
+    def handle_request(self, connection: PeerConnection, message: Message) -> None:
+        """Handles an ASR: the server ends a call. It is answered once the end is recorded."""
         if message.command != avp.AS:
-            link.reply(message, avp.COMMAND_UNSUPPORTED, error=f"command {message.command}")
+            connection.reply(message, avp.COMMAND_UNSUPPORTED, error=f"command {message.command}")
             return
-        name = str(message.get(avp.SESSION_ID))
+        session_id = str(message.get(avp.SESSION_ID))
         cause = message.get(avp.TERMINATION_CAUSE)
         outcome = Outcome.OK if cause in (None, avp.LOGOUT) else Outcome.RESET
-        if self.broker.recorder.defers(name, link.host, lambda: self.request(link, message)):
+        if self.broker.recorder.defers(
+            session_id, connection.host, lambda: self.handle_request(connection, message)
+        ):
             return
-        request = self.broker.find_request(name)
+        request = self.broker.find_request(session_id)
         attempt = request.attempt if request is not None else None
         if request is None:
-            fresh = name not in self.broker.ended_ids
-            self.broker.unknown_call_ended(name, self.front, outcome)
-            result = avp.SUCCESS if fresh else avp.UNKNOWN_SESSION_ID
-            self.broker.recorder.barrier(lambda: link.reply(message, result))
-        elif attempt is None or attempt.server != link.host:
-            link.reply(message, avp.UNKNOWN_SESSION_ID)
+            is_first = session_id not in self.broker.ended_ids
+            self.broker.unknown_call_ended(session_id, self.front, outcome)
+            result = avp.SUCCESS if is_first else avp.UNKNOWN_SESSION_ID
+            self.broker.recorder.barrier(lambda: connection.reply(message, result))
+        elif attempt is None or attempt.server != connection.host:
+            connection.reply(message, avp.UNKNOWN_SESSION_ID)
         else:
-            self._over(link, request, attempt, outcome)
-            self.broker.recorder.barrier(lambda: link.reply(message, avp.SUCCESS))
+            self._end_call(connection, request, attempt, outcome)
+            self.broker.recorder.barrier(lambda: connection.reply(message, avp.SUCCESS))
+
+    def _end_call(
+        self, connection: PeerConnection, request: Request, attempt: Attempt, outcome: Outcome
+    ) -> None:
+        """Ends a call that its server has ended.
 
-    def _over(self, link: PeerConnection, request: Request, attempt: Attempt, outcome: Outcome) -> None:
+        Before the answer, a normal end fails the call without another attempt; any other end is a reset."""
         if request.state is State.OPEN and attempt.route_ref is not None:
-            self.servers[link.host].out.pop(attempt.route_ref, None)
+            self.servers[connection.host].open_attempts.pop(attempt.route_ref, None)
             if outcome is Outcome.OK:
                 self.broker.ended_unanswered(attempt)
                 return
--- a/tests/diameter.py
+++ b/tests/diameter.py
@@ -1,8 +1,9 @@
-"""Stand-ins that speak Diameter for the scenario language, and the audit of what they saw.
+"""Scripted parties that speak Diameter, for the scenario language, and an audit of their messages.
 
 Messages are written as NAME SESSION field=value: CCR-I, CCR-T, CCA (with `result`), ASR, ASA, CER, DWR, DPR.
-A stand-in exchanges capabilities by itself and answers watchdogs; `mute` drops them, `unmute` answers again,
-`bare` leaves the capabilities to the script, and `state=N` is its next Origin-State-Id.
+A party exchanges capabilities and answers watchdogs by itself. After `mute` it ignores watchdogs, after
+`unmute` it answers them again; `bare` leaves the capabilities to the script, and `state=N` sets its
+Origin-State-Id.
 """
 
 from __future__ import annotations
@@ -11,12 +12,13 @@
 from typing import Any
 
 from frostport.diameter import avp
-from frostport.diameter.avp import Avp, Frames, Message, make
+from frostport.diameter.avp import Avp, Message, MessageSplitter, make
 from tests.scenario import SETTINGS, Actor, Heard, Wire, World
 
-NAMES = {avp.CE: "CE", avp.CC: "CC", avp.AS: "AS", avp.DW: "DW", avp.DP: "DP"}
-KINDS = {avp.INITIAL: "-I", avp.UPDATE: "-U", avp.TERMINATION: "-T", avp.EVENT: "-E"}
-SHOWN = {
+COMMAND_NAMES = {avp.CE: "CE", avp.CC: "CC", avp.AS: "AS", avp.DW: "DW", avp.DP: "DP"}
+SUFFIX_BY_REQUEST_TYPE = {avp.INITIAL: "-I", avp.UPDATE: "-U", avp.TERMINATION: "-T", avp.EVENT: "-E"}
+# The fields of messages in scripts
+SHOWN_AVPS = {
     "result": avp.RESULT_CODE,
     "wait": avp.MAXIMUM_WAIT_TIME,
     "key": avp.CALLED_STATION_ID,
@@ -27,6 +29,7 @@
 
 
 def config(**caps: Any) -> dict[str, Any]:
+    """The configuration of an agent with two client and two server peers; `caps` override its settings'."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:1",
@@ -42,7 +45,7 @@
     }
 
 
-def extra(given: Heard) -> list[Avp]:
+def extra_avps(given: Heard) -> list[Avp]:
     """The AVP that `with=CODE:FLAGS:DATA` adds."""
     if "with" not in given:
         return []
@@ -51,27 +54,27 @@
 
 
 class DiameterActor(Actor):
-    """A client or a lobby server."""
+    """A client peer or a lobby server."""
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__(world, name)
-        self.frames, self.ids = Frames(), 0
-        self.asked: dict[tuple[str, str], Message] = {}
+        self.splitter, self.last_id = MessageSplitter(), 0
+        self.requests: dict[tuple[str, str], Message] = {}
         self.bare, self.state_id = False, 1
 
     def connect(self, wire: Wire) -> None:
-        self.wires, self.frames = [wire], Frames()
+        self.wires, self.splitter = [wire], MessageSplitter()
         if self.name.startswith("c") and not self.bare:
             self.send("CER")
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        for frame in self.frames.feed(data):
+        for frame in self.splitter.feed(data):
             message = avp.read_header(frame)
-            message.avps = avp.read_avps(frame[avp.HEADER :])
-            heard = self.show(message)
-            note(self, "hears", heard)
+            message.avps = avp.read_avps(frame[avp.HEADER_BYTES :])
+            heard = self.describe(message)
+            record_event(self, "hears", heard)
             if message.is_request:
-                self.asked[heard[""], heard["tag"]] = message
+                self.requests[heard[""], heard["tag"]] = message
             if heard[""] == "CER" and not self.bare:
                 self.send("CEA result=2001")
             elif heard[""] == "DWR":
@@ -82,14 +85,19 @@
             elif heard[""] not in ("DWA", "CCA-T") and (heard[""] != "CEA" or self.bare):
                 self.inbox.append(heard)
 
-    def show(self, message: Message) -> Heard:
-        kind = KINDS.get(message.get(avp.CC_REQUEST_TYPE), "") if message.command == avp.CC else ""
+    def describe(self, message: Message) -> Heard:
+        """A message as its name, its session and its fields."""
+        suffix = (
+            SUFFIX_BY_REQUEST_TYPE.get(message.get(avp.CC_REQUEST_TYPE), "")
+            if message.command == avp.CC
+            else ""
+        )
         way = "R" if message.is_request else "A"
         heard = {
-            "": f"{NAMES.get(message.command, message.command)}{way}{kind}",
+            "": f"{COMMAND_NAMES.get(message.command, message.command)}{way}{suffix}",
             "tag": message.get(avp.SESSION_ID) or "",
         }
-        for name, definition in SHOWN.items():
+        for name, definition in SHOWN_AVPS.items():
             value = message.get(definition)
             heard.update({} if value is None else {name: str(value)})
         heard["error"] = str(int(bool(message.flags & avp.ERROR)))
@@ -99,7 +107,7 @@
             length = int.from_bytes(failed[5:8], "big")
             heard["failed"] = f"{int.from_bytes(failed[:4], 'big')}:{failed[8:length].hex()}"
         if report:
-            heard["back"] = str(avp.find(report, avp.OC_VALIDITY_DURATION))
+            heard["back"] = str(avp.find_value(report, avp.OC_VALIDITY_DURATION))
         return heard
 
     def encode(self, text: str) -> bytes:
@@ -108,7 +116,7 @@
         name, *rest = text.split()
         session = rest.pop(0) if rest and "=" not in rest[0] else ""
         given = dict(pair.split("=", 1) for pair in rest)
-        note(self, "says", {"": name, "tag": session, **given})
+        record_event(self, "says", {"": name, "tag": session, **given})
         avps = [make(avp.ORIGIN_HOST, given.get("host", self.name)), make(avp.ORIGIN_REALM, "there")]
         if session:
             avps.insert(0, make(avp.SESSION_ID, session))
@@ -123,52 +131,53 @@
         if name[:2] in ("CE", "DW"):
             avps.append(make(avp.ORIGIN_STATE_ID, self.state_id))
         if name[2] == "A":
-            return self.answer(name, session, given, avps)
+            return self.encode_answer(name, session, given, avps)
         if name[:2] in ("CC", "AS"):
             avps += [make(avp.DESTINATION_REALM, "here"), make(avp.AUTH_APPLICATION_ID, avp.CREDIT_CONTROL)]
         if name[:2] == "AS":
             avps.append(make(avp.DESTINATION_HOST, "n0"))
         if name[:2] == "CC":
-            kind = next(code for code, ending in KINDS.items() if ending == name[3:])
+            request_type = next(code for code, ending in SUFFIX_BY_REQUEST_TYPE.items() if ending == name[3:])
             avps += [
                 make(avp.SERVICE_CONTEXT_ID, given.get("svc", "race@there")),
-                make(avp.CC_REQUEST_TYPE, kind),
+                make(avp.CC_REQUEST_TYPE, request_type),
                 make(avp.CC_REQUEST_NUMBER, 0),
             ]
             avps += [make(avp.DESTINATION_HOST, given["dest"])] if "dest" in given else []
             avps += [make(avp.OC_SUPPORTED_FEATURES, [])] if "oc" in given else []
-        for field, definition in SHOWN.items():
+        for field, definition in SHOWN_AVPS.items():
             if field in given and field != "svc":
-                number = definition.kind is not avp.Kind.TEXT
-                avps.append(make(definition, int(given[field]) if number else given[field]))
+                is_number = definition.data_format is not avp.DataFormat.TEXT
+                avps.append(make(definition, int(given[field]) if is_number else given[field]))
         avps = [entry for entry in avps if str(entry.code) != given.get("without")]
-        avps += extra(given)
-        self.ids += 1
-        command = next(code for code, short in NAMES.items() if short == name[:2])
+        avps += extra_avps(given)
+        self.last_id += 1
+        command = next(code for code, short in COMMAND_NAMES.items() if short == name[:2])
         application = avp.CREDIT_CONTROL if command in (avp.CC, avp.AS) else 0
         flags = avp.REQUEST | (avp.RETRANSMITTED if "T" in given else 0)
         return Message(
             int(given.get("command", command)),
             int(given.get("to", application)),
-            self.ids,
-            int(given.get("id", self.ids)),
+            self.last_id,
+            int(given.get("id", self.last_id)),
             flags,
             avps,
         ).encode()
 
-    def answer(self, name: str, session: str, given: Heard, avps: list[Avp]) -> bytes:
-        asked = self.asked[f"{name[:2]}R{name[3:] or ('-I' if name == 'CCA' else '')}", session]
+    def encode_answer(self, name: str, session: str, given: Heard, avps: list[Avp]) -> bytes:
+        """Encodes an answer to the last request of this kind and session."""
+        request = self.requests[f"{name[:2]}R{name[3:] or ('-I' if name == 'CCA' else '')}", session]
         result = int(given["result"])
         return Message(
-            asked.command,
-            asked.application,
-            asked.hop_by_hop,
-            asked.end_to_end,
+            request.command,
+            request.application,
+            request.hop_by_hop,
+            request.end_to_end,
             avp.ERROR if 3000 <= result < 4000 else 0,
             [
                 *avps,
                 make(avp.RESULT_CODE, result),
-                *extra(given),
+                *extra_avps(given),
                 *([make(avp.CALLED_STATION_ID, given["key"])] if "key" in given else []),
             ],
         ).encode()
@@ -186,15 +195,18 @@
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
         super().connectionLost(reason)
-        note(self, "hears", {"": "closed", "tag": ""})
+        record_event(self, "hears", {"": "closed", "tag": ""})
 
     def close(self, how: str) -> None:
-        note(self, "says", {"": "closed", "tag": ""})
+        record_event(self, "says", {"": "closed", "tag": ""})
         super().close(how)
 
 
 class DiameterWorld(World):
-    """The agent with its Diameter front, and the log of all that its peers heard and said."""
+    """An agent with the Diameter front, and the log of all messages that its peers received and sent.
+
+    An entry has the time, the peer, "hears" or "says", the message, and since when the decision module has
+    taken no set-ups there (None: it does)."""
 
     actor = DiameterActor
 
@@ -203,43 +215,44 @@
         super().__init__(record)
 
 
-def note(actor: Actor, way: str, heard: Heard) -> None:
+def record_event(actor: Actor, way: str, heard: Heard) -> None:
+    """Adds a message to the log of the world."""
     world = actor.world
     if isinstance(world, DiameterWorld):
         agent = getattr(world, "agent", None)
-        told = agent.rules.servers.get(actor.name) if agent is not None else None
-        world.log.append((world.clock.at, actor.name, way, heard, told.closed_since_ms if told else None))
+        server = agent.rules.servers.get(actor.name) if agent is not None else None
+        world.log.append((world.clock.at, actor.name, way, heard, server.closed_since_ms if server else None))
 
 
 def audit(world: DiameterWorld) -> Iterator[str]:
-    """Reads the log of the peers, not the agent's: one line for each rule that is broken."""
-    out: dict[str, str] = {}  # session: the server where an attempt is out
-    free: dict[str, float] = {}  # session: not to be sent again before
-    finals: dict[str, int] = {}
-    asked: dict[str, int] = {}
+    """Checks the log of the peers, and yields one line for each rule that the agent has broken."""
+    server_by_session: dict[str, str] = {}  # session -> the server of its open attempt
+    may_resend_at: dict[str, float] = {}  # session -> when it may be sent again, ms
+    final_answers: dict[str, int] = {}
+    set_ups: dict[str, int] = {}
     for at, who, way, heard, closed_since_ms in world.log:
         name, call = heard[""], heard["tag"]
         if who.startswith("c"):
-            asked[call] = asked.get(call, 0) + (name == "CCR-I")
-            finals[call] = finals.get(call, 0) + (name == "CCA-I")
+            set_ups[call] = set_ups.get(call, 0) + (name == "CCR-I")
+            final_answers[call] = final_answers.get(call, 0) + (name == "CCA-I")
             continue
         if name == "CCR-I":
-            if call in out:
-                yield f"{call}: two attempts out, at {out[call]} and {who}"
-            if at < free.get(call, 0.0):
-                yield f"{call}: sent again {free[call] - at:.0f} ms too early"
+            if call in server_by_session:
+                yield f"{call}: two attempts out, at {server_by_session[call]} and {who}"
+            if at < may_resend_at.get(call, 0.0):
+                yield f"{call}: sent again {may_resend_at[call] - at:.0f} ms too early"
             if closed_since_ms is not None and at > closed_since_ms + 2000.0:
                 yield f"{call}: sent to {who}, draining since {at - closed_since_ms:.0f} ms"
-            out[call] = who
-        elif name.startswith("CCA") and way == "says" and out.get(call) == who:
-            del out[call]
-        elif name == "CCR-T" and out.get(call) == who:
-            del out[call]
-            free[call] = at + 500.0
+            server_by_session[call] = who
+        elif name.startswith("CCA") and way == "says" and server_by_session.get(call) == who:
+            del server_by_session[call]
+        elif name == "CCR-T" and server_by_session.get(call) == who:
+            del server_by_session[call]
+            may_resend_at[call] = at + 500.0
         elif name == "closed":
-            for lost in [session for session, server in out.items() if server == who]:
-                del out[lost]
-                free[lost] = at + 500.0
-    for call, count in finals.items():
-        if call and count > asked[call]:
-            yield f"{call}: {count} final answers to {asked[call]} requests"
+            for lost in [session for session, server in server_by_session.items() if server == who]:
+                del server_by_session[lost]
+                may_resend_at[lost] = at + 500.0
+    for call, count in final_answers.items():
+        if call and count > set_ups[call]:
+            yield f"{call}: {count} final answers to {set_ups[call]} requests"
