--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -1,4 +1,8 @@
-"""Puts the call agent together: the core, the platform's wires, and the reactor that turns them."""
+"""Assembles the call agent: the core, its client and server protocols, and Twisted's reactor.
+
+`serve` is the entry point of the program. `Agent` starts and stops all parts, and performs what the
+transitions of the life cycle (core/lifecycle.py) require: drains, handovers on upgrades, shutdown, reloads.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +46,7 @@
 from frostport.platform_side import PlatformSide
 from frostport.version import VERSION
 
-if TYPE_CHECKING:  # loaded only where they are set
+if TYPE_CHECKING:  # imported at run time only if configured
     from frostport.diameter_side import DiameterSide
     from frostport.durability import Durability
     from frostport.fleet import Fleet
@@ -51,96 +55,100 @@
 log = logging.getLogger("frostport.agent")
 
 PROBE_TIMEOUT_MS = 250.0
-FLUSH_MS = 50.0  # for the last answers to leave, and for set-ups on their way to be refused
-CLOSED_MS = 5.0  # how often it is looked whether they have
-SURPLUS_MS = 100.0  # between two lots of connections that a lowered limit sheds
-LIVE = ("bus", "sockets", "contracts", "admission")  # what a reload changes in the running program
-PAST = ("seed", "known", "offset")  # what only the start needs
-NEVER_S = 3600.0  # the endpoint's own timeout; the real one is a deadline
-EMPTIED_MS = 100.0  # how often a drain or a handover looks whether all is answered and closed
+FLUSH_DELAY_MS = 50.0  # lets the last answers leave, and refuses set-ups that are still arriving
+CLOSE_CHECK_INTERVAL_MS = 5.0  # how often the exit checks whether all client connections are closed
+SHED_INTERVAL_MS = 100.0  # between two batches of connections closed by a lowered limit or the ladder
+# Fields of Config by name.
+RELOADABLE_FIELDS = ("bus", "sockets", "contracts", "admission")  # applied by a reload
+START_ONLY_FIELDS = ("seed", "known", "offset")  # used at the start only; a reload ignores changes to them
+NO_TIMEOUT_S = 3600.0  # for Twisted's endpoint; the effective connect timeout is one of the agent's deadlines
+DRAIN_CHECK_INTERVAL_MS = 100.0  # how often a drain or a handover checks for open connections and requests
 
 
-def nothing() -> None:
-    """What a connection that holds no descriptor gives back."""
+def no_release() -> None:
+    """The `released` callback of a connection that holds no descriptor."""
 
 
-class Dialed(typing.Protocol):
-    """A connection that this program opens: `released` is called once it is lost."""
+class OutgoingConnection(typing.Protocol):
+    """The protocol of a connection that this process opens; calls `released` once it is lost."""
 
     released: Callable[[], None]
 
 
-def own_descriptors() -> int:
-    """How many descriptors the program itself has open, before it opens anything for others."""
+def count_own_descriptors() -> int:
+    """Returns how many descriptors the process has open; 0 where /proc is not available.
+
+    Called before the process opens connections, so that these are not counted twice."""
     try:
-        return len(os.listdir("/proc/self/fd")) - 1  # less the one that lists them
+        return len(os.listdir("/proc/self/fd")) - 1  # without the one that lists the directory
     except OSError:
         return 0
 
 
 class Agent:
-    """One call agent: the core, one front and one route."""
+    """One call agent: the core, one front (client side) and one route (server side)."""
 
     def __init__(
         self, config: Config, reactor: Any, clock: Clock | None = None, durability: Durability | None = None
     ) -> None:
         self.config, self.reactor = config, reactor
-        self.path: pathlib.Path | None = None  # the file that the configuration came from
+        self.path: pathlib.Path | None = None  # the configuration file, which a reload reads again
         self.clock, self.deadlines = clock or Clock(), Deadlines()
         self.lifecycle = Lifecycle()
-        given = contracts.with_contracts(config.settings, config.contracts)
-        self.rules = Rules(given, config.drain_grace_ms)
+        call_settings = contracts.with_contracts(config.settings, config.contracts)
+        self.rules = Rules(call_settings, config.drain_grace_ms)
         self.broker = Broker(
-            Controller(given, config.seed),
+            Controller(call_settings, config.seed),
             self.rules,
             self.clock,
             self.deadlines,
             PROBE_TIMEOUT_MS,
             contracts.Budgets(config.contracts),
         )
-        self.figures = StatsdMetrics(kind.name for kind in given.classes)
-        self.figures.configuration_loaded(True)
-        self.broker.metrics = self.figures
+        self.metrics = StatsdMetrics(kind.name for kind in call_settings.classes)
+        self.metrics.configuration_loaded(True)
+        self.broker.metrics = self.metrics
         self.gate = Gate(
             config.admission, Descriptors(config.sockets, config.sockets - config.admission.connections)
         )
-        self.pump = DeadlineRunner(reactor, self.clock, self.deadlines)
+        self.deadline_runner = DeadlineRunner(reactor, self.clock, self.deadlines)
         self.durability = durability
         if durability is not None:
-            durability.join(self)
+            durability.attach(self)
         self.side: DiameterSide | PlatformSide = self._diameter() if config.diameter else PlatformSide(self)
-        self.own_descriptors: Callable[[], int] = lambda: 0  # of the process, before it serves anyone
+        self.count_own_descriptors: Callable[[], int] = lambda: 0  # replaced by `serve`
         self.listener: Any = None
-        self.inherited: int | None = None  # the clients' listening socket, where the platform holds it
-        self.door: OperatorPort | None = None
+        self.inherited_fd: int | None = None  # listening socket for clients, if inherited
+        self.operator_port: OperatorPort | None = None
         self._listening = False
-        self._end: Deadline | None = None  # the last answers, where SIGTERM has come
-        self._exit_at = 0.0  # and when the program ends, whoever has not read them
-        self._sweeping: Deadline | None = None
+        self._answer_timer: Deadline | None = None  # set by SIGTERM: when all open requests are answered
+        self._exit_at_ms = 0.0  # set by SIGTERM: exits then, even if clients have not read their answers
+        self._shed_timer: Deadline | None = None
         self.fleet: Fleet | None = None
         self.starting: Starting | None = None
-        self.lifecycle.add_listener(self.entered)
+        self.lifecycle.add_listener(self.on_phase)
 
     def _diameter(self) -> DiameterSide:
-        from frostport.diameter_side import DiameterSide  # nothing of it is loaded without it
+        from frostport.diameter_side import DiameterSide  # imported only if Diameter is configured
 
         return DiameterSide(self)
 
-    def connect(self, dial: str, protocol: Dialed) -> defer.Deferred[object]:
-        """Dials, where a descriptor is to be had: it counts until the connection is lost, or was not to be
-        had."""
+    def connect(self, dial: str, protocol: OutgoingConnection) -> defer.Deferred[object]:
+        """Opens a connection to `dial` (host:port); fails with EMFILE if no descriptor is available.
+
+        The descriptor is counted until the connection is lost or the attempt fails."""
         host, port = split(dial)
         owner = Owner.BUS if isinstance(protocol, BusConnection) else Owner.SERVERS
         descriptors = self.gate.descriptors
         if not descriptors.available(owner):
             descriptors.refused[owner] += 1
-            # An idle client makes way; its descriptor is free by the time that this is dialled again.
+            # Closes an idle client connection; its descriptor is free by the next attempt to connect.
             self.side.front.shed(self.gate.evict_one(self.clock.now()))
             return defer.fail(OSError(errno.EMFILE, "no descriptor left"))
         descriptors.acquire(owner)
 
         def released() -> None:
-            protocol.released = nothing
+            protocol.released = no_release
             descriptors.release(owner)
 
         def failed(failure: Failure) -> Failure:
@@ -148,42 +156,46 @@
             return failure
 
         protocol.released = released
-        made: Any = protocol
-        endpoint: Any = TCP4ClientEndpoint(self.reactor, host, port, timeout=NEVER_S)
-        dialing: defer.Deferred[object] = endpoint.connect(Factory.forProtocol(lambda: made))
+        connection: Any = protocol
+        endpoint: Any = TCP4ClientEndpoint(self.reactor, host, port, timeout=NO_TIMEOUT_S)
+        dialing: defer.Deferred[object] = endpoint.connect(Factory.forProtocol(lambda: connection))
         dialing.addErrback(failed)
         return dialing
 
     def start(self) -> None:
-        """Opens everything; the list known at the start goes to the module first."""
+        """Opens all ports and connections. The configured server list goes to the decision module first."""
         if self.durability is not None:
-            self.durability.resume(self)
-        if self.inherited is not None:
-            # An upgrade: the platform holds the socket, and the process before this one still accepts on it.
-            # Guards the reactor against an accept that waits: the platform hands the socket over blocking,
-            # and Twisted accepts until none is left (and two processes race for each connection).
-            os.set_blocking(self.inherited, False)
-            os.set_inheritable(self.inherited, False)
-            self.listener = self.reactor.adoptStreamPort(self.inherited, socket.AF_INET, self.side.factory())
-            os.close(self.inherited)  # the port has a copy of its own
+            self.durability.restore(self)
+        if self.inherited_fd is not None:
+            # An upgrade: the platform holds the socket, and the previous process still accepts on it.
+            # Guards the reactor against a blocking accept: the platform hands the socket over in blocking
+            # mode, Twisted accepts until no connection is left, and two processes race for each connection.
+            os.set_blocking(self.inherited_fd, False)
+            os.set_inheritable(self.inherited_fd, False)
+            self.listener = self.reactor.adoptStreamPort(
+                self.inherited_fd, socket.AF_INET, self.side.factory()
+            )
+            os.close(self.inherited_fd)  # adoptStreamPort has duplicated it
         else:
             host, port = split(self.config.listen)
             self.listener = self.reactor.listenTCP(port, self.side.factory(), backlog=512, interface=host)
         self._listening = True
         if self.config.operator:
-            asked = Operations(self.broker, self.lifecycle, self.figures)
-            also = dict(self.fleet.operations()) if self.fleet is not None else {}
+            operations = Operations(self.broker, self.lifecycle, self.metrics)
+            extra = dict(self.fleet.operations()) if self.fleet is not None else {}
             if self.starting is not None:
-                also.update(self.starting.operations())
+                extra.update(self.starting.operations())
             if self.fleet is not None:
-                asked.why_kept_out = self.fleet.work.held_reason
-            self.door = OperatorPort({**asked.operations(), **also}, self.clock, self.deadlines)
+                operations.why_kept_out = self.fleet.work.held_reason
+            self.operator_port = OperatorPort(
+                {**operations.operations(), **extra}, self.clock, self.deadlines
+            )
             host, port = split(self.config.operator)
-            self.reactor.listenTCP(port, self.door, interface=host)
-        # With the listener, and the spare one that Twisted gives up for a moment where accept finds none
-        # left.
+            self.reactor.listenTCP(port, self.operator_port, interface=host)
+        # This includes the listening socket, and the spare descriptor that Twisted closes for a moment when
+        # accept fails for lack of descriptors.
         self.gate.descriptors.acquire(
-            Owner.OWN, self.own_descriptors() + (MAX_CONNECTIONS if self.door else 0)
+            Owner.OWN, self.count_own_descriptors() + (MAX_CONNECTIONS if self.operator_port else 0)
         )
         if self.starting is not None:
             self.starting.join(self)
@@ -194,49 +206,55 @@
         if self.starting is not None:
             self.starting.start()
         if self.config.admission.ladder:
-            self._sweep()
+            self._shed_surplus()
         if self.durability is not None:
-            self.durability.started(self)
-        if self.fleet is None and self.able():  # else once it knows which machines are out
+            self.durability.servers_known(self)
+        # With a fleet: entered once it is known which machines are out of service.
+        if self.fleet is None and self.startup_complete():
             self.lifecycle.enter(Phase.SERVING)
 
-    def able(self) -> bool:
-        """Whether its start is over, as far as that goes by lists, servers and turns."""
+    def startup_complete(self) -> bool:
+        """Whether the cold start is over, as far as it depends on lists, servers and turns to connect."""
         return self.starting is None or self.starting.ready
 
-    def _sweep(self) -> None:
-        """Sheds what a lowered limit or the ladder asks for, a few at a time."""
-        self._sweeping = None
+    def _shed_surplus(self) -> None:
+        """Closes connections over a lowered limit, or as the overload ladder requires, in small batches."""
+        self._shed_timer = None
         shed = self.gate.shed_surplus(self.clock.now())
         self.side.front.shed(shed)
         if self.lifecycle.phase is not Phase.STOPPED and (shed or self.config.admission.ladder):
-            self._sweeping = self.deadlines.set(self.clock.now() + SURPLUS_MS, self._sweep)
+            self._shed_timer = self.deadlines.set(self.clock.now() + SHED_INTERVAL_MS, self._shed_surplus)
 
     def reload(self) -> None:
-        """SIGHUP: reads the whole file again. All of it is valid and in force at once, or nothing changes."""
+        """SIGHUP: reads the configuration file again and applies it as a whole, or not at all if invalid."""
         if not self.lifecycle.accepts_reload() or self.path is None:
-            log.info("reload: not while %s", self.lifecycle.phase.value)
+            log.info("reload: ignored in phase %s", self.lifecycle.phase.value)
             return
         try:
-            new = within_the_process(configuration.load(self.path))
+            new = limit_to_process(configuration.load(self.path))
         except ConfigError as problem:
             log.error("reload: configuration kept: %s", problem)
-            self.figures.configuration_loaded(False)
+            self.metrics.configuration_loaded(False)
             return
-        except Exception:  # guards the calls that are open against a file that breaks its reader
+        except Exception:  # guards open calls against a file that makes the reader fail
             log.exception("reload: configuration kept")
-            self.figures.configuration_loaded(False)
+            self.metrics.configuration_loaded(False)
             return
-        self.figures.configuration_loaded(True)
+        self.metrics.configuration_loaded(True)
         old, names = self.config, [item.name for item in dataclasses.fields(Config)]
-        changed = [name for name in names if name not in PAST and getattr(old, name) != getattr(new, name)]
-        fixed = [name for name in changed if name not in LIVE]
-        if "contracts" in changed and promises(old) != promises(new):
-            fixed.append("contracts")  # the decisions were made for the aims and deadlines of the start
+        changed = [
+            name
+            for name in names
+            if name not in START_ONLY_FIELDS and getattr(old, name) != getattr(new, name)
+        ]
+        fixed = [name for name in changed if name not in RELOADABLE_FIELDS]
+        if "contracts" in changed and contract_targets(old) != contract_targets(new):
+            # The decision module was set up with the aims and deadlines of the start.
+            fixed.append("contracts")
         if fixed:
             log.warning("reload: not changed before the next start: %s", ", ".join(fixed))
         self.config = dataclasses.replace(
-            old, **{name: getattr(new, name) for name in LIVE if name not in fixed}
+            old, **{name: getattr(new, name) for name in RELOADABLE_FIELDS if name not in fixed}
         )
         if "contracts" not in fixed:
             self.broker.budgets.replace_contracts(new.contracts)
@@ -244,57 +262,57 @@
         self.gate.descriptors.reserved = self.config.sockets - self.config.admission.connections
         self.gate.reload(self.config.admission, self.clock.now())
         self.side.reload(self.config)
-        if self._sweeping is None:
-            self._sweep()
+        if self._shed_timer is None:
+            self._shed_surplus()
         log.info("reload: done; changed: %s", ", ".join(set(changed) - set(fixed)) or "nothing")
 
     def terminate(self) -> None:
-        """SIGTERM: serves on for what still comes, answers all that was taken, then ends.
+        """SIGTERM: keeps accepting for a short time, answers all open requests, then exits.
 
-        On an upgrade, where the newer process accepts on the same socket, this one takes no more at once."""
-        if self.inherited is not None and self.lifecycle.can_enter(Phase.HANDING_OVER):
+        On an upgrade the newer process accepts on the same socket, and this one stops accepting at once."""
+        if self.inherited_fd is not None and self.lifecycle.can_enter(Phase.HANDING_OVER):
             self.lifecycle.enter(Phase.HANDING_OVER)
         elif self.lifecycle.can_enter(Phase.CLOSING):
             self.lifecycle.enter(Phase.CLOSING)
 
-    def empty(self) -> bool:
-        """Nothing is open, stands or is owed on a client's connection."""
+    def is_idle(self) -> bool:
+        """Whether no request is open, and no call or notification is left on any client connection."""
         return not self.side.front.busy() and not self.broker.open_count
 
-    def _emptied(self) -> None:
-        """A drain is over once no client connection and no request is left; a handover ends then."""
-        self.side.front.empty()  # guards against a connection whose last call ended without a word on it
+    def _check_drained(self) -> None:
+        """Checks whether no client connection and no request is left, which ends a drain or a handover."""
+        self.side.front.empty()  # guards against a connection whose last call ended without a message on it
         phase, empty = self.lifecycle.phase, not self.side.front.held() and not self.broker.open_count
         if phase is Phase.DRAINING and empty:
             self.lifecycle.enter(Phase.DRAINED)
         elif phase is Phase.HANDING_OVER and empty:
             self.lifecycle.enter(Phase.STOPPING)
         elif phase in (Phase.DRAINING, Phase.HANDING_OVER) or (
-            phase is Phase.TURNING_AWAY and not self.empty()
+            phase is Phase.TURNING_AWAY and not self.is_idle()
         ):
-            self.deadlines.set(self.clock.now() + EMPTIED_MS, self._emptied)
+            self.deadlines.set(self.clock.now() + DRAIN_CHECK_INTERVAL_MS, self._check_drained)
 
     def _stop_listening(self) -> None:
         if self._listening:
             self._listening = False
             self.listener.stopListening()
 
-    def _told_to_end(self, most_ms: float) -> Schedule:
-        """SIGTERM has come: sets its limits, for a restart and an upgrade alike."""
+    def _schedule_shutdown(self, max_deadline_ms: float) -> Schedule:
+        """Sets the timers of a shutdown, for a restart and an upgrade alike."""
         log.info("admission: %s", orjson.dumps(self.gate.snapshot()).decode())
         now = self.clock.now()
-        plan = schedule((kind.deadline_ms for kind in self.rules.settings.classes), most_ms)
-        self._end = self.deadlines.set(now + plan.answer_by_ms, self._last_answers)
-        self._exit_at = now + plan.exit_by_ms
-        self.deadlines.set(self._exit_at, self._exit)
+        plan = schedule((kind.deadline_ms for kind in self.rules.settings.classes), max_deadline_ms)
+        self._answer_timer = self.deadlines.set(now + plan.answer_by_ms, self._answer_open_requests)
+        self._exit_at_ms = now + plan.exit_by_ms
+        self.deadlines.set(self._exit_at_ms, self._exit)
         return plan
 
-    def _stop_taking(self) -> None:
+    def _stop_accepting(self) -> None:
         if self.lifecycle.phase is Phase.CLOSING:
             self.lifecycle.enter(Phase.STOPPING)
 
-    def _last_answers(self) -> None:
-        """Before SIGKILL: what is still open is answered, and nothing more is taken."""
+    def _answer_open_requests(self) -> None:
+        """Before the platform's SIGKILL: answers all open requests as failed, and accepts no more."""
         self.broker.fail_all()
         if self.lifecycle.can_enter(Phase.STOPPING):
             self.lifecycle.enter(Phase.STOPPING)
@@ -303,19 +321,20 @@
         if self.lifecycle.can_enter(Phase.STOPPED):
             self.lifecycle.enter(Phase.STOPPED)
 
-    def entered(self, phase: Phase) -> None:
+    def on_phase(self, phase: Phase) -> None:
+        """Listener of the life cycle: performs what the new phase requires."""
         if self.fleet is not None and phase is not Phase.STOPPED:
             self.fleet.phase(phase.value)
         match phase:
             case Phase.CLOSING:
-                plan = self._told_to_end(MAX_RESTART_DEADLINE_MS)
-                self.deadlines.set(self.clock.now() + plan.accept_until_ms, self._stop_taking)
+                plan = self._schedule_shutdown(MAX_RESTART_DEADLINE_MS)
+                self.deadlines.set(self.clock.now() + plan.accept_until_ms, self._stop_accepting)
             case Phase.DRAINING | Phase.TURNING_AWAY:
-                self._emptied()
+                self._check_drained()
             case Phase.HANDING_OVER:
                 self._stop_listening()
-                self._told_to_end(MAX_UPGRADE_DEADLINE_MS)
-                self._emptied()
+                self._schedule_shutdown(MAX_UPGRADE_DEADLINE_MS)
+                self._check_drained()
             case Phase.STOPPING:
                 self._stop_listening()
                 self.broker.on_idle = self.finish
@@ -329,39 +348,43 @@
                 self.reactor.stop()
 
     def finish(self) -> None:
-        """The last answer is given: it leaves, then the program does."""
-        if self._end is not None:
-            self._end.cancel()
-            self._end = None
-            self.broker.recorder.barrier(self._leave)  # an answer may still wait for its record
+        """All requests are answered: disconnects once the answers are recorded and sent, then exits."""
+        if self._answer_timer is not None:
+            self._answer_timer.cancel()
+            self._answer_timer = None
+            self.broker.recorder.barrier(self._disconnect)  # an answer may still wait until it is recorded
 
-    def _leave(self) -> None:
+    def _disconnect(self) -> None:
         self.side.disconnect()
-        self.deadlines.set(self.clock.now() + FLUSH_MS, self._flush)
+        self.deadlines.set(self.clock.now() + FLUSH_DELAY_MS, self._exit_once_closed)
 
-    def _flush(self) -> None:
-        """Ends once every answer has left, or at the last moment: a client may read slowly, or not at all."""
+    def _exit_once_closed(self) -> None:
+        """Exits once all client connections are closed, at `_exit_at_ms` at the latest.
+
+        A client may read its answer slowly, or not at all."""
         if self.lifecycle.phase is Phase.STOPPED:
             return
         self.side.front.hang_up()
-        if not self.side.front.held() or self.clock.now() >= self._exit_at:
+        if not self.side.front.held() or self.clock.now() >= self._exit_at_ms:
             self._exit()
         else:
-            self.deadlines.set(min(self.clock.now() + CLOSED_MS, self._exit_at), self._flush)
+            self.deadlines.set(
+                min(self.clock.now() + CLOSE_CHECK_INTERVAL_MS, self._exit_at_ms), self._exit_once_closed
+            )
 
 
-def promises(config: Config) -> dict[str, tuple[float, float]]:
-    """What the contracts say of aims and deadlines."""
+def contract_targets(config: Config) -> dict[str, tuple[float, float]]:
+    """Returns aim and deadline in ms by class of call."""
     return {contract.service: (contract.aim_ms, contract.deadline_ms) for contract in config.contracts}
 
 
-def within_the_process(config: Config) -> Config:
-    """The configuration with no more descriptors than the process may have."""
+def limit_to_process(config: Config) -> Config:
+    """Returns the configuration with `sockets` lowered to the limit of the process (RLIMIT_NOFILE)."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= config.sockets:
         return config
     log.warning("limits.sockets: %d, but the process may have only %d: these count", config.sockets, soft)
-    connections = configuration.most_clients(soft)
+    connections = configuration.max_client_connections(soft)
     return dataclasses.replace(
         config,
         sockets=soft,
@@ -371,8 +394,8 @@
     )
 
 
-def report_faults() -> None:
-    """What Twisted catches, a fault in a callback say, goes to the same log."""
+def log_twisted_errors() -> None:
+    """Routes what Twisted logs, such as an exception in a callback, to the standard logging."""
     observer: Any = PythonLoggingObserver
     observer("frostport.twisted").start()
 
@@ -380,17 +403,19 @@
 def serve(
     config: Config, path: pathlib.Path | None = None, reactor: Any = None, inherited: int | None = None
 ) -> int:
-    """Runs a call agent until it is told to end. Raises StoreError where its store can't be opened."""
+    """Runs a call agent until SIGTERM or SIGINT; returns the exit code.
+
+    `inherited` is the descriptor of a listening socket. Raises StoreError if the store can't be opened."""
     if reactor is None:
         from twisted.internet import reactor
-    report_faults()
+    log_twisted_errors()
     durability = None
     if config.store is not None:
-        from frostport import durability as part
+        from frostport import durability as store_durability
 
-        durability = part.Durability.open(config.store, upgrade=inherited is not None)
-    agent = Agent(within_the_process(config), reactor, durability=durability)
-    agent.path, agent.own_descriptors, agent.inherited = path, own_descriptors, inherited
+        durability = store_durability.Durability.open(config.store, upgrade=inherited is not None)
+    agent = Agent(limit_to_process(config), reactor, durability=durability)
+    agent.path, agent.count_own_descriptors, agent.inherited_fd = path, count_own_descriptors, inherited
     if config.fleet is not None:
         from frostport import fleet
 
@@ -410,13 +435,13 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, on_term)
     signal.signal(signal.SIGHUP, lambda signum, frame: reactor.callFromThread(agent.reload))
-    reactor.callWhenRunning(guard, agent.start, reactor)
+    reactor.callWhenRunning(start_or_stop, agent.start, reactor)
     reactor.run(installSignalHandlers=False)
     return 0 if agent.lifecycle.phase is Phase.STOPPED else 1
 
 
-def guard(start: Callable[[], None], reactor: Any) -> None:
-    """A start that fails ends the program: it would serve nobody."""
+def start_or_stop(start: Callable[[], None], reactor: Any) -> None:
+    """Calls `start`, and stops the reactor if it raises: the process would run without serving anyone."""
     try:
         start()
     except Exception:
--- a/frostport/cli/__init__.py
+++ b/frostport/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: `serve` (also without a word) and the commands that look at things."""
+"""The command line: `serve`, which is the default, and commands that inspect stores, contracts and fleets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from frostport import config
 from frostport.version import VERSION
 
-STORE = {
+STORE_COMMANDS = {
     "verify": "read all of a store and say whether it is sound, also beside a running agent",
     "dump": "print what is kept, a JSON line a record",
     "backup": "copy a store to an empty folder, also beside a running agent",
@@ -23,9 +23,9 @@
 }
 
 
-def parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(prog="frostport", description="A call agent before a few lobby servers.")
-    commands = made.add_subparsers(dest="command", metavar="COMMAND")
+def build_parser() -> argparse.ArgumentParser:
+    parser = argparse.ArgumentParser(prog="frostport", description="A call agent before a few lobby servers.")
+    commands = parser.add_subparsers(dest="command", metavar="COMMAND")
     serve = commands.add_parser("serve", help="run the call agent (the default)")
     check = commands.add_parser("check-config", help="read a configuration and say what is wrong with it")
     for command in (serve, check):
@@ -39,7 +39,7 @@
     stores = commands.add_parser("store", help="look after an embedded store").add_subparsers(
         dest="what", metavar="WHAT", required=True
     )
-    for what, does in STORE.items():
+    for what, does in STORE_COMMANDS.items():
         command = stores.add_parser(what, help=does)
         command.add_argument("folder", metavar="FOLDER", type=pathlib.Path)
         if what == "backup":
@@ -60,47 +60,49 @@
     )
     work.add_argument("--door", metavar="HOST:PORT", required=True, help="any agent's `operator` address")
     commands.add_parser("version", help="print the version")
-    return made
+    return parser
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    given = parser().parse_args(arguments)
-    if given.command == "version":
+    """Runs one command; returns the exit code."""
+    options = build_parser().parse_args(arguments)
+    if options.command == "version":
         print(f"frostport {VERSION}")
         return 0
-    if given.command in ("fleet", "work"):
+    if options.command in ("fleet", "work"):
         from frostport.cli import fleet
 
-        return fleet.run(given)
-    if given.command == "store":
+        return fleet.run(options)
+    if options.command == "store":
         from frostport.cli.store import run
 
-        return run(given)
+        return run(options)
     try:
-        if given.command == "contracts":
-            for contract in config.load_contracts(given.file):
+        if options.command == "contracts":
+            for contract in config.load_contracts(options.file):
                 print(
                     f"{contract.service}: aim {contract.aim_ms:g} ms, "
                     f"deadline {contract.deadline_ms:g} ms, {contract.attempts} attempts, "
                     f"{contract.set_ups_per_second:g} set-ups a second for each team"
                 )
             return 0
-        path = config.find_path(getattr(given, "config", None), os.environ)
-        if given.command != "check-config":
-            signal.signal(signal.SIGHUP, signal.SIG_IGN)  # what it asks for is done already, at the start
-        loaded = config.from_environment(config.load(path), os.environ)
-        inherited = config.inherited_listener(os.environ) if given.command != "check-config" else None
+        path = config.find_path(getattr(options, "config", None), os.environ)
+        if options.command != "check-config":
+            # Until the agent sets its handler: the start reads the current configuration anyway.
+            signal.signal(signal.SIGHUP, signal.SIG_IGN)
+        loaded = config.apply_environment(config.load(path), os.environ)
+        inherited = config.inherited_listener(os.environ) if options.command != "check-config" else None
     except config.ConfigError as problem:
-        what = "contracts" if given.command == "contracts" else "configuration"
+        what = "contracts" if options.command == "contracts" else "configuration"
         print(f"frostport: {what}: {problem}", file=sys.stderr)
         return 2
-    if given.command == "check-config":
+    if options.command == "check-config":
         print(f"configuration of {loaded.name or 'a call agent'} is sound")
         return 0
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(name)s %(message)s")
     from frostport.agent import serve
 
-    gc.freeze()  # what was imported stays: the collector need not look at it again
+    gc.freeze()  # imported modules stay loaded: excludes them from garbage collection
     if loaded.store is None and loaded.fleet is None:
         return serve(loaded, path, inherited=inherited)
     from frostport.store.errors import StoreError
--- a/frostport/config.py
+++ b/frostport/config.py
@@ -1,4 +1,7 @@
-"""The agent's configuration: one JSON file, read with orjson; what is wrong is told by field."""
+"""The configuration of the agent: one JSON file. An error names the field at fault.
+
+The field names of `Config` and `StoreConfig` are compared and read by name (see agent.py).
+"""
 
 from __future__ import annotations
 
@@ -27,16 +30,16 @@
     from frostport.startup.settings import Settings as StartupSettings
 
 CONFIG_VARIABLE = "PROXY_CONFIG"
-OPERATOR_VARIABLE = "PROXY_OPERATOR"  # the door's address for this process; over the file's `operator`
-LISTEN_FD_VARIABLE = "PROXY_LISTEN_FD"  # a listening socket inherited for the clients, on upgrades
-SOCKETS_LEAST = 32
-NUMERIC = re.compile(r"[0-9.]+\Z")
-WATCHDOG_LEAST_MS = 6000.0
+OPERATOR_VARIABLE = "PROXY_OPERATOR"  # address of the operators' port; overrides `operator` in the file
+LISTEN_FD_VARIABLE = "PROXY_LISTEN_FD"  # descriptor of an inherited listening socket for clients, on upgrades
+MIN_SOCKETS = 32
+NUMERIC_HOST = re.compile(r"[0-9.]+\Z")
+MIN_WATCHDOG_MS = 6000.0  # RFC 3539, 3.4.1
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What one call agent is told at its start."""
+    """The configuration of one call agent."""
 
     name: str
     listen: str
@@ -52,15 +55,15 @@
     diameter: DiameterConfig | None = None
     contracts: tuple[Contract, ...] = ()
     store: StoreConfig | None = None
-    admission: Limits = dataclasses.field(default_factory=lambda: Limits(most_clients(1024)))
-    operator: str | None = None  # the operators' door
+    admission: Limits = dataclasses.field(default_factory=lambda: Limits(max_client_connections(1024)))
+    operator: str | None = None  # address of the operators' port
     fleet: FleetConfig | None = None
-    startup: StartupSettings | None = None  # a cold start beside many others
+    startup: StartupSettings | None = None  # for a cold start together with many other agents
 
 
 @dataclass(frozen=True, slots=True)
 class StoreConfig:
-    """Where what must outlive a crash is kept, and what is done when that fails."""
+    """The `store` part: where the state that survives a crash is kept, and what happens if that fails."""
 
     path: pathlib.Path
     durability: str = "always"
@@ -74,26 +77,29 @@
 
 
 class ConfigError(ValueError):
-    """A configuration that can't be used; the message names the field."""
+    """An invalid configuration; the message begins with the field."""
 
 
-def find_path(given: str | None, environment: Mapping[str, str]) -> pathlib.Path:
-    path = given or environment.get(CONFIG_VARIABLE)
+def find_path(named: str | None, environment: Mapping[str, str]) -> pathlib.Path:
+    """Returns the path of the configuration file. Raises ConfigError if there is none."""
+    path = named or environment.get(CONFIG_VARIABLE)
     if not path:
         raise ConfigError(f"{CONFIG_VARIABLE}: not set, and no file named")
     return pathlib.Path(path)
 
 
-def from_environment(config: Config, environment: Mapping[str, str]) -> Config:
-    """What the process's own environment says over the file: the door's address."""
-    door = environment.get(OPERATOR_VARIABLE)
-    if door:
-        config = dataclasses.replace(config, operator=check_address(OPERATOR_VARIABLE, door))
+def apply_environment(config: Config, environment: Mapping[str, str]) -> Config:
+    """Applies settings of the process environment, which override the file: the operators' port."""
+    operator = environment.get(OPERATOR_VARIABLE)
+    if operator:
+        config = dataclasses.replace(config, operator=check_address(OPERATOR_VARIABLE, operator))
     return config
 
 
 def inherited_listener(environment: Mapping[str, str]) -> int | None:
-    """The descriptor of a listening TCP socket that the process inherits, where one is named."""
+    """Returns the descriptor of an inherited listening socket, None if the environment names none.
+
+    Raises ConfigError if it is not a listening IPv4 TCP socket."""
     import socket
 
     text = environment.get(LISTEN_FD_VARIABLE)
@@ -116,6 +122,7 @@
 
 
 def load(path: pathlib.Path) -> Config:
+    """Reads a configuration file. Raises ConfigError."""
     try:
         record = orjson.loads(path.read_bytes())
     except OSError as problem:
@@ -129,8 +136,8 @@
 
 
 def read_yaml(text: str | bytes) -> Any:
-    """Raises ValueError."""
-    import yaml  # a start without YAML files does without it
+    """Parses YAML. Raises ValueError."""
+    import yaml  # imported only if a YAML file is read
 
     try:
         return yaml.safe_load(text)
@@ -139,7 +146,7 @@
 
 
 def load_contracts(path: pathlib.Path) -> list[Contract]:
-    """The contracts of one description, JSON or YAML."""
+    """Reads the contracts of one service description, JSON or YAML. Raises ConfigError."""
     try:
         text = path.read_bytes()
         document = orjson.loads(text) if path.suffix == ".json" else read_yaml(text)
@@ -152,11 +159,11 @@
         raise ConfigError(f"{path.name}: {problem}") from None
 
 
-def all_contracts(record: Mapping[str, Any], folder: pathlib.Path) -> tuple[Contract, ...]:
-    """The contracts of all files that the configuration names; a class may have one in all."""
+def read_contracts(record: Mapping[str, Any], folder: pathlib.Path) -> tuple[Contract, ...]:
+    """Reads the contracts of all files that the configuration names. A class may have only one contract."""
     found: dict[str, Contract] = {}
-    for index, file in enumerate(field(record, "contracts", list, [])):
-        for contract in load_contracts(folder / name(f"contracts.{index}", file)):
+    for index, file in enumerate(read_field(record, "contracts", list, [])):
+        for contract in load_contracts(folder / read_name(f"contracts.{index}", file)):
             if contract.service in found:
                 raise ConfigError(f"contracts.{index}: a second contract for {contract.service}")
             found[contract.service] = contract
@@ -164,18 +171,19 @@
 
 
 def read(record: object, folder: pathlib.Path = pathlib.Path()) -> Config:
+    """Reads a decoded configuration; relative paths in it start from `folder`. Raises ConfigError."""
     if not isinstance(record, dict):
         raise ConfigError("file: not an object")
-    conf = settings.SettingsReader(settings.flatten(field(record, "settings", dict, {})))
+    reader = settings.SettingsReader(settings.flatten(read_field(record, "settings", dict, {})))
     try:
-        given = settings.read(conf)
-        grace = conf.number("rules.drain-grace-ms", 0.0)
+        call_settings = settings.read(reader)
+        grace = reader.number("rules.drain-grace-ms", 0.0)
     except SettingsError as problem:
         raise ConfigError(f"settings.{problem}") from None
-    if not given.classes:
+    if not call_settings.classes:
         raise ConfigError("settings.services: no class of call")
-    known = field(record, "known", dict, {})
-    batch = field(known, "batch", list, [], "known.")
+    known = read_field(record, "known", dict, {})
+    batch = read_field(known, "batch", list, [], "known.")
     for index, event in enumerate(batch):
         if not isinstance(event, dict):
             raise ConfigError(f"known.batch.{index}: not an object")
@@ -187,54 +195,54 @@
     try:
         seed = int(seed, 16) if isinstance(seed, str) else int(seed)
     except (TypeError, ValueError):
-        raise ConfigError("seed: neither hex text nor a number") from None
-    peers = field(record, "peers", list, [])
-    sockets = field(field(record, "limits", dict, {}), "sockets", int, 1024, "limits.")
-    if sockets < SOCKETS_LEAST:
-        raise ConfigError(f"limits.sockets: under {SOCKETS_LEAST}")
+        raise ConfigError("seed: neither a hexadecimal string nor a number") from None
+    peers = read_field(record, "peers", list, [])
+    sockets = read_field(read_field(record, "limits", dict, {}), "sockets", int, 1024, "limits.")
+    if sockets < MIN_SOCKETS:
+        raise ConfigError(f"limits.sockets: must be at least {MIN_SOCKETS}")
     return Config(
-        name=field(record, "name", str, ""),
-        listen=address(record, "listen") or "",
+        name=read_field(record, "name", str, ""),
+        listen=read_address(record, "listen") or "",
         seed=seed,
-        settings=given,
+        settings=call_settings,
         drain_grace_ms=grace,
         sockets=sockets,
-        bus=address(record, "bus", optional=True),
+        bus=read_address(record, "bus", optional=True),
         known=batch,
-        offset=field(known, "offset", int, 0, "known."),
-        peer_listen=address(record, "peer_listen", optional=True),
+        offset=read_field(known, "offset", int, 0, "known."),
+        peer_listen=read_address(record, "peer_listen", optional=True),
         peers=[check_address(f"peers.{index}", peer) for index, peer in enumerate(peers)],
-        diameter=read_diameter(record, given) if "diameter" in record else None,
-        contracts=all_contracts(record, folder),
+        diameter=read_diameter(record, call_settings) if "diameter" in record else None,
+        contracts=read_contracts(record, folder),
         store=read_store(record, folder) if "store" in record else None,
         admission=read_admission(record, sockets),
-        operator=address(record, "operator", optional=True),
+        operator=read_address(record, "operator", optional=True),
         fleet=read_fleet(record, folder) if "fleet" in record else None,
         startup=read_startup(record) if "startup" in record else None,
     )
 
 
 def read_startup(record: Mapping[str, Any]) -> StartupSettings:
-    from frostport import config_startup  # nor of this part
+    from frostport import config_startup  # imported only if configured
 
     return config_startup.read(record)
 
 
 def read_fleet(record: Mapping[str, Any], folder: pathlib.Path) -> FleetConfig:
-    from frostport import config_fleet  # nothing of the fleet is loaded without it
+    from frostport import config_fleet  # imported only if configured
 
     return config_fleet.read(record, folder)
 
 
-OWN_SOCKETS = 64  # descriptors kept for servers, the event bus, peers and the program itself
+RESERVED_SOCKETS = 64  # descriptors kept for servers, the event bus, peers and the process itself
 
 
-def most_clients(sockets: int) -> int:
-    """How many client connections are held: enough descriptors are left for servers and the event bus."""
-    return max(sockets // 2, sockets - OWN_SOCKETS)
+def max_client_connections(sockets: int) -> int:
+    """Returns how many client connections are accepted, so that enough descriptors are left for the rest."""
+    return max(sockets // 2, sockets - RESERVED_SOCKETS)
 
 
-COUNTS = (
+COUNT_FIELDS = (
     "by_address",
     "by_prefix",
     "unidentified",
@@ -243,70 +251,81 @@
     "buffered_bytes",
     "buffered_connection_bytes",
 )
-RATES = ("address_a_second", "address_burst", "prefix_a_second", "prefix_burst")
-TIMES = ("earned_ms", "back_off_ms", "back_off_most_ms")
-PREFIXES = {"ipv4_prefix": 32, "ipv6_prefix": 128}
+RATE_FIELDS = ("address_a_second", "address_burst", "prefix_a_second", "prefix_burst")
+TIME_FIELDS = ("earned_ms", "back_off_ms", "back_off_most_ms")
+PREFIX_FIELDS = {"ipv4_prefix": 32, "ipv6_prefix": 128}
 
 
 def read_admission(record: Mapping[str, Any], sockets: int) -> Limits:
-    at = "admission."
-    section = field(record, "admission", dict, {})
-    known = {*COUNTS, *RATES, *TIMES, *PREFIXES, "known", "shared", "ladder", "remembered"}
+    prefix = "admission."
+    section = read_field(record, "admission", dict, {})
+    known = {
+        *COUNT_FIELDS,
+        *RATE_FIELDS,
+        *TIME_FIELDS,
+        *PREFIX_FIELDS,
+        "known",
+        "shared",
+        "ladder",
+        "remembered",
+    }
     for entry in section:
         if entry not in known:
-            raise ConfigError(f"{at}{entry}: unknown field")
-    chosen: dict[str, Any] = {"connections": most_clients(sockets)}
+            raise ConfigError(f"{prefix}{entry}: unknown field")
+    chosen: dict[str, Any] = {"connections": max_client_connections(sockets)}
     for entry in section:
-        if entry in COUNTS:
-            chosen[entry] = field(section, entry, int, 0, at)
+        if entry in COUNT_FIELDS:
+            chosen[entry] = read_field(section, entry, int, 0, prefix)
             if chosen[entry] < 0:
-                raise ConfigError(f"{at}{entry}: below 0")
-        elif entry in RATES or entry in TIMES:
+                raise ConfigError(f"{prefix}{entry}: must not be negative")
+        elif entry in RATE_FIELDS or entry in TIME_FIELDS:
             value = section[entry]
             if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
-                raise ConfigError(f"{at}{entry}: not a number from 0 on")
+                raise ConfigError(f"{prefix}{entry}: not a number of at least 0")
             chosen[entry] = float(value)
-        elif entry in PREFIXES:
-            chosen[entry] = field(section, entry, int, 0, at)
-            if not 1 <= chosen[entry] <= PREFIXES[entry]:
-                raise ConfigError(f"{at}{entry}: not 1 to {PREFIXES[entry]}")
+        elif entry in PREFIX_FIELDS:
+            chosen[entry] = read_field(section, entry, int, 0, prefix)
+            if not 1 <= chosen[entry] <= PREFIX_FIELDS[entry]:
+                raise ConfigError(f"{prefix}{entry}: must be 1 to {PREFIX_FIELDS[entry]}")
     if "ladder" in section:
-        chosen["ladder"] = field(section, "ladder", bool, False, at)
+        chosen["ladder"] = read_field(section, "ladder", bool, False, prefix)
     if "remembered" in section:
-        chosen["remembered"] = field(section, "remembered", int, 0, at)
+        chosen["remembered"] = read_field(section, "remembered", int, 0, prefix)
         if not 16 <= chosen["remembered"] <= 10_000_000:
-            raise ConfigError(f"{at}remembered: not 16 to 10000000")
+            raise ConfigError(f"{prefix}remembered: must be 16 to 10000000")
     chosen["known"] = tuple(
-        network(f"{at}known.{index}", entry)
-        for index, entry in enumerate(field(section, "known", list, [], at))
+        parse_network(f"{prefix}known.{index}", entry)
+        for index, entry in enumerate(read_field(section, "known", list, [], prefix))
     )
     chosen["shared"] = tuple(
-        read_shared(f"{at}shared.{index}", entry)
-        for index, entry in enumerate(field(section, "shared", list, [], at))
+        read_shared(f"{prefix}shared.{index}", entry)
+        for index, entry in enumerate(read_field(section, "shared", list, [], prefix))
     )
     if chosen.get("reserve", 0) >= chosen["connections"]:
-        raise ConfigError(f"{at}reserve: leaves nothing of {chosen['connections']} connections to strangers")
+        raise ConfigError(
+            f"{prefix}reserve: leaves nothing of {chosen['connections']} connections to unknown clients"
+        )
     return Limits(**chosen)
 
 
-def network(place: str, value: object) -> Network:
+def parse_network(field_path: str, value: object) -> Network:
     try:
         return ipaddress.ip_network(str(value) if isinstance(value, str) else "", strict=True)
     except ValueError as problem:
-        raise ConfigError(f"{place}: no address and no network: {problem}") from None
+        raise ConfigError(f"{field_path}: neither an address nor a network: {problem}") from None
 
 
-def read_shared(place: str, entry: object) -> Shared:
+def read_shared(field_path: str, entry: object) -> Shared:
     if not isinstance(entry, dict) or set(entry) != {"network", "clients"}:
-        raise ConfigError(f"{place}: not an object of network and clients")
-    clients = field(entry, "clients", int, 0, f"{place}.")
+        raise ConfigError(f"{field_path}: not an object with network and clients")
+    clients = read_field(entry, "clients", int, 0, f"{field_path}.")
     if clients < 1:
-        raise ConfigError(f"{place}.clients: under 1")
-    return Shared(network(f"{place}.network", entry["network"]), clients)
+        raise ConfigError(f"{field_path}.clients: must be at least 1")
+    return Shared(parse_network(f"{field_path}.network", entry["network"]), clients)
 
 
 STORE_CHOICES = {"durability": ("always", "interval", "none"), "on_failure": ("refuse", "serve")}
-# Least and most of each size: a record has to fit what a Diameter message holds, a segment some records.
+# Minimum and maximum: a record has to hold the content of a Diameter message, and a segment several records.
 STORE_SIZES = {
     "segment_bytes": (1024 * 1024, 1024**3),
     "record_bytes": (128 * 1024, 16 * 1024 * 1024),
@@ -316,89 +335,89 @@
 
 
 def read_store(record: Mapping[str, Any], folder: pathlib.Path) -> StoreConfig:
-    at = "store."
-    section = field(record, "store", dict, {})
+    prefix = "store."
+    section = read_field(record, "store", dict, {})
     known = {item.name for item in dataclasses.fields(StoreConfig)}
     for entry in section:
         if entry not in known:
-            raise ConfigError(f"{at}{entry}: unknown field")
-    path = folder / name(f"{at}path", section.get("path"))
+            raise ConfigError(f"{prefix}{entry}: unknown field")
+    path = folder / read_name(f"{prefix}path", section.get("path"))
     chosen: dict[str, Any] = {}
     for entry, choices in STORE_CHOICES.items():
         if entry in section:
             if section[entry] not in choices:
-                raise ConfigError(f"{at}{entry}: none of {', '.join(choices)}")
+                raise ConfigError(f"{prefix}{entry}: must be one of {', '.join(choices)}")
             chosen[entry] = section[entry]
     for entry in ("interval_ms", "stall_ms"):
         if entry in section:
-            chosen[entry] = milliseconds(section, entry, 0.0, at)
-    for entry, (least, most) in STORE_SIZES.items():
+            chosen[entry] = read_positive_ms(section, entry, 0.0, prefix)
+    for entry, (minimum, maximum) in STORE_SIZES.items():
         if entry in section:
-            chosen[entry] = field(section, entry, int, 0, at)
-            if not least <= chosen[entry] <= most:
-                raise ConfigError(f"{at}{entry}: not {least} to {most}")
-    made = StoreConfig(path, **chosen)
-    if made.record_bytes > made.segment_bytes:
-        raise ConfigError(f"{at}record_bytes: over segment_bytes")
-    return made
-
-
-def read_diameter(record: Mapping[str, Any], given: api.Settings) -> DiameterConfig:
-    at = "diameter."
-    section = field(record, "diameter", dict, {})
-    if given.probes or given.peers:
-        raise ConfigError("settings.caps: no probes and no peer messages with Diameter")
-    clients, servers = field(section, "clients", list, [], at), []
+            chosen[entry] = read_field(section, entry, int, 0, prefix)
+            if not minimum <= chosen[entry] <= maximum:
+                raise ConfigError(f"{prefix}{entry}: must be {minimum} to {maximum}")
+    store = StoreConfig(path, **chosen)
+    if store.record_bytes > store.segment_bytes:
+        raise ConfigError(f"{prefix}record_bytes: larger than segment_bytes")
+    return store
+
+
+def read_diameter(record: Mapping[str, Any], call_settings: api.Settings) -> DiameterConfig:
+    prefix = "diameter."
+    section = read_field(record, "diameter", dict, {})
+    if call_settings.probes or call_settings.peers:
+        raise ConfigError("settings.caps: probes and peer messages are not supported with Diameter")
+    clients, servers = read_field(section, "clients", list, [], prefix), []
     for index, client in enumerate(clients):
-        name(f"{at}clients.{index}", client)
-    for index, entry in enumerate(field(section, "servers", list, [], at)):
-        place = f"{at}servers.{index}"
+        read_name(f"{prefix}clients.{index}", client)
+    for index, entry in enumerate(read_field(section, "servers", list, [], prefix)):
+        field_path = f"{prefix}servers.{index}"
         if not isinstance(entry, dict):
-            raise ConfigError(f"{place}: not an object")
+            raise ConfigError(f"{field_path}: not an object")
         servers.append(
             DiameterServer(
-                name(f"{place}.host", entry.get("host")),
-                check_address(f"{place}.dial", entry.get("dial")),
-                field(entry, "number", int, index, f"{place}."),
-                field(entry, "zone", str, "", f"{place}."),
+                read_name(f"{field_path}.host", entry.get("host")),
+                check_address(f"{field_path}.dial", entry.get("dial")),
+                read_field(entry, "number", int, index, f"{field_path}."),
+                read_field(entry, "zone", str, "", f"{field_path}."),
             )
         )
     if not clients or not servers:
-        raise ConfigError(f"{at}{'servers' if clients else 'clients'}: none named")
-    watchdog = milliseconds(section, "watchdog_ms", 30_000.0, at)
-    if watchdog < WATCHDOG_LEAST_MS:
-        raise ConfigError(f"{at}watchdog_ms: under {WATCHDOG_LEAST_MS:.0f}, the least that RFC 3539 allows")
+        raise ConfigError(f"{prefix}{'servers' if clients else 'clients'}: must name at least one")
+    watchdog = read_positive_ms(section, "watchdog_ms", 30_000.0, prefix)
+    if watchdog < MIN_WATCHDOG_MS:
+        raise ConfigError(f"{prefix}watchdog_ms: below {MIN_WATCHDOG_MS:.0f}, the minimum of RFC 3539")
     return DiameterConfig(
-        name(f"{at}host", section.get("host")),
-        name(f"{at}realm", section.get("realm")),
+        read_name(f"{prefix}host", section.get("host")),
+        read_name(f"{prefix}realm", section.get("realm")),
         clients,
         servers,
         watchdog,
-        milliseconds(section, "sessions_lost_ms", 8_000.0, at),
+        read_positive_ms(section, "sessions_lost_ms", 8_000.0, prefix),
     )
 
 
-def name(place: str, value: object) -> str:
+def read_name(field_path: str, value: object) -> str:
     if not isinstance(value, str) or not value:
-        raise ConfigError(f"{place}: no name")
+        raise ConfigError(f"{field_path}: no name")
     return value
 
 
-def milliseconds(record: Mapping[str, Any], entry: str, default: float, inside: str) -> float:
+def read_positive_ms(record: Mapping[str, Any], entry: str, default: float, prefix: str) -> float:
     value = record.get(entry, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or value <= 0:
-        raise ConfigError(f"{inside}{entry}: not a number above 0")
+        raise ConfigError(f"{prefix}{entry}: not a number above 0")
     return float(value)
 
 
-def field(record: Mapping[str, Any], name: str, kind: type, default: Any, inside: str = "") -> Any:
+def read_field(record: Mapping[str, Any], name: str, kind: type, default: Any, prefix: str = "") -> Any:
     value = record.get(name, default)
     if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
-        raise ConfigError(f"{inside}{name}: not of type {kind.__name__}")
+        raise ConfigError(f"{prefix}{name}: not of type {kind.__name__}")
     return value
 
 
-def address(record: Mapping[str, Any], name: str, optional: bool = False) -> str | None:
+def read_address(record: Mapping[str, Any], name: str, optional: bool = False) -> str | None:
     value = record.get(name)
     if value is None and optional:
         return None
@@ -406,13 +425,13 @@
 
 
 def check_address(name: str, value: object) -> str:
-    """`host:port`, as given."""
+    """Returns `value` unchanged if it is `host:port`. Raises ConfigError, which begins with `name`."""
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not colon or not port.isdecimal() or len(port) > 5 or not 0 <= int(port) < 65536:
         raise ConfigError(f"{name}: not host:port: {value!r}")
-    if NUMERIC.match(host):
+    if NUMERIC_HOST.match(host):
         try:
             ipaddress.IPv4Address(host)
         except ValueError:
-            raise ConfigError(f"{name}: no IPv4 address: {host!r}") from None
+            raise ConfigError(f"{name}: not an IPv4 address: {host!r}") from None
     return str(value)
--- a/frostport/config_fleet.py
+++ b/frostport/config_fleet.py
@@ -1,4 +1,4 @@
-"""The `fleet` part of the configuration; imported only where there is one."""
+"""The `fleet` part of the configuration; imported only if there is one."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from frostport.maintenance.commands import Limits
 from frostport.membership.messages import MAX_NAME_BYTES, MAX_TEXT_BYTES
 
-VOTERS = (0, 1, 3, 5, 7)
-KEY_LEAST, KEY_MOST = 16, 64  # bytes
+VOTER_COUNTS = (0, 1, 3, 5, 7)
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """What an agent is told of its fleet."""
+    """The configuration of an agent as a member of a fleet."""
 
     fleet: str
     agent: str
@@ -34,7 +34,7 @@
     record: pathlib.Path | None = None
     routes: Mapping[str, str] = field(default_factory=dict)
     compact_after: int = 10_000
-    work: Limits | None = None  # of work on machines
+    work: Limits | None = None  # limits of maintenance
 
 
 FIELDS = (
@@ -53,80 +53,82 @@
 )
 
 
-def short(place: str, value: object, most: int) -> str:
-    text = base.name(place, value)
-    if len(text.encode()) > most:
-        raise ConfigError(f"{place}: over {most} bytes")
+def read_limited_name(field_path: str, value: object, max_bytes: int) -> str:
+    text = base.read_name(field_path, value)
+    if len(text.encode()) > max_bytes:
+        raise ConfigError(f"{field_path}: over {max_bytes} bytes")
     return text
 
 
 def read(record: Mapping[str, Any], folder: pathlib.Path) -> FleetConfig:
-    """Raises ConfigError, which names the field."""
-    at = "fleet."
-    section = base.field(record, "fleet", dict, {})
+    """Reads the `fleet` part; relative paths in it start from `folder`. Raises ConfigError."""
+    prefix = "fleet."
+    section = base.read_field(record, "fleet", dict, {})
     for entry in section:
         if entry not in FIELDS:
-            raise ConfigError(f"{at}{entry}: unknown field")
+            raise ConfigError(f"{prefix}{entry}: unknown field")
     try:
-        key = bytes.fromhex(base.name(f"{at}key", section.get("key")))
+        key = bytes.fromhex(base.read_name(f"{prefix}key", section.get("key")))
     except ValueError:
-        raise ConfigError(f"{at}key: not hexadecimal") from None
-    if not KEY_LEAST <= len(key) <= KEY_MOST:
-        raise ConfigError(f"{at}key: not {KEY_LEAST} to {KEY_MOST} bytes")
+        raise ConfigError(f"{prefix}key: not hexadecimal") from None
+    if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+        raise ConfigError(f"{prefix}key: not {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
     addresses = {
-        entry: short(f"{at}{entry}", base.check_address(f"{at}{entry}", section.get(entry)), MAX_TEXT_BYTES)
+        entry: read_limited_name(
+            f"{prefix}{entry}", base.check_address(f"{prefix}{entry}", section.get(entry)), MAX_TEXT_BYTES
+        )
         for entry in ("gossip", "link")
     }
     seeds = tuple(
-        base.check_address(f"{at}seeds.{number}", seed)
-        for number, seed in enumerate(base.field(section, "seeds", list, [], at))
+        base.check_address(f"{prefix}seeds.{number}", seed)
+        for number, seed in enumerate(base.read_field(section, "seeds", list, [], prefix))
     )
     voters = tuple(
-        short(f"{at}voters.{number}", voter, MAX_NAME_BYTES)
-        for number, voter in enumerate(base.field(section, "voters", list, [], at))
+        read_limited_name(f"{prefix}voters.{number}", voter, MAX_NAME_BYTES)
+        for number, voter in enumerate(base.read_field(section, "voters", list, [], prefix))
     )
-    if len(voters) not in VOTERS or len(set(voters)) != len(voters):
-        raise ConfigError(f"{at}voters: not 1, 3, 5 or 7 different names")
+    if len(voters) not in VOTER_COUNTS or len(set(voters)) != len(voters):
+        raise ConfigError(f"{prefix}voters: not 1, 3, 5 or 7 different names")
     routes = {}
-    for place, way in base.field(section, "routes", dict, {}, at).items():
-        base.check_address(f"{at}routes", place)
-        routes[place] = base.check_address(f"{at}routes.{place}", way)
-    zone = base.field(section, "zone", str, "", at)
+    for address, route in base.read_field(section, "routes", dict, {}, prefix).items():
+        base.check_address(f"{prefix}routes", address)
+        routes[address] = base.check_address(f"{prefix}routes.{address}", route)
+    zone = base.read_field(section, "zone", str, "", prefix)
     if len(zone.encode()) > MAX_TEXT_BYTES:
-        raise ConfigError(f"{at}zone: over {MAX_TEXT_BYTES} bytes")
-    compact_after = base.field(section, "compact_after", int, 10_000, at)
+        raise ConfigError(f"{prefix}zone: over {MAX_TEXT_BYTES} bytes")
+    compact_after = base.read_field(section, "compact_after", int, 10_000, prefix)
     if compact_after < 100:
-        raise ConfigError(f"{at}compact_after: under 100")
+        raise ConfigError(f"{prefix}compact_after: under 100")
     return FleetConfig(
-        base.name(f"{at}name", section.get("name")),
-        short("name", record.get("name"), MAX_NAME_BYTES),
+        base.read_name(f"{prefix}name", section.get("name")),
+        read_limited_name("name", record.get("name"), MAX_NAME_BYTES),
         key,
         addresses["gossip"],
         addresses["link"],
-        folder / base.name(f"{at}path", section.get("path")),
+        folder / base.read_name(f"{prefix}path", section.get("path")),
         zone,
         seeds,
         voters,
-        folder / base.name(f"{at}record", section["record"]) if "record" in section else None,
+        folder / base.read_name(f"{prefix}record", section["record"]) if "record" in section else None,
         routes,
         compact_after,
-        limits(section),
+        read_work_limits(section),
     )
 
 
-def limits(section: Mapping[str, Any]) -> Limits | None:
-    """The limits of work on machines; the rest of them as they are by themselves."""
-    at = "fleet.work."
+def read_work_limits(section: Mapping[str, Any]) -> Limits | None:
+    """Reads the limits of maintenance (`fleet.work`); those not given keep their defaults."""
+    prefix = "fleet.work."
     if "work" not in section:
         return None
-    told, known = base.field(section, "work", dict, {}, "fleet."), msgspec.structs.asdict(Limits())
-    for name in told:
-        if name not in known:
-            raise ConfigError(f"{at}{name}: unknown field")
-        kind = type(known[name])
-        whole = kind is float and isinstance(told[name], int) and not isinstance(told[name], bool)
-        value = float(told[name]) if whole else base.field(told, name, kind, known[name], at)
+    given, values = base.read_field(section, "work", dict, {}, "fleet."), msgspec.structs.asdict(Limits())
+    for name in given:
+        if name not in values:
+            raise ConfigError(f"{prefix}{name}: unknown field")
+        kind = type(values[name])
+        is_integer = kind is float and isinstance(given[name], int) and not isinstance(given[name], bool)
+        value = float(given[name]) if is_integer else base.read_field(given, name, kind, values[name], prefix)
         if not 0 <= value < 1e12:
-            raise ConfigError(f"{at}{name}: out of range")
-        known[name] = value
-    return Limits(**known)
+            raise ConfigError(f"{prefix}{name}: out of range")
+        values[name] = value
+    return Limits(**values)
--- a/frostport/config_startup.py
+++ b/frostport/config_startup.py
@@ -31,7 +31,7 @@
 def read(record: Mapping[str, Any]) -> Settings:
     """Raises ConfigError, which names the field."""
     at = "startup."
-    section = base.field(record, "startup", dict, {})
+    section = base.read_field(record, "startup", dict, {})
     if "diameter" in record:
         raise ConfigError("startup: only with the platform's wires, not with diameter")
     given: dict[str, Any] = {}
--- a/frostport/diameter_side.py
+++ b/frostport/diameter_side.py
@@ -70,7 +70,7 @@
         for call, standing in restored.standing.items():
             self.adopt_call(call, standing)
         self._restore_ended_sessions(restored)
-        self.front.resume(restored.owed, restored.given)
+        self.front.resume(restored.owed, restored.recorded_answer)
 
     def adopt_call(self, call: str, standing: Standing) -> None:
         """Takes over an established call: restores its session."""
@@ -87,7 +87,7 @@
     def restore_from_predecessor(self, restored: Restored) -> None:
         """Takes over what the previous process has left; called while serving."""
         self._restore_ended_sessions(restored)
-        self.front.resume(restored.owed, restored.given)
+        self.front.resume(restored.owed, restored.recorded_answer)
         self.route.resume({}, restored.releases)
 
     def restore_owed_releases(self, restored: Restored) -> None:
--- a/frostport/durability.py
+++ b/frostport/durability.py
@@ -1,6 +1,6 @@
-"""Joins the store to the agent: opens it, hands what comes back to who owns it, and ends it.
+"""Connects the store to the agent: opens it, restores the agent's state from it, and closes it.
 
-Imported only where a store is configured.
+Imported only if a store is configured.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from frostport.core.clock import Clock
 from frostport.core.deadlines import Deadlines
 from frostport.core.rules import Rules
-from frostport.handover import Handover, absorb
+from frostport.handover import Handover, merge_next
 from frostport.interface import Outcome
 from frostport.state import records, recovery
-from frostport.state.recorder import StoreRecorder, Trouble
+from frostport.state.recorder import OnFailure, StoreRecorder
 from frostport.state.recovery import Restored
 from frostport.store import committer
 from frostport.store.committer import Committer, ThreadWorker, Worker
@@ -33,8 +33,8 @@
 log = logging.getLogger("frostport.store")
 
 
-class Joined(Protocol):
-    """The agent, as far as a store is joined to it."""
+class AgentWithStore(Protocol):
+    """The parts of the agent that the store uses."""
 
     reactor: Any
     clock: Clock
@@ -45,7 +45,7 @@
 
 
 class Durability:
-    """The store as a part of the agent."""
+    """The store as a part of the agent, used in the order of its methods."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
         handover: Handover | None = None,
     ) -> None:
         self.config, self.engine, self.worker, self.handover = config, engine, worker, handover
-        self.found = handover.known() if handover is not None else engine.take_recovered()
+        self.recovered_values = handover.initial_values() if handover is not None else engine.take_recovered()
         self.restored = Restored()
-        self.stands: Callable[[str, records.Standing], None]  # takes up a call of the process before
+        self.adopt_call: Callable[[str, records.Standing], None]  # takes over a call of the old process
         self.committer: Committer | None = None
         self.recorder: StoreRecorder | None = None
 
@@ -69,9 +69,9 @@
         worker: Worker | None = None,
         upgrade: bool = False,
     ) -> Durability:
-        """Recovers the store. Raises StoreError: one line that names file and offset.
+        """Opens and recovers the store. Raises StoreError: one line that names file and offset.
 
-        On an `upgrade` another process may still write it, and hands it over."""
+        With `upgrade`, an old process may still write to the store and then hands it over."""
         limits = Limits(
             config.segment_bytes, config.record_bytes, config.store_bytes, config.checkpoint_records
         )
@@ -83,10 +83,10 @@
             except LockedError:
                 if not upgrade:
                     raise
-                taking = Handover(config.path, limits)
-                return cls(config, taking.engine, worker, taking)
+                handover = Handover(config.path, limits)
+                return cls(config, handover.engine, worker, handover)
             try:
-                engine.recovered = absorb(engine, config.path, limits)
+                engine.recovered = merge_next(engine, config.path, limits)
             except BaseException:
                 engine.close()
                 raise
@@ -94,12 +94,11 @@
         except OSError as problem:
             raise StoreError(f"{problem.filename or config.path}: {problem.strerror or problem}") from None
 
-    def join(self, agent: Joined) -> None:
-        """Reads the records and puts the recorder in place. Raises StoreError where a record can't be
-        read."""
+    def attach(self, agent: AgentWithStore) -> None:
+        """Decodes the records and installs the recorder. Raises StoreError if a record can't be decoded."""
         guard_ms = agent.rules.settings.release_guard_ms
         try:
-            self.restored = recovery.restore(self.found, agent.clock.now(), guard_ms)
+            self.restored = recovery.restore(self.recovered_values, agent.clock.now(), guard_ms)
         except records.BadRecordError as problem:
             self.engine.close()
             raise StoreError(f"{self.config.path}: record {problem}") from None
@@ -113,36 +112,38 @@
             self.config.interval_ms,
             self.config.stall_ms,
         )
-        self.recorder = StoreRecorder(self.committer, agent.clock, Trouble(self.config.on_failure))
-        self.recorder.room = self._has_room
-        self.committer.changed = self._changed
+        self.recorder = StoreRecorder(self.committer, agent.clock, OnFailure(self.config.on_failure))
+        self.recorder.has_room = self._has_room
+        self.committer.changed = self._on_store_state
         agent.broker.recorder = agent.broker.budgets.recorder = self.recorder
 
     def _has_room(self) -> bool:
         return self.committer is None or not self.committer.full
 
-    def _changed(self, state: committer.State, why: str) -> None:
+    def _on_store_state(self, state: committer.State, why: str) -> None:
         if self.recorder is not None:
-            self.recorder.trusted = state is committer.State.OPEN
+            self.recorder.store_open = state is committer.State.OPEN
         if state is not committer.State.OPEN:
-            doing = (
+            consequence = (
                 "new calls are refused"
                 if self.config.on_failure == "refuse"
-                else "GOING ON WITHOUT: a crash now forgets calls"
+                else "SERVING WITHOUT IT: a crash now loses calls"
             )
-            log.error("store: %s: %s; %s", state.value, why, doing)
+            log.error("store: %s: %s; %s", state.value, why, consequence)
 
-    def resume(self, agent: Joined) -> None:
-        """Before anything is open: calls, guards, the list, budgets and what is owed go to their owners."""
+    def restore(self, agent: AgentWithStore) -> None:
+        """Passes restored calls, guards, servers, budgets and owed messages to the parts that own them.
+
+        Called before any port or connection is open."""
         restored, broker = self.restored, agent.broker
         assert self.committer is not None and self.recorder is not None
-        if restored.set_back_ms > 0.0:
+        if restored.clock_set_back_ms > 0.0:
             log.warning(
-                "store: the clock has gone back by %.0f ms since the last record", restored.set_back_ms
+                "store: the clock was set back by %.0f ms since the last record", restored.clock_set_back_ms
             )
-        self.committer.write([(key, None) for key in restored.dropped])
+        self.committer.write([(key, None) for key in restored.expired_keys])
         for call, standing in restored.standing.items():
-            stands(agent, call, standing)
+            restore_call(agent, call, standing)
         for call, over in sorted(restored.over.items(), key=lambda item: item[1].at):
             broker.ended_ids[call] = (over.at, over.not_before)
         for address, (server, _, stop_at) in restored.servers.items():
@@ -150,19 +151,19 @@
         broker.budgets.restore(restored.budgets)
         agent.side.restore(restored)
         if restored.state_id is None and (identity := getattr(agent.side, "identity", None)) is not None:
-            self.recorder.node(identity.state_id)
+            self.recorder.record_node(identity.state_id)
         if self.handover is not None:
-            self.stands = lambda call, standing: adopt(agent, call, standing)
-            self.handover.join(agent, self)
+            self.adopt_call = lambda call, standing: adopt_call(agent, call, standing)
+            self.handover.attach(agent, self)
 
-    def started(self, agent: Joined) -> None:
-        """Once the servers are known: releases owed to them; what stood where no server is left is over."""
+    def servers_known(self, agent: AgentWithStore) -> None:
+        """Called once the servers are known: restores owed releases, and ends calls whose server is gone."""
         agent.side.restore_owed_releases(self.restored)
         for request in agent.broker.requests:
             if request.attempt is not None and not agent.side.knows_server(request.attempt.server):
                 agent.broker.attempt_ended(request.attempt, Outcome.RESET)
         log.info(
-            "store: %d calls stand, %d ids are known, %d releases owed",
+            "store: restored: %d calls established, %d ids of ended calls known, %d releases owed",
             len(agent.broker.requests),
             len(agent.broker.ended_ids),
             len(self.restored.releases) + len(self.restored.owed),
@@ -170,16 +171,16 @@
         self.restored = Restored()
 
     def stop(self) -> None:
-        """Writes what waits; waits for a bounded time."""
+        """Writes all pending changes and closes the store; waits for a limited time."""
         if self.committer is not None:
             self.committer.close()
 
     def snapshot(self) -> dict[str, Any]:
-        """Plain data for console and records."""
-        at = self.committer
-        engine = at.engine if at is not None else self.engine
+        """Returns the state of the store as plain data for operators and event records."""
+        committing = self.committer
+        engine = committing.engine if committing is not None else self.engine
         return {
-            "state": at.state.value if at is not None else "joining",
+            "state": committing.state.value if committing is not None else "joining",
             "failure": engine.failure,
             "records": len(engine.places),
             "live_bytes": engine.live_bytes,
@@ -187,21 +188,21 @@
             "segments": len(engine.segments),
             "sequence": engine.sequence,
             "synced": engine.synced,
-            "commits": at.commits if at is not None else 0,
-            "changes": at.written if at is not None else 0,
+            "commits": committing.commits if committing is not None else 0,
+            "changes": committing.written if committing is not None else 0,
             "cleaned": engine.cleaned,
             "checkpoints": engine.checkpoints,
         }
 
 
-def adopt(agent: Joined, call: str, standing: records.Standing) -> None:
-    """While serving: a call that stands in another process."""
-    stands(agent, call, standing)
+def adopt_call(agent: AgentWithStore, call: str, standing: records.Standing) -> None:
+    """Takes over an established call of the old process, while this one is already serving."""
+    restore_call(agent, call, standing)
     agent.side.adopt_call(call, standing)
 
 
-def stands(agent: Joined, call: str, standing: records.Standing) -> None:
-    """A call that stands from before the restart: it has no connection."""
+def restore_call(agent: AgentWithStore, call: str, standing: records.Standing) -> None:
+    """Adds an established call from before the restart to the broker; it has no client connection yet."""
     request = Request(
         call,
         standing.service,
@@ -215,7 +216,7 @@
         end_to_end_id=standing.identity,
     )
     request.state, request.established_at_ms, request.answer = State.ESTABLISHED, standing.at, "stands"
-    request.recorded_answer, request.attempts = recovery.given(standing), 1
+    request.recorded_answer, request.attempts = recovery.recorded_answer(standing), 1
     request.attempt = Attempt(request, 0, standing.server, standing.at, standing.at, pending=False)
     request.slot = agent.broker.requests.add(request)
     agent.broker.slots_by_id[call] = request.slot
--- a/frostport/fleet_maintenance.py
+++ b/frostport/fleet_maintenance.py
@@ -55,12 +55,12 @@
 
     broker: Broker
     lifecycle: Lifecycle
-    figures: StatsdMetrics
+    metrics: StatsdMetrics
     clock: Clock
 
-    def empty(self) -> bool: ...
+    def is_idle(self) -> bool: ...
 
-    def able(self) -> bool: ...
+    def startup_complete(self) -> bool: ...
 
 
 def register_plan(state_machine: StateMachine, plan: Plan, apply: Callable[[Entry, Any], None]) -> None:
@@ -223,7 +223,7 @@
             fleet.raft.term,
             self.disk_plan is None,
             agent.lifecycle.phase.value,
-            agent.empty(),
+            agent.is_idle(),
             self._calls_per_second(),
             calls_by_server,
             frozenset(
@@ -233,7 +233,7 @@
             ),
             frozenset(
                 server
-                for server, reasons in agent.figures.avoidance_reasons.items()
+                for server, reasons in agent.metrics.avoidance_reasons.items()
                 if reasons & {"connection", "operator"}
             ),
             members,
@@ -244,13 +244,13 @@
                 for server in rotation.last_records.values()
                 if server.state is not ServerLifecycle.GONE
             },
-            agent.able(),
+            agent.startup_complete(),
         )
 
     def _calls_per_second(self) -> float:
         """The rate of calls answered here, over `LOAD_WINDOW_MS`."""
         assert self.agent is not None
-        now, counts = self.fleet.clock.now(), self.agent.figures.counts
+        now, counts = self.fleet.clock.now(), self.agent.metrics.counts
         total = sum(sum(counts[name].values()) for name in ("answered", "deferred", "errored"))
         if not self.answer_samples or now - self.answer_samples[-1][0] >= 1000.0:
             self.answer_samples.append((now, total))
--- a/frostport/handover.py
+++ b/frostport/handover.py
@@ -1,16 +1,18 @@
-"""The store's handover on an upgrade: an old process still writes it while the new one serves already.
+"""Handover of the store on an upgrade: the old process still writes to it while the new one already serves.
 
-The steps, each of which may be cut short by the end of either process:
+The steps, each of which may be interrupted by the end of either process:
 
-1. The new process can't lock the store. It locks the folder `next` in it, and writes there from the first
-   moment: each of the two stores has one writer.
-2. It follows what the old one writes: calls that stand there can be ended here, answers on record are
-   repeated, a call whose attempt is out there gets none here before it has ended and the guard has passed.
-3. The old process ends, however it does, and its lock is free. The new one locks the store, writes what
-   `next` holds into it by the rule of state/merge.py, as one batch, and goes on there; `next` is emptied.
-4. What the old one left, attempts out, releases owed, is taken up as after a restart.
+1. The new process can't lock the store. It locks the folder `next` inside it, and writes all its records
+   there: each of the two stores has one writer.
+2. It follows the records of the old process: calls established there can be ended here, recorded answers are
+   repeated, and a call with an attempt pending there gets none here until that has ended and the release
+   guard has passed.
+3. The old process exits or dies, which frees its lock. The new one locks the store, merges the records of
+   `next` into it by the rule of state/merge.py as one batch, continues to write there and empties `next`.
+4. Pending attempts and owed releases of the old process are handled as after a restart.
 
-A start that finds something in `next` does step 3 first: whoever died in between, nothing is lost or undone.
+A process that starts and finds records in `next` performs step 3 first: whichever process died in between,
+no change is lost or undone.
 """
 
 from __future__ import annotations
@@ -33,167 +35,180 @@
 from frostport.store.recovery import MANIFEST_NAME
 
 if TYPE_CHECKING:
-    from frostport.durability import Durability, Joined
+    from frostport.durability import AgentWithStore, Durability
 
 log = logging.getLogger("frostport.store")
 
-NEXT = "next"
-FOLLOW_MS = 100.0  # between two looks at the old process's store and its lock; each call looks as well
+NEXT_FOLDER = "next"
+FOLLOW_INTERVAL_MS = 100.0  # between two polls of the old process's store and lock; each call polls too
 
 
-class Step(Enum):
-    """How far the handover has come."""
+class HandoverState(Enum):
+    """The state of a handover."""
 
     FOLLOWING = "following"
-    TAKING = "taking over"
+    TAKING_OVER = "taking over"
     DONE = "done"
 
 
-def empty(folder: DiskFolder) -> None:
-    """Removes a store whose records are written elsewhere; the manifest first, without which it is none.
+def remove_store(folder: DiskFolder) -> None:
+    """Removes the files of a store whose records are in the main store.
 
-    The folder and its lock stay: guards against a process that waits for the lock of a removed file."""
+    The manifest goes first: a folder without one is not a store. The folder and its lock file stay, which
+    guards against a process that waits for the lock of a removed file."""
     folder.remove(MANIFEST_NAME)
     folder.sync()
     for name in folder.names() - {folder.LOCK}:
         folder.remove(name)
 
 
-def absorb(engine: Engine, path: pathlib.Path, limits: Limits) -> dict[str, bytes]:
-    """Writes what a successor left in `next` into the store, which is locked; returns all it then holds.
+def merge_next(engine: Engine, path: pathlib.Path, limits: Limits) -> dict[str, bytes]:
+    """Merges records that a successor left in `next` into the store, which is locked; returns all values.
 
-    Raises LockedError where that successor lives and waits for this very lock; StoreError, OSError."""
+    Raises LockedError if that successor is alive and waits for this lock; StoreError, OSError."""
     held = engine.take_recovered()
-    if not (path / NEXT).is_dir():
+    if not (path / NEXT_FOLDER).is_dir():
         return held
-    folder = DiskFolder(path / NEXT)
+    folder = DiskFolder(path / NEXT_FOLDER)
     if MANIFEST_NAME not in folder.names():
-        with contextlib.suppress(LockedError):  # who holds it has only begun
+        with contextlib.suppress(LockedError):  # the process that holds it has only just started
             folder.lock()
-            empty(folder)  # whoever emptied it was stopped half-way
+            remove_store(folder)  # an earlier removal was interrupted
             folder.unlock()
         return held
     later = Engine.open(folder, limits)
     found = merge.changes(held, later.take_recovered())
     engine.append(found)
     engine.sync()
-    finish(later, folder)
-    log.info("store: %d records of a handover that was cut short are taken in", len(found))
+    close_next(later, folder)
+    log.info("store: merged %d records of an interrupted handover", len(found))
     held.update((key, value) for key, value in found if value is not None)
     return held
 
 
-def finish(later: Engine, folder: DiskFolder) -> None:
-    """Lets go of `next`, emptied under its lock."""
+def close_next(later: Engine, folder: DiskFolder) -> None:
+    """Closes the store in `next`, empties it while it is locked, and releases the lock."""
     later.close(unlock=False)
-    empty(folder)
+    remove_store(folder)
     folder.unlock()
 
 
 class Handover:
-    """The new process's side; its own records are written by `durability` into `next` meanwhile."""
+    """The new process's side of a handover; its own records go to `next` through `Durability` meanwhile."""
 
     def __init__(self, path: pathlib.Path, limits: Limits) -> None:
-        """Raises LockedError where a third process is between the two; StoreError, OSError."""
-        self.limits, self.main, self.folder = limits, DiskFolder(path), DiskFolder(path / NEXT)
-        self.engine = Engine.open(self.folder, limits)  # the one of `next`
+        """Raises LockedError if a third process is already taking over; StoreError, OSError."""
+        self.limits, self.main_folder, self.next_folder = (
+            limits,
+            DiskFolder(path),
+            DiskFolder(path / NEXT_FOLDER),
+        )
+        self.engine = Engine.open(self.next_folder, limits)  # of the store in `next`
         try:
-            self.follower = Follower(self.main)
+            self.follower = Follower(self.main_folder)
         except BaseException:
             self.engine.close()
             raise
-        self.step = Step.FOLLOWING
-        self.there: set[str] = set()  # calls that the old process has open, or has standing and we don't
-        self.adopted: set[str] = set()  # calls that stand there, and here as well, or were ended here since
-        # By call of `there` and server: what that server said of it here, its end or an answer told again.
+        self.state = HandoverState.FOLLOWING
+        # Calls that are open in the old process, or established there but not here.
+        self.pending_in_predecessor: set[str] = set()
+        # Calls established in the old process that are established here too, or have been ended here since.
+        self.adopted: set[str] = set()
+        # By pending call and server: handles that server's message on it, an end or a repeated answer.
         self.deferred: dict[tuple[str, str], Continuation] = {}
 
-    def known(self) -> dict[str, bytes]:
-        """What the new process starts with beside its own: the list, peers, this node; not the calls."""
+    def initial_values(self) -> dict[str, bytes]:
+        """Returns the records to start with: its own, and those of the old process except for its calls.
+
+        Of the old process that is the server list, the bus position, the peers and the node."""
         own = self.engine.take_recovered()
         tables = (records.SERVER, records.PEER, records.BUS, records.NODE)
         theirs = {key: value for key, value in self.follower.values.items() if key.startswith(tables)}
         return {**theirs, **own}
 
-    def join(self, agent: Joined, durability: Durability) -> None:
-        """Once calls can be taken up, before anything is open."""
+    def attach(self, agent: AgentWithStore, durability: Durability) -> None:
+        """Starts to follow the old process; called once calls can be restored, before any port is open."""
         self.agent, self.durability = agent, durability
         assert durability.recorder is not None
         durability.recorder.handover = self
-        self.adopted.update(durability.restored.over)  # over by the records of a life before this one
+        self.adopted.update(durability.restored.over)  # ended according to records of an earlier process
         for key, value in self.follower.values.items():
-            self._take_in(key, value)
-        self._again()
+            self._apply(key, value)
+        self._schedule_poll()
 
-    def _again(self) -> None:
-        self.agent.deadlines.set(self.agent.clock.now() + FOLLOW_MS, self._turn)
+    def _schedule_poll(self) -> None:
+        self.agent.deadlines.set(self.agent.clock.now() + FOLLOW_INTERVAL_MS, self._poll_and_try_lock)
 
-    def _turn(self) -> None:
-        if self.step is not Step.FOLLOWING:
+    def _poll_and_try_lock(self) -> None:
+        if self.state is not HandoverState.FOLLOWING:
             return
-        self.look()
+        self.poll()
         try:
-            self.main.lock()
+            self.main_folder.lock()
         except LockedError:
-            self._again()
+            self._schedule_poll()
             return
-        # Guards against what the old one wrote between the look and its end: nobody looks again until the
-        # store is this process's own.
-        self.look()
+        # Guards against records that the old process wrote between the poll and its end: there is no other
+        # poll until this process owns the store.
+        self.poll()
         self._take_over()
 
-    # While the old process lives
+    # While the old process is alive
 
-    def look(self) -> None:
-        """Takes in what the old process has written since the last look. A fault costs this look alone."""
-        if self.step is Step.FOLLOWING:
+    def poll(self) -> None:
+        """Applies what the old process has written since the last poll; an error ends this poll only."""
+        if self.state is HandoverState.FOLLOWING:
             try:
                 for key, value in self.follower.poll().items():
-                    self._take_in(key, value)
+                    self._apply(key, value)
             except (StoreError, OSError) as problem:
-                log.error("store: can't follow the old process: %s", problem)
-            self._go_on()
+                log.error("store: can't read the old process's records: %s", problem)
+            self._run_deferred()
 
     def defers(self, call: str, server: str, then: Continuation) -> bool:
-        """Takes a server's word on a call that the old process still has open, until it is known there.
+        """Defers a server's message on a call that is pending in the old process; returns whether it did.
+
+        `then` handles the message; it runs once the call is no longer pending there.
 
-        Guards against an end that overtakes the answer: that is on record there, or about to be. And against
-        an answer told again here, on a connection newer than the old process's: what is not known here
-        would be released, and may stand by its records."""
-        self.look()
-        if call not in self.there:
+        Guards against an end that overtakes the answer, which the old process has recorded or is about to.
+        Also guards against an answer that is repeated here, on a connection newer than the old process's: a
+        call not known here would be released, while it may be established by the old process's records."""
+        self.poll()
+        if call not in self.pending_in_predecessor:
             return False
         self.deferred[call, server] = then
         return True
 
-    def _go_on(self) -> None:
-        for key in [key for key in self.deferred if key[0] not in self.there]:
-            if (then := self.deferred.pop(key, None)) is not None:  # one before it has looked again
+    def _run_deferred(self) -> None:
+        for key in [key for key in self.deferred if key[0] not in self.pending_in_predecessor]:
+            if (
+                then := self.deferred.pop(key, None)
+            ) is not None:  # an earlier continuation may have polled and run it
                 then()
 
-    def elsewhere(self, call: str) -> bool:
-        """Whether the old process may have an attempt of this call out."""
-        return call in self.there
+    def pending_elsewhere(self, call: str) -> bool:
+        """Whether the old process may have a pending attempt of this call."""
+        return call in self.pending_in_predecessor
 
-    def _take_in(self, key: str, value: bytes | None) -> None:
+    def _apply(self, key: str, value: bytes | None) -> None:
         if not key.startswith(CALL):
             return
         broker, call = self.agent.broker, key.removeprefix(CALL)
         record = None if value is None else records.decode(key, value)[2]
-        self.there.discard(call)
+        self.pending_in_predecessor.discard(call)
         request = broker.find_request(call)
         match record:
             case Open():
                 if call not in self.adopted:
-                    self.there.add(call)
+                    self.pending_in_predecessor.add(call)
             case Standing():
                 if request is None and call not in self.adopted:
-                    # Also where an earlier set-up of it has ended: its client has repeated it over there.
+                    # Also if an earlier set-up of it has ended: the client repeated it at the old process.
                     broker.ended_ids.pop(call, None)
-                    self.durability.stands(call, record)
+                    self.durability.adopt_call(call, record)
                     self.adopted.add(call)
                 elif call not in self.adopted:
-                    self.there.add(call)
+                    self.pending_in_predecessor.add(call)
             case _:
                 if call in self.adopted:
                     self.adopted.discard(call)
@@ -202,49 +217,50 @@
                 if isinstance(record, Over) and call not in broker.slots_by_id:
                     broker.ended_ids[call] = (self.agent.clock.now(), record.not_before)
 
-    # Once it has ended
+    # Once the old process has ended
 
     def _take_over(self) -> None:
-        self.step = Step.TAKING
+        self.state = HandoverState.TAKING_OVER
         committer = self.durability.committer
         assert committer is not None
 
         def job() -> Callable[[], None]:
-            """On the store's thread, after all that was written to `next`."""
+            """Runs on the store's thread, after all writes to `next`."""
             try:
-                main = Engine.open(self.main, self.limits, locked=True)
+                main = Engine.open(self.main_folder, self.limits, locked=True)
                 left = main.take_recovered()
-                later = committer.engine
-                main.append(merge.changes(left, dict(later.values())))
+                own = committer.engine
+                main.append(merge.changes(left, dict(own.values())))
                 main.sync()
                 committer.engine = self.durability.engine = main
-                finish(later, self.folder)
-            except Exception as problem:  # guards the thread; `next` still holds all that is ours
+                close_next(own, self.next_folder)
+            except Exception as problem:  # guards the thread; `next` still holds all own records
                 why = str(problem) or repr(problem)
-                return lambda: self._failed(why)
-            return lambda: self._taken(left)
+                return lambda: self._takeover_failed(why)
+            return lambda: self._taken_over(left)
 
         committer.worker.submit(job)
 
-    def _failed(self, why: str) -> None:
-        """What the old process left can't be taken in (now): this one writes to `next` as before."""
-        log.error("store: the handover waits: %s", why)
-        self.main.unlock()
-        self.step = Step.FOLLOWING
-        self._again()
+    def _takeover_failed(self, why: str) -> None:
+        """The merge has failed: this process goes on writing to `next`, and tries again."""
+        log.error("store: handover failed, trying again: %s", why)
+        self.main_folder.unlock()
+        self.state = HandoverState.FOLLOWING
+        self._schedule_poll()
 
-    def _taken(self, left: dict[str, bytes]) -> None:
-        """The store is this process's alone: what the old one left is taken up."""
+    def _taken_over(self, left: dict[str, bytes]) -> None:
+        """This process owns the store: takes over the calls and owed messages of the old one."""
         for key in left.keys() | self.follower.values.keys():
             if left.get(key) != self.follower.values.get(key):
-                self._take_in(key, left.get(key))
-        self.step = Step.DONE
+                self._apply(key, left.get(key))
+        self.state = HandoverState.DONE
         agent, broker, now = self.agent, self.agent.broker, self.agent.clock.now()
         theirs = {}
         for key, value in left.items():
-            call = records.split(key)[1].rpartition(records.BETWEEN)[2]
+            call = records.split_key(key)[1].rpartition(records.KEY_SEPARATOR)[2]
             if key.startswith((records.OWED, records.RELEASE)) or (
-                key.startswith(CALL) and (call in self.there or call not in broker.slots_by_id)
+                key.startswith(CALL)
+                and (call in self.pending_in_predecessor or call not in broker.slots_by_id)
             ):
                 theirs[key] = value
         restored = recovery.restore(theirs, now, agent.rules.settings.release_guard_ms)
@@ -252,20 +268,20 @@
             if call not in broker.slots_by_id:
                 guard = broker.ended_ids.get(call, (0.0, 0.0))[1]
                 broker.ended_ids[call] = (over.at, max(over.not_before, guard))
-        for call in self.there:
+        for call in self.pending_in_predecessor:
             if (request := broker.find_request(call)) is not None:
-                # Its attempt has ended with the old process, now at the latest; if it stands, it is released.
+                # Its attempt ended with the old process, now at the latest. If established, it is released.
                 request.not_before = now + agent.rules.settings.release_guard_ms
                 if call in restored.standing:
                     restored.releases[restored.standing[call].server, call] = None
         agent.side.restore_from_predecessor(restored)
-        self.there.clear()
+        self.pending_in_predecessor.clear()
         self.adopted.clear()
         assert self.durability.recorder is not None
-        self.durability.recorder.taken_over()
-        self._go_on()
+        self.durability.recorder.handover_done()
+        self._run_deferred()
         log.info(
-            "store: taken over: %d calls stand, %d releases owed",
+            "store: taken over: %d calls established, %d releases owed",
             len(broker.requests),
             len(restored.releases) + len(restored.owed),
         )
--- a/frostport/state/__init__.py
+++ b/frostport/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the agent remembers over a restart, and how it comes back. Plain objects: no files, no wires."""
+"""The state that survives a restart: its records, and how they are made, merged and restored; no I/O."""
--- a/frostport/state/merge.py
+++ b/frostport/state/merge.py
@@ -1,8 +1,9 @@
-"""The rule for two copies that differ: the old process's records and those its successor made meanwhile.
+"""Merges two copies of the records: those of the old process, and those that its successor has written.
 
-Within a call `over` beats `standing` beats `open`; a final answer given is never replaced by another: of two
-that are over, the one with an answer, and of two answers the earlier. Of a team's budget the fewer tokens, of
-all else the newer. What is owed to either is owed.
+If both have a record for a call, `Over` wins over `Standing`, and `Standing` over `Open`. A final answer is
+never replaced by another: of two `Over` records the one with an answer wins, and of two answers the earlier.
+Of two budgets of a team the one with fewer tokens wins, of all other records the newer. A release or an end
+of call that is owed according to either copy remains owed.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 from frostport.state import records
 from frostport.state.records import Bucket, Bus, Open, Over, Record, Standing
 
-RANK = {Open: 0, Standing: 1, Over: 2}
+STATE_RANK = {Open: 0, Standing: 1, Over: 2}
 
 
-def better(one: Record, other: Record) -> Record:
-    """Which of two records of one key counts."""
+def preferred(one: Record, other: Record) -> Record:
+    """Returns which of two records of one key is kept; associative, commutative and idempotent."""
     match one, other:
         case ((Open() | Standing() | Over()), (Open() | Standing() | Over())):
-            if RANK[type(one)] != RANK[type(other)]:
-                return max(one, other, key=lambda record: RANK[type(record)])
+            if STATE_RANK[type(one)] != STATE_RANK[type(other)]:
+                return max(one, other, key=lambda record: STATE_RANK[type(record)])
             if isinstance(one, Over) and isinstance(other, Over):
                 return min(
                     one,
@@ -35,14 +36,14 @@
 
 
 def changes(main: Mapping[str, bytes], later: Mapping[str, bytes]) -> list[tuple[str, bytes | None]]:
-    """What has to be written to `main` so that it holds both. Raises BadRecordError."""
+    """Returns the changes that merge `later` into `main`. Raises BadRecordError."""
     found: list[tuple[str, bytes | None]] = []
     for key, value in later.items():
         mine = main.get(key)
         if mine is None:
             found.append((key, value))
         elif mine != value:
-            kept = records.encode(better(records.decode(key, mine)[2], records.decode(key, value)[2]))
+            kept = records.encode(preferred(records.decode(key, mine)[2], records.decode(key, value)[2]))
             if kept != mine:
                 found.append((key, kept))
     return found
--- a/frostport/state/recorder.py
+++ b/frostport/state/recorder.py
@@ -1,8 +1,8 @@
-"""Turns what the core tells into records, and holds each effect back until its record counts as written.
+"""The recorder with a store: turns the changes reported by the core into records.
 
-One key a call: the record of an attempt gives way to that of the call that stands, and this to that of the
-call
-that is over, so that no crash can leave two of them.
+The effect of a change runs once the store takes its record as written (see core/recorder.py). A call has one
+key: the record of an attempt is replaced by that of the established call, and this by that of the ended
+call, so that no crash can leave two of them.
 """
 
 from __future__ import annotations
@@ -19,32 +19,33 @@
 from frostport.core.recorder import Continuation, Recorder
 from frostport.interface import Outcome
 from frostport.state import records
-from frostport.state.records import BETWEEN, BUDGET, CALL, OWED, PEER, RELEASE, SERVER, Record
+from frostport.state.records import BUDGET, CALL, KEY_SEPARATOR, OWED, PEER, RELEASE, SERVER, Record
 
 log = logging.getLogger("frostport.state")
 
 Change = tuple[str, bytes | None]
 
 
-class Trouble(Enum):
-    """What an operator wants of new calls while the store can't be trusted."""
+class OnFailure(Enum):
+    """What happens to new calls while the store can't record them; set by the operator."""
 
     REFUSE = "refuse"
     SERVE = "serve"
 
 
 class Sink(Protocol):
-    """Where the records go."""
+    """Writes the records; implemented by the committer of the store."""
 
-    def write(self, changes: Sequence[Change], then: Continuation | None = None) -> None: ...
+    def write(self, changes: Sequence[Change], then: Continuation | None = None) -> None:
+        """Writes `changes` as one batch, then runs `then`, in the order of the calls."""
 
 
-class Other(Protocol):
-    """Another process on the same store, which hands it over."""
+class OtherProcess(Protocol):
+    """The old process on the same store, which hands the store over (see handover.py)."""
 
-    def look(self) -> None: ...
+    def poll(self) -> None: ...
 
-    def elsewhere(self, call: str) -> bool: ...
+    def pending_elsewhere(self, call: str) -> bool: ...
 
     def defers(self, call: str, server: str, then: Continuation) -> bool: ...
 
@@ -54,34 +55,34 @@
 
 
 class StoreRecorder(Recorder):
-    """Owns no table: what it writes is taken back by whoever told it."""
+    """Writes a record for each change; a record is deleted when the part that reported it clears it."""
 
-    def __init__(self, sink: Sink, clock: Clock, trouble: Trouble = Trouble.REFUSE) -> None:
-        self.sink, self.clock, self.trouble = sink, clock, trouble
-        self.handover: Other | None = None  # while an old process writes its store beside ours
-        self._forgotten: list[str] = []  # meanwhile
-        self.trusted = True  # the store answers
-        self.room: Callable[[], bool] = lambda: True  # and is not nearly full
+    def __init__(self, sink: Sink, clock: Clock, on_failure: OnFailure = OnFailure.REFUSE) -> None:
+        self.sink, self.clock, self.on_failure = sink, clock, on_failure
+        self.handover: OtherProcess | None = None  # set while an old process still writes to the store
+        self._deferred_deletions: list[str] = []  # ids of calls forgotten during the handover
+        self.store_open = True  # whether the store works and answers in time
+        self.has_room: Callable[[], bool] = lambda: True  # whether the store is not nearly full
 
     def refresh(self) -> None:
         if self.handover is not None:
-            self.handover.look()
+            self.handover.poll()
 
     def pending_elsewhere(self, call: str) -> bool:
-        return self.handover is not None and self.handover.elsewhere(call)
+        return self.handover is not None and self.handover.pending_elsewhere(call)
 
     def defers(self, call: str, server: str, then: Continuation) -> bool:
         return self.handover is not None and self.handover.defers(call, server, then)
 
-    def taken_over(self) -> None:
-        """The handover is done: what was forgotten meanwhile goes now."""
+    def handover_done(self) -> None:
+        """The handover is done: deletes the records of the calls that were forgotten meanwhile."""
         self.handover = None
-        for call in self._forgotten:
+        for call in self._deferred_deletions:
             self._drop(CALL + call)
-        self._forgotten.clear()
+        self._deferred_deletions.clear()
 
     def accepts_calls(self) -> bool:
-        return self.trouble is Trouble.SERVE or (self.trusted and self.room())
+        return self.on_failure is OnFailure.SERVE or (self.store_open and self.has_room())
 
     def barrier(self, then: Continuation) -> None:
         self.sink.write((), then)
@@ -94,7 +95,7 @@
 
     # Calls
 
-    def _open(self, request: Request, server: str) -> records.Open:
+    def _open_record(self, request: Request, server: str) -> records.Open:
         return records.Open(
             server,
             self.clock.now(),
@@ -106,8 +107,8 @@
             request.end_to_end_id,
         )
 
-    def _over(self, request: Request, server: str, owed: bool = False) -> records.Over:
-        """With the answer where a duplicate may still ask for it: a client that is owed the end, say."""
+    def _over_record(self, request: Request, server: str, owed: bool = False) -> records.Over:
+        """Keeps the answer if a repeated request may still need it, e.g. while the client is owed the end."""
         given = request.recorded_answer
         if given is None or (isinstance(given.answer, str) and not owed):
             return records.Over(
@@ -138,10 +139,10 @@
         )
 
     def record_attempt(self, attempt: Attempt, then: Continuation) -> None:
-        self._put(CALL + attempt.request.id, self._open(attempt.request, attempt.server), then)
+        self._put(CALL + attempt.request.id, self._open_record(attempt.request, attempt.server), then)
 
     def record_release_guard(self, request: Request, server: str) -> None:
-        record = self._over(request, server) if request.answer else self._open(request, server)
+        record = self._over_record(request, server) if request.answer else self._open_record(request, server)
         self._put(CALL + request.id, record)
 
     def record_established(self, request: Request, attempt: Attempt, body: Body, then: Continuation) -> None:
@@ -169,45 +170,46 @@
         )
 
     def record_answered(self, request: Request, server: str, then: Continuation) -> None:
-        self._put(CALL + request.id, self._over(request, server), then)
+        self._put(CALL + request.id, self._over_record(request, server), then)
 
     def record_end(self, request: Request, server: str, outcome: Outcome | None, then: Continuation) -> None:
-        record = self._over(request, server, owed=outcome is not None)
+        record = self._over_record(request, server, owed=outcome is not None)
         changes: list[Change] = [(CALL + request.id, records.encode(record))]
         if outcome is not None:
-            # In one batch: a call whose end is on record and owed to nobody would never be told.
-            changes.append((OWED + request.id, self._owed(request.client, outcome)))
+            # In one batch: if the end were recorded without being owed, a crash in between would lose it.
+            changes.append((OWED + request.id, self._encode_owed(request.client, outcome)))
         self.sink.write(changes, then)
 
-    def _owed(self, client: str, outcome: Outcome) -> bytes:
+    def _encode_owed(self, client: str, outcome: Outcome) -> bytes:
         return records.encode(records.Owed(client, outcome.value, self.clock.now()))
 
     def record_owed_end(self, call: str, client: str, outcome: Outcome, then: Continuation) -> None:
-        self.sink.write(((OWED + call, self._owed(client, outcome)),), then)
+        self.sink.write(((OWED + call, self._encode_owed(client, outcome)),), then)
 
     def clear_owed_end(self, call: str) -> None:
         self._drop(OWED + call)
 
     def record_owed_release(self, server: str, call: str) -> None:
-        self._put(f"{RELEASE}{server}{BETWEEN}{call}", records.Release(self.clock.now()))
+        self._put(f"{RELEASE}{server}{KEY_SEPARATOR}{call}", records.Release(self.clock.now()))
 
     def clear_owed_release(self, server: str, call: str) -> None:
-        self._drop(f"{RELEASE}{server}{BETWEEN}{call}")
+        self._drop(f"{RELEASE}{server}{KEY_SEPARATOR}{call}")
 
     def forget_call(self, call: str) -> None:
         if self.handover is not None:
-            # Guards against a call that stands in the old process's store, and is over by this record alone.
-            self._forgotten.append(call)
+            # Guards against a call that the old process's store has as established, and that only this record
+            # marks as ended.
+            self._deferred_deletions.append(call)
         else:
             self._drop(CALL + call)
 
-    # All else
+    # Budgets, servers and peers
 
     def record_budget(self, team: str, service: str, tokens: float, at: float) -> None:
-        self._put(f"{BUDGET}{team}{BETWEEN}{service}", records.Bucket(tokens, at))
+        self._put(f"{BUDGET}{team}{KEY_SEPARATOR}{service}", records.Bucket(tokens, at))
 
     def clear_budget(self, team: str, service: str) -> None:
-        self._drop(f"{BUDGET}{team}{BETWEEN}{service}")
+        self._drop(f"{BUDGET}{team}{KEY_SEPARATOR}{service}")
 
     def record_server(self, server: api.Server, dial: str, stop_at: float | None) -> None:
         self._put(
@@ -236,5 +238,6 @@
             PEER + host, records.PeerState(-1 if state_id is None else state_id, started_ms, self.clock.now())
         )
 
-    def node(self, state_id: int) -> None:
+    def record_node(self, state_id: int) -> None:
+        """Records this node's own Origin-State-Id."""
         self._put(records.NODE, records.Node(state_id, self.clock.now()))
--- a/frostport/state/records.py
+++ b/frostport/state/records.py
@@ -1,9 +1,7 @@
-"""The records: what is kept under which key. Arrays of msgpack, so that a call costs little over its own
-texts.
+"""The records of the store and their keys. They are encoded as msgpack arrays, which keeps the overhead low.
 
-Times are float milliseconds of Unix time. A field is only ever added at the end, with a default: an older
-record
-stays readable.
+Times are milliseconds of Unix time, as floats. A new field is only ever added at the end and with a default,
+so that older records stay readable.
 """
 
 from __future__ import annotations
@@ -12,11 +10,11 @@
 
 CALL, SERVER, BUDGET, OWED, RELEASE, PEER = "call/", "server/", "budget/", "owed/", "release/", "peer/"
 BUS, NODE = "bus", "node"
-BETWEEN = "\0"  # the two parts of a key
+KEY_SEPARATOR = "\0"  # between the two parts of a compound key
 
 
 class Open(msgspec.Struct, tag="o", array_like=True):
-    """A call without an answer: its last attempt is, or was, at `server`."""
+    """A call without a final answer: its last attempt is or was at `server`."""
 
     server: str
     at: float
@@ -29,7 +27,7 @@
 
 
 class Standing(msgspec.Struct, tag="s", array_like=True):
-    """A call that stands at `server` since `at`; `answer` is what its client was told, or is about to be."""
+    """A call that is established at `server` since `at`; `answer` is what its client was or is to be told."""
 
     server: str
     at: float
@@ -37,16 +35,16 @@
     team: str
     client: str
     identity: int  # Diameter's End-to-End id of the request
-    print: int  # CRC-32 of the description that was asked with
-    text: bool  # the answer is text, in UTF-8
+    print: int  # CRC-32 of the description in the request
+    text: bool  # whether the answer is text, encoded as UTF-8
     answer: bytes
 
 
 class Over(msgspec.Struct, tag="e", array_like=True):
-    """A call that is over: its answer ("stands", "refused", "failed", "gone"), and where it last was.
+    """A call that is over: its final answer ("stands", "refused", "failed", "gone") and its last server.
 
-    `body` only where the front answers duplicates, or the client may not have heard the answer; `back_ms`:
-    for how long its client was told to stay away."""
+    `body` is kept only if the front answers repeated requests, or if the client may not have received the
+    answer. `back_ms`: how long the client was told not to ask again."""
 
     answer: str
     server: str
@@ -54,17 +52,17 @@
     not_before: float
     client: str
     identity: int
-    ended_by: int  # the End-to-End id of the request that ended it, -1: none
+    ended_by: int  # End-to-End id of the request that ended the call, -1: none
     back_ms: float
     body: bytes
-    text: bool = False  # the answer is text, in UTF-8
+    text: bool = False  # whether the answer is text, encoded as UTF-8
     service: str = ""
-    print: int = 0  # CRC-32 of the description that was asked with
-    answered_at: float = 0.0  # 0: no answer is kept here
+    print: int = 0  # CRC-32 of the description in the request
+    answered_at: float = 0.0  # 0: this record keeps no answer
 
 
 class Listed(msgspec.Struct, array_like=True):
-    """What the list says of a server."""
+    """A server as listed by discovery."""
 
     number: int
     state: str
@@ -78,14 +76,14 @@
 
 
 class Bucket(msgspec.Struct, array_like=True):
-    """A team's budget of one service: tokens left at a time."""
+    """A team's budget for one service: the tokens left at the time `at`."""
 
     tokens: float
     at: float
 
 
 class Bus(msgspec.Struct, array_like=True):
-    """The last event taken in, and the list's version then."""
+    """The last bus event that was applied, and the version of the server list after it."""
 
     offset: int
     version: int
@@ -93,7 +91,7 @@
 
 
 class Owed(msgspec.Struct, array_like=True):
-    """A client ("" where it isn't known which) is owed the end of a call."""
+    """A client has to be told of the end of a call; "" if the client is not known."""
 
     client: str
     outcome: str
@@ -101,13 +99,13 @@
 
 
 class Release(msgspec.Struct, array_like=True):
-    """A server is owed a release."""
+    """A server has to be told to release a call."""
 
     at: float
 
 
 class PeerState(msgspec.Struct, array_like=True):
-    """A Diameter peer: its Origin-State-Id, -1 where it told none."""
+    """A Diameter peer: its Origin-State-Id, -1 if it sent none, and when it started."""
 
     state_id: int
     started_ms: float
@@ -115,7 +113,7 @@
 
 
 class Node(msgspec.Struct, array_like=True):
-    """This node's own Origin-State-Id: it stays while its sessions do (RFC 6733, 8.16)."""
+    """This node's own Origin-State-Id, which is kept as long as its sessions are (RFC 6733, 8.16)."""
 
     state_id: int
     at: float
@@ -125,7 +123,7 @@
 Record = Call | Listed | Bucket | Bus | Owed | Release | PeerState | Node
 
 _encoder = msgspec.msgpack.Encoder()
-FORMS: dict[str, msgspec.msgpack.Decoder[Record]] = {
+DECODERS: dict[str, msgspec.msgpack.Decoder[Record]] = {
     CALL: msgspec.msgpack.Decoder(Call),
     SERVER: msgspec.msgpack.Decoder(Listed),
     BUDGET: msgspec.msgpack.Decoder(Bucket),
@@ -138,26 +136,26 @@
 
 
 class BadRecordError(ValueError):
-    """A sound frame whose record this version can't read: the message names the key."""
+    """An intact frame whose record this version can't decode; the message names the key."""
 
 
 def encode(record: Record) -> bytes:
     return _encoder.encode(record)
 
 
-def split(key: str) -> tuple[str, str]:
-    """The table and what follows it."""
+def split_key(key: str) -> tuple[str, str]:
+    """Splits a key into its table (with the slash, if any) and the name within it."""
     table, slash, name = key.partition("/")
     return table + slash, name
 
 
 def decode(key: str, value: bytes) -> tuple[str, str, Record]:
-    """Table, name and record. Raises BadRecordError."""
-    table, name = split(key)
-    form = FORMS.get(table)
-    if form is None:
+    """Returns table, name and record of a stored pair. Raises BadRecordError."""
+    table, name = split_key(key)
+    decoder = DECODERS.get(table)
+    if decoder is None:
         raise BadRecordError(f"{key[:80]!r}: no such table")
     try:
-        return table, name, form.decode(value)
+        return table, name, decoder.decode(value)
     except msgspec.MsgspecError as problem:
         raise BadRecordError(f"{key[:80]!r}: {problem}") from None
--- a/frostport/state/recovery.py
+++ b/frostport/state/recovery.py
@@ -1,10 +1,12 @@
-"""What a restart makes of the records. Decisions only: the records and the time in, what to go on with out.
-
-- An attempt that was out has ended as reset, now: its guard runs from here, and its server is told to
-release it.
-- A call that stands goes on standing at its server. One that is older than any call can be is dropped.
-- What ended shortly before the last record is released at its server once more: the word may not have left.
-- A clock that has gone back moves all times back with it, so that the time in between counts as none.
+"""Restores the state of the agent from its records. Pure functions of the records and the time.
+
+- An attempt that was pending counts as reset now: its release guard starts now, and its server is told to
+  release the call.
+- An established call stays established at its server. One older than any call can be is dropped.
+- A call that ended shortly before the last record is released at its server again, since the first release
+  may not have been sent.
+- If the clock has been set back, all recorded times are shifted back with it, so that no time counts as
+  passed since the last record.
 """
 
 from __future__ import annotations
@@ -16,17 +18,17 @@
 from frostport.core.calls import RecordedAnswer
 from frostport.interface import Lifecycle, Outcome
 from frostport.state import records
-from frostport.state.records import BETWEEN, Over, Standing
+from frostport.state.records import KEY_SEPARATOR, Over, Standing
 
-REMEMBER_MS = 60_000.0  # as the broker remembers ended calls
-AGAIN_MS = 2_000.0  # releases of calls that ended within this time of the last record are said again
-OWED_MS = 60_000.0  # as the fronts keep what they owe
-RELEASE_MS = 24 * 3600_000.0  # a release owed to a server that never came back
-STANDING_MS = 24 * 3600_000.0  # no call stands longer: what is older was never heard to end
+ENDED_CALL_RETENTION_MS = 60_000.0  # as long as the broker keeps the ids of ended calls
+RELEASE_REPEAT_WINDOW_MS = 2_000.0  # calls that ended this shortly before the last record are released again
+OWED_END_RETENTION_MS = 60_000.0  # as long as the fronts keep ends that they owe to clients
+OWED_RELEASE_RETENTION_MS = 24 * 3600_000.0  # then the server is taken never to come back
+MAX_CALL_AGE_MS = 24 * 3600_000.0  # no call lasts longer: the end of an older one was missed
 
 
-def given(record: Standing | Over) -> RecordedAnswer | None:
-    """The answer that a client gets which repeats its set-up."""
+def recorded_answer(record: Standing | Over) -> RecordedAnswer | None:
+    """Returns the answer for a client that repeats its set-up, None if the record keeps none."""
     if isinstance(record, Standing):
         body, at = record.answer, record.at
     elif record.answered_at:
@@ -40,82 +42,87 @@
 
 @dataclass(slots=True)
 class Restored:
-    """All that the agent goes on with. Times are as they count now."""
+    """The restored state. Times are corrected for a clock that was set back."""
 
     standing: dict[str, Standing] = field(default_factory=dict)
-    over: dict[str, Over] = field(default_factory=dict)  # attempts that were out among them
-    owed: dict[str, tuple[str, Outcome, float]] = field(default_factory=dict)  # client, outcome, since
-    releases: dict[tuple[str, str], None] = field(default_factory=dict)  # server and call
-    servers: dict[str, tuple[api.Server, str, float | None]] = field(default_factory=dict)  # dial, stop at
-    budgets: dict[tuple[str, str], tuple[float, float]] = field(default_factory=dict)  # tokens, when
-    peers: dict[str, tuple[int | None, float]] = field(default_factory=dict)  # state id, started
+    over: dict[str, Over] = field(default_factory=dict)  # including attempts that were pending
+    # By call: client, outcome, since.
+    owed: dict[str, tuple[str, Outcome, float]] = field(default_factory=dict)
+    releases: dict[tuple[str, str], None] = field(default_factory=dict)  # (server, call)
+    # By address: server, dial address, since when it takes no new calls.
+    servers: dict[str, tuple[api.Server, str, float | None]] = field(default_factory=dict)
+    # By team and service: tokens, at.
+    budgets: dict[tuple[str, str], tuple[float, float]] = field(default_factory=dict)
+    peers: dict[str, tuple[int | None, float]] = field(default_factory=dict)  # by host: state id, started_ms
     offset: int = -1
     version: int = 0
     state_id: int | None = None
-    dropped: list[str] = field(default_factory=list)  # keys that are of no more use: to be deleted
-    set_back_ms: float = 0.0  # how far the clock has gone back since the last record
+    expired_keys: list[str] = field(default_factory=list)  # keys of outdated records, to be deleted
+    clock_set_back_ms: float = 0.0  # how far the clock was set back since the last record
 
-    def given(self, call: str) -> RecordedAnswer | None:
-        """The answer of a call that is over, where its client may not have heard it."""
-        return given(self.over[call]) if call in self.over else None
+    def recorded_answer(self, call: str) -> RecordedAnswer | None:
+        """Returns the answer of an ended call if its client may not have received it."""
+        return recorded_answer(self.over[call]) if call in self.over else None
 
 
-def last_time(found: Mapping[str, records.Record]) -> float:
-    return max((record.at for record in found.values()), default=0.0)
+def latest_time(decoded: Mapping[str, records.Record]) -> float:
+    return max((record.at for record in decoded.values()), default=0.0)
 
 
 def restore(values: Mapping[str, bytes], now_ms: float, guard_ms: float) -> Restored:
-    """Raises BadRecordError: what can't be read might be an answered call."""
+    """Restores all records. Raises BadRecordError: one that can't be decoded might be of an answered call."""
     decoded = {key: records.decode(key, value)[2] for key, value in values.items()}
-    last = last_time(decoded)
-    restored = Restored(set_back_ms=max(0.0, last - now_ms))
-    shift = -restored.set_back_ms
+    last_at = latest_time(decoded)
+    restored = Restored(clock_set_back_ms=max(0.0, last_at - now_ms))
+    shift = -restored.clock_set_back_ms
     for key, record in decoded.items():
-        name = records.split(key)[1]
+        name = records.split_key(key)[1]
         at = record.at + shift
-        if not keep(restored, name, record, at, last + shift, now_ms, guard_ms, shift):
-            restored.dropped.append(key)
+        if not apply_record(restored, name, record, at, last_at + shift, now_ms, guard_ms, shift):
+            restored.expired_keys.append(key)
     return restored
 
 
-def keep(
+def apply_record(
     restored: Restored,
     name: str,
     record: records.Record,
     at: float,
-    last: float,
-    now: float,
+    last_at: float,
+    now_ms: float,
     guard_ms: float,
     shift: float,
 ) -> bool:
-    """Takes one record in; False where it is of no more use."""
+    """Adds one record to `restored`, or returns False if it is outdated.
+
+    `at`, its time, and `last_at`, that of the last record, are corrected by `shift`."""
     match record:
         case records.Open():
             restored.over[name] = Over(
-                "gone", record.server, at, now + guard_ms, record.client, record.identity, -1, 0.0, b""
+                "gone", record.server, at, now_ms + guard_ms, record.client, record.identity, -1, 0.0, b""
             )
             restored.releases[record.server, name] = None
         case Standing():
-            if now - at > STANDING_MS:
+            if now_ms - at > MAX_CALL_AGE_MS:
                 return False
             record.at = at
             restored.standing[name] = record
         case Over():
-            if record.server and last - at <= AGAIN_MS:
+            if record.server and last_at - at <= RELEASE_REPEAT_WINDOW_MS:
                 restored.releases[record.server, name] = None
-            if now - at > REMEMBER_MS:
+            if now_ms - at > ENDED_CALL_RETENTION_MS:
                 return False
             record.at, record.not_before = at, record.not_before + shift
             record.answered_at += shift if record.answered_at else 0.0
             restored.over[name] = record
         case records.Owed():
-            if now - at > OWED_MS:
+            if now_ms - at > OWED_END_RETENTION_MS:
                 return False
             restored.owed[name] = (record.client, Outcome(record.outcome), at)
         case records.Release():
-            if now - at > RELEASE_MS:
+            if now_ms - at > OWED_RELEASE_RETENTION_MS:
                 return False
-            server, _, call = name.partition(BETWEEN)
+            server, _, call = name.partition(KEY_SEPARATOR)
             restored.releases[server, call] = None
         case records.Listed():
             stop_at = None if record.stop_at is None else record.stop_at + shift
@@ -133,7 +140,7 @@
                 stop_at,
             )
         case records.Bucket():
-            team, _, service = name.partition(BETWEEN)
+            team, _, service = name.partition(KEY_SEPARATOR)
             restored.budgets[team, service] = (record.tokens, at)
         case records.Bus():
             restored.offset, restored.version = record.offset, record.version
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Known failures: tests listed in KNOWN-RED.txt may fail, and are printed with their cause and issue."""
+"""Known failures: tests listed in KNOWN-RED.txt may fail, and are reported with their cause and issue."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import pytest
 
 LIST = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
-KNOWN_MOST = 3
+MAX_KNOWN_FAILURES = 3
 
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """One line of the list: `test | cause | issue`."""
+    """One line of KNOWN-RED.txt: `test | cause | issue`."""
 
     test: str
     cause: str
@@ -21,24 +21,24 @@
 
 
 def read(text: str) -> list[KnownFailure]:
-    """Raises ValueError on a line of another form, and where there are more than are allowed."""
+    """Parses the list. Raises ValueError on a malformed line, and on more failures than are allowed."""
     found = []
     for line in text.splitlines():
         if line.strip() and not line.startswith("#"):
             test, cause, issue = (part.strip() for part in line.split("|"))
             found.append(KnownFailure(test, cause, issue))
-    if len(found) > KNOWN_MOST:
-        raise ValueError(f"{len(found)} known failures, {KNOWN_MOST} are allowed")
+    if len(found) > MAX_KNOWN_FAILURES:
+        raise ValueError(f"{len(found)} known failures, {MAX_KNOWN_FAILURES} are allowed")
     return found
 
 
 def known_failures() -> list[KnownFailure]:
-    """The list as it stands; empty without a file."""
+    """Reads KNOWN-RED.txt; returns an empty list if there is none."""
     return read(LIST.read_text(encoding="utf-8")) if LIST.exists() else []
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Lets just the listed tests fail."""
+    """Marks the listed tests, and no others, as expected failures."""
     known = {failure.test: failure for failure in known_failures()}
     for item in items:
         failure = known.get(item.nodeid)
@@ -48,7 +48,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Prints the list, and what became of each of its tests in this run."""
+    """Prints each listed test with its outcome in this run."""
     for failure in known_failures():
         outcomes = [
             name
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -15,7 +15,7 @@
 from standins.faults import FORWARD
 from standins.fleet import Outside, Rig
 from standins.ports import free_ports
-from tests.test_sigkill import ended_by_servers, quiet
+from tests.test_sigkill import end_calls_at_servers, stop_callers
 
 History = Callable[[Rig], Awaitable[None]]
 
@@ -384,8 +384,8 @@
         return text.count("h1 draining") >= len(rig.names)
 
     await rig.until("all hear of the drain", drained)
-    await quiet(outside.callers)
-    await ended_by_servers(outside.lobbies, books)
+    await stop_callers(outside.callers)
+    await end_calls_at_servers(outside.lobbies, books)
     assert books.faults == []
     assert books.answers > 150 and books.ended > 10
 
--- a/tests/fleet/test_work.py
+++ b/tests/fleet/test_work.py
@@ -10,7 +10,7 @@
 import pytest
 
 from standins.fleet import Outside, Rig
-from tests.test_sigkill import ended_by_servers, quiet
+from tests.test_sigkill import end_calls_at_servers, stop_callers
 
 Scenario = Callable[[Rig], Awaitable[None]]
 REQUEST_FIELDS = "takes=1h who=ann why=a new kernel"
@@ -518,8 +518,8 @@
             await wait_for_answers(rig)
             for each in rig.names:
                 await rig.until(f"{each} serves", lambda each=each: serves(rig, each))  # type: ignore[misc]
-            await quiet(outside.callers)
-            await ended_by_servers(outside.lobbies, outside.books)
+            await stop_callers(outside.callers)
+            await end_calls_at_servers(outside.lobbies, outside.books)
             assert outside.books.faults == []
             await rig.note("n0")
             await rig.together(1)
--- a/tests/restart.py
+++ b/tests/restart.py
@@ -1,11 +1,11 @@
-"""Worlds whose agent keeps a store, can be killed, and starts again. Beside the steps of tests/scenario.py:
-
-send agent kill       the process is gone at once; the system has all that was written
-send agent power      the machine is gone: what was not synced may be lost, kept in part or reordered
-send agent start      it starts again, on the files as they were found
-send disk hold        what is written is neither done nor heard of; `write`: done, and still not heard of;
-                      `free`: both, from now on; `full`: every write fails from now on, until `roomy`
-send clock MS         the clock is set by so much, back as well
+"""Scenarios in which an agent with a store is killed and restarted. Steps besides those of tests/scenario.py:
+
+send agent kill       kills the process; everything that was written is kept
+send agent power      power loss: writes that were not synced may be lost, kept in part or reordered
+send agent start      restarts the agent on the files as they are
+send disk hold        jobs on the store are neither run nor reported as done; `write`: run but not reported;
+                      `free`: both again; `full`: every write fails until `roomy`
+send clock MS         moves the clock by MS milliseconds, which may be negative
 """
 
 from __future__ import annotations
@@ -25,31 +25,31 @@
 STORE = {"path": "s0.store", "checkpoint_records": 100}
 
 
-class Disk:
-    """The worker: jobs are done in the world's own turns, or held back."""
+class ScriptedDisk:
+    """The worker of the store: runs jobs in the scenario's own event loop, or holds them back."""
 
     def __init__(self, world: Any) -> None:
-        self.world, self.jobs, self.unheard = world, list[Job](), list[Callable[[], None]]()
-        self.state, self.due = "free", False
+        self.world, self.jobs, self.unreported = world, list[Job](), list[Callable[[], None]]()
+        self.state, self.scheduled = "free", False
 
     def submit(self, job: Job) -> None:
         self.jobs.append(job)
-        self.turn()
+        self.schedule()
 
-    def turn(self) -> None:
-        if not self.due and self.state != "hold":
-            self.due = True
-            self.world.later.append(self.work)
+    def schedule(self) -> None:
+        if not self.scheduled and self.state != "hold":
+            self.scheduled = True
+            self.world.later.append(self.run_next)
 
-    def work(self) -> None:
-        """One job at a time, as on the thread."""
-        self.due = False
+    def run_next(self) -> None:
+        """Runs one job at a time, as the worker thread does."""
+        self.scheduled = False
         if self.jobs and self.state != "hold":
-            self.unheard.append(self.jobs.pop(0)())
-        while self.unheard and self.state == "free":
-            self.unheard.pop(0)()
+            self.unreported.append(self.jobs.pop(0)())
+        while self.unreported and self.state == "free":
+            self.unreported.pop(0)()
         if self.jobs:
-            self.turn()
+            self.schedule()
 
     def finish(self) -> None:
         while self.jobs:
@@ -57,25 +57,25 @@
 
 
 class Restarts:
-    """Mixed into a world."""
+    """Mixin for a world of tests/scenario.py; adds the steps above."""
 
     def __init__(self, record: dict[str, Any]) -> None:
-        self.chance = random.Random(record.get("chance", 1))
-        self.folder = MemoryFolder(chance=self.chance)
+        self.rng = random.Random(record.get("chance", 1))
+        self.folder = MemoryFolder(chance=self.rng)
         self.running = True
         super().__init__({"store": STORE, **record})  # type: ignore[call-arg]
 
     def make_agent(self: Any) -> Agent:
-        self.disk = Disk(self)
+        self.disk = ScriptedDisk(self)
         loaded = config.read(self.record)
         assert loaded.store is not None
         durability = Durability.open(loaded.store, self.folder, self.disk)
         return Agent(loaded, self.reactor, self.clock, durability)
 
     def kill(self: Any, power: bool) -> None:
-        """Nothing of the agent runs on; its connections break at the other ends."""
+        """Stops everything of the agent; the other ends see their connections break."""
         self.running = False
-        self.folder = self.folder.crash(self.chance) if power else self.folder.killed()
+        self.folder = self.folder.crash(self.rng) if power else self.folder.killed()
         self.later.clear()
         self.agent.deadlines._heap.clear()
         self.reactor.factory = None
@@ -84,9 +84,9 @@
                 wire.other.protocol = ClosedEnd()
                 wire.other.loseConnection()
 
-    def start_again(self: Any) -> None:
+    def restart(self: Any) -> None:
         self.running = True
-        self.clock._last = 0.0  # a new process knows no earlier reading
+        self.clock._last = 0.0  # a new process has no earlier reading
         self.begin()
 
     def step(self: Any, line: str) -> None:
@@ -94,7 +94,7 @@
             case ["send", "agent", "kill" | "power" as how]:
                 self.kill(how == "power")
             case ["send", "agent", "start"]:
-                self.start_again()
+                self.restart()
             case ["send", "clock", ms]:
                 self.clock.at += float(ms)
                 return
@@ -105,13 +105,13 @@
                 self.folder.fails_at, self.folder.lasting = -1, False
             case ["send", "disk", how]:
                 self.disk.state = how
-                self.disk.turn()
+                self.disk.schedule()
             case ["expect", "agent", "standing", count]:
                 standing = [request.id for request in self.agent.broker.requests]
                 assert len(standing) == int(count), f"{standing} stand"
             case ["expect", "agent", "store", state]:
-                told = self.agent.durability.snapshot()["state"]
-                assert told == state, f"the store is {told}"
+                state_found = self.agent.durability.snapshot()["state"]
+                assert state_found == state, f"the store is {state_found}"
             case _:
                 super().step(line)  # type: ignore[misc]
                 return
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -246,10 +246,10 @@
 def test_a_process_with_fewer_descriptors_than_configured_uses_those(monkeypatch: pytest.MonkeyPatch) -> None:
     read = config.read({**platform(), "limits": {"sockets": 1024}, "admission": {"reserve": 100}})
     monkeypatch.setattr("resource.getrlimit", lambda which: (128, 4096))
-    used = agent.within_the_process(read)
+    used = agent.limit_to_process(read)
     assert (used.sockets, used.admission.connections, used.admission.reserve) == (128, 64, 63)
     monkeypatch.setattr("resource.getrlimit", lambda which: (1024, 4096))
-    assert agent.within_the_process(read) is read
+    assert agent.limit_to_process(read) is read
 
 
 def test_outgoing_connections_are_counted_until_lost_and_fail_without_a_free_descriptor() -> None:
@@ -296,7 +296,7 @@
     assert world.reactor.factory.buildProtocol(None) is None
     gate = world.agent.gate
     gate.reload(dataclasses.replace(gate.limits, connections=1), world.clock.now())
-    world.agent._sweep()
+    world.agent._shed_surplus()
     world.settle()
     assert [admission.use_count for admission in gate.admissions.values()] == [1]
     assert gate.evicted == {Reason.LOWERED: 3}
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -16,7 +16,14 @@
 
 from standins.lobby import Books, Caller, Lobby, configuration
 from standins.ports import free_ports
-from tests.test_sigkill import PATIENCE_S, cancelled, ended, quiet, settled, up
+from tests.test_sigkill import (
+    TIMEOUT_S,
+    cancel_all,
+    kill_and_wait,
+    stop_callers,
+    wait_until,
+    wait_until_listening,
+)
 
 DESCRIPTORS, CONNECTIONS, CALLS = 96, 1500, 400
 
@@ -69,20 +76,20 @@
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS)),
         )
         try:
-            await up(port)
+            await wait_until_listening(port)
             tasks = [asyncio.create_task(caller.run()) for caller in known]
             while books.answers < 20:
                 await asyncio.sleep(0.02)
             await flood(port, random.Random(1))
-            await settled(lambda: books.answers > CALLS)
-            await quiet(known)
+            await wait_until(lambda: books.answers > CALLS)
+            await stop_callers(known)
             await asyncio.sleep(2.5)  # longer than a silent connection is kept
             open_now = len(os.listdir(f"/proc/{program.pid}/fd"))
             program.send_signal(signal.SIGTERM)
-            assert await asyncio.wait_for(program.wait(), PATIENCE_S) == 0
+            assert await asyncio.wait_for(program.wait(), TIMEOUT_S) == 0
         finally:
-            await ended(program)
-    await cancelled(tasks)
+            await kill_and_wait(program)
+    await cancel_all(tasks)
     lines = (folder / "log").read_text(encoding="utf-8").splitlines()
     logged = next(line for line in lines if "admission: {" in line)
     return books, [caller.connects for caller in known], json.loads(logged[logged.index("{") :]), open_now
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,5 +1,8 @@
-"""The store's handover between two processes: the rule for records that differ, and two real processes on one
-store and one listening socket, either of them killed at each step."""
+"""Handover of the store between two processes.
+
+Covers the merge rule for records that differ, messages of servers on calls of the old process, and two real
+processes on one store and one listening socket, with either of them killed at each step.
+"""
 
 from __future__ import annotations
 
@@ -28,13 +31,13 @@
 from standins.files import MemoryFolder
 from standins.lobby import Books, Caller, Lobby, configuration
 from standins.ports import free_ports
-from tests.restart import Disk
+from tests.restart import ScriptedDisk
 from tests.scenario import World, platform, play
 from tests.test_loopback import LAUNCH_WITH_FD_5
-from tests.test_sigkill import STORE, cancelled, ended, ended_by_servers, quiet
+from tests.test_sigkill import STORE, cancel_all, end_calls_at_servers, kill_and_wait, stop_callers
 
 OVER = records.Over("stands", "s0", 1.0, 0.0, "c", 0, -1, 0.0, b"")
-CALLS: list[records.Record] = [
+CALL_RECORDS: list[records.Record] = [
     records.Open("s0", 1.0, 0.0, 1, "race", "-", "c", 0),
     records.Open("s1", 2.0, 0.0, 1, "race", "-", "c", 0),
     records.Standing("s0", 1.0, "race", "-", "c", 0, 7, True, b"x"),
@@ -43,43 +46,45 @@
     records.Over("failed", "s1", 2.0, 0.0, "c", 0, -1, 0.0, b""),
     records.Over("gone", "s0", 0.5, 9.0, "c", 0, -1, 0.0, b""),
 ]
-BUDGETS: list[records.Record] = [records.Bucket(tokens, at) for tokens in (0.0, 3.0) for at in (1.0, 2.0)]
-LISTS: list[records.Record] = [records.Bus(5, 1, 1.0), records.Bus(4, 2, 9.0), records.Bus(5, 1, 2.0)]
+BUDGET_RECORDS: list[records.Record] = [
+    records.Bucket(tokens, at) for tokens in (0.0, 3.0) for at in (1.0, 2.0)
+]
+BUS_RECORDS: list[records.Record] = [records.Bus(5, 1, 1.0), records.Bus(4, 2, 9.0), records.Bus(5, 1, 2.0)]
 
 
-@pytest.mark.parametrize("kind", [CALLS, BUDGETS, LISTS], ids=["calls", "budgets", "bus"])
+@pytest.mark.parametrize("kind", [CALL_RECORDS, BUDGET_RECORDS, BUS_RECORDS], ids=["calls", "budgets", "bus"])
 def test_the_rule_is_associative_commutative_and_idempotent(kind: list[records.Record]) -> None:
-    better = merge.better
+    preferred = merge.preferred
     for one, two, three in itertools.product(kind, repeat=3):
-        assert better(one, one) is one
-        assert records.encode(better(one, two)) == records.encode(better(two, one))
-        left, right = better(better(one, two), three), better(one, better(two, three))
+        assert preferred(one, one) is one
+        assert records.encode(preferred(one, two)) == records.encode(preferred(two, one))
+        left, right = preferred(preferred(one, two), three), preferred(one, preferred(two, three))
         assert records.encode(left) == records.encode(right)
-    if kind is CALLS:  # an answer given is the last word
-        assert [better(OVER, other) for other in kind] == [OVER] * len(kind)
+    if kind is CALL_RECORDS:  # a final answer is never replaced
+        assert [preferred(OVER, other) for other in kind] == [OVER] * len(kind)
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_follower_sees_what_the_writer_wrote(seed: int) -> None:
-    """Beside a writer that fills, cleans, removes segments and is cut back after a failure."""
-    chance, folder = random.Random(seed), MemoryFolder()
+    """Follows a writer that fills, cleans and removes segments, and recovers from failures."""
+    rng, folder = random.Random(seed), MemoryFolder()
     engine = Engine.open(folder, Limits(segment_bytes=600, checkpoint_records=30))
     follower = Follower(folder)
     seen: dict[str, bytes] = {}
     for _ in range(400):
         engine.append(
             [
-                (f"k{chance.randrange(12)}", None if chance.random() < 0.3 else chance.randbytes(30))
-                for _ in range(chance.randint(1, 4))
+                (f"k{rng.randrange(12)}", None if rng.random() < 0.3 else rng.randbytes(30))
+                for _ in range(rng.randint(1, 4))
             ]
         )
-        if chance.random() < 0.5:
+        if rng.random() < 0.5:
             engine.sync()
         engine.tidy()
-        if chance.random() < 0.05:
+        if rng.random() < 0.05:
             engine.sync()
-            engine = engine.revive([("k0", chance.randbytes(8))])
-        if chance.random() < 0.3:
+            engine = engine.revive([("k0", rng.randbytes(8))])
+        if rng.random() < 0.3:
             for key, value in follower.poll().items():
                 seen.pop(key, None)
                 if value is not None:
@@ -87,9 +92,10 @@
             assert seen == dict(engine.values()) == follower.values
 
 
-class Handed(World):
-    """The new process, on a set clock. `send old open a`, `stands a`, `over a`: what the old one writes;
-    `ends`: it is gone."""
+class HandoverWorld(World):
+    """The new process of an upgrade, on a manual clock.
+
+    `send old open a`, `stands a`, `over a`: the old process writes such a record; `ends`: it has ended."""
 
     def __init__(self, record: dict[str, Any]) -> None:
         self.path = pathlib.Path(record["store"]["path"])
@@ -99,7 +105,7 @@
     def make_agent(self) -> Agent:
         loaded = config.read(self.record)
         assert loaded.store is not None
-        durability = Durability.open(loaded.store, worker=Disk(self), upgrade=True)
+        durability = Durability.open(loaded.store, worker=ScriptedDisk(self), upgrade=True)
         return Agent(loaded, self.reactor, self.clock, durability)
 
     def step(self, line: str) -> None:
@@ -134,7 +140,7 @@
     expect c1 nothing
     expect s0 nothing
 """
-ENDS = {
+END_SCRIPTS = {
     "heard since the last look at an answer": "send old stands a\nsend s0 FINISH a rc=16\n" + REPEATED,
     "heard before the answer is on record": """
         send old open a
@@ -186,9 +192,11 @@
 }
 
 
-@pytest.mark.parametrize("name", ENDS)
+@pytest.mark.parametrize("name", END_SCRIPTS)
 def test_the_servers_end_of_a_call_of_the_old_process(name: str, tmp_path: pathlib.Path) -> None:
-    world = play(ENDS[name], {**platform(), "store": {"path": str(tmp_path / "s.store")}}, Handed)
+    world = play(
+        END_SCRIPTS[name], {**platform(), "store": {"path": str(tmp_path / "s.store")}}, HandoverWorld
+    )
     assert world.agent.durability is not None
     world.agent.durability.stop()
     found = tools.contents(tmp_path / "s.store")
@@ -209,8 +217,8 @@
 )
 
 
-class Stage:
-    """One listening socket, held for all lives, and one store."""
+class UpgradeSetup:
+    """One listening socket and one store, shared by all processes of a test."""
 
     def __init__(self, folder: pathlib.Path, ports: list[int], held: socket.socket) -> None:
         self.folder, self.held = folder, held
@@ -219,15 +227,15 @@
         self.path.write_text(json.dumps(configuration(self.port, ports, store=STORE)), encoding="utf-8")
         self.log = (folder / "log").open("wb")
         self.programs: list[asyncio.subprocess.Process] = []
-        self.doors: list[int] = []
+        self.operator_ports: list[int] = []
 
     async def start(self) -> asyncio.subprocess.Process:
-        self.doors += free_ports(1)
+        self.operator_ports += free_ports(1)
         environment = {
             **os.environ,
             "PROXY_CONFIG": str(self.path),
             "PROXY_LISTEN_FD": "5",
-            "PROXY_OPERATOR": f"127.0.0.1:{self.doors[-1]}",
+            "PROXY_OPERATOR": f"127.0.0.1:{self.operator_ports[-1]}",
         }
         program = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -241,10 +249,10 @@
         self.programs.append(program)
         return program
 
-    async def ready(self, door: int) -> None:
+    async def ready(self, port: int) -> None:
         for _ in range(2000):
             try:
-                reader, writer = await asyncio.open_connection("127.0.0.1", door)
+                reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(b"ready\n")
                 if (await reader.readline()).startswith(b"OK"):
                     writer.close()
@@ -255,8 +263,8 @@
             await asyncio.sleep(0.01)
         raise TimeoutError("not ready")
 
-    async def said(self, words: str, times: int = 1) -> None:
-        """Waits until the log has this so often."""
+    async def wait_for_log(self, words: str, times: int = 1) -> None:
+        """Waits until the log has `words` at least `times` times."""
         for _ in range(2000):
             if (self.folder / "log").read_text(encoding="utf-8").count(words) >= times:
                 return
@@ -264,28 +272,28 @@
         raise TimeoutError(f"never said: {words}")
 
 
-async def upgraded(folder: pathlib.Path, step: str, seed: int) -> Books:
-    """An old process and a new one under calls; one of them is killed at a step, and all go on."""
-    chance, books = random.Random(f"{step} {seed}"), Books()
+async def run_upgrade(folder: pathlib.Path, step: str, seed: int) -> Books:
+    """Runs an old and a new process under load and kills one at the given step; the rest must go on."""
+    rng, books = random.Random(f"{step} {seed}"), Books()
     lobbies = [Lobby(f"h{number}", books, random.Random(number), ends=0.3) for number in (0, 1)]
     ports = [await lobby.start() for lobby in lobbies]
     with socket.socket() as held:
         held.bind(("127.0.0.1", 0))
         held.listen(64)
-        stage = Stage(folder, ports, held)
+        setup = UpgradeSetup(folder, ports, held)
         callers = [
-            Caller(number, books, random.Random(100 + number), lambda: stage.port) for number in range(4)
+            Caller(number, books, random.Random(100 + number), lambda: setup.port) for number in range(4)
         ]
         tasks = [asyncio.create_task(caller.run()) for caller in callers]
         try:
-            old = await stage.start()
-            await stage.ready(stage.doors[0])
-            await until(lambda: books.answers > 20)
-            new = await stage.start()
+            old = await setup.start()
+            await setup.ready(setup.operator_ports[0])
+            await wait_for(lambda: books.answers > 20)
+            new = await setup.start()
             if "ready" not in step:
-                await stage.ready(stage.doors[1])
-                await until(lambda: books.answers > 40)
-                third = await stage.start()  # while two share the store, a third is refused
+                await setup.ready(setup.operator_ports[1])
+                await wait_for(lambda: books.answers > 40)
+                third = await setup.start()  # a third process is refused while two share the store
                 assert await asyncio.wait_for(third.wait(), 60) == 2
             if "drain" in step or step in ("new, taking over", "nobody"):
                 old.send_signal(signal.SIGTERM)
@@ -293,40 +301,40 @@
             if step == "new, taking over":
                 await old.wait()
             if victim is not None:
-                await asyncio.sleep(chance.uniform(0.0, 0.15))
+                await asyncio.sleep(rng.uniform(0.0, 0.15))
                 victim.kill()
                 await victim.wait()
             if victim is not new:
                 if victim is None:
                     assert await asyncio.wait_for(old.wait(), 60) == 0
-                await stage.ready(stage.doors[1])
+                await setup.ready(setup.operator_ports[1])
                 if "ready" not in step:
-                    await stage.said("store: taken over")
-            else:  # whoever is left goes on; then the old one ends too, and a third takes all over
+                    await setup.wait_for_log("store: taken over")
+            else:  # the old one goes on alone; then it ends too, and a third process takes over
                 if old.returncode is None:
                     old.kill()
                 await old.wait()
-                await stage.start()
-                await stage.ready(stage.doors[-1])
+                await setup.start()
+                await setup.ready(setup.operator_ports[-1])
             before = books.answers
-            await until(lambda: books.answers > before + 20)
-            await quiet(callers)
-            await ended_by_servers(lobbies, books)
-            last = stage.programs[-1] if victim is new else new
+            await wait_for(lambda: books.answers > before + 20)
+            await stop_callers(callers)
+            await end_calls_at_servers(lobbies, books)
+            last = setup.programs[-1] if victim is new else new
             last.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(last.wait(), 60) == 0
         finally:
-            for program in stage.programs:
-                await ended(program)
-            await cancelled(tasks)
-            stage.log.close()
+            for program in setup.programs:
+                await kill_and_wait(program)
+            await cancel_all(tasks)
+            setup.log.close()
     return books
 
 
-async def until(done: object) -> None:
-    assert callable(done)
+async def wait_for(condition: object) -> None:
+    assert callable(condition)
     for _ in range(6000):
-        if done():
+        if condition():
             return
         await asyncio.sleep(0.01)
     raise TimeoutError("never came")
@@ -334,7 +342,7 @@
 
 @pytest.mark.parametrize("step", STEPS)
 def test_either_process_killed_at_each_step_of_a_handover(step: str, tmp_path: pathlib.Path) -> None:
-    books = asyncio.run(upgraded(tmp_path, step, 1))
+    books = asyncio.run(run_upgrade(tmp_path, step, 1))
     log = (tmp_path / "log").read_text(encoding="utf-8")
     assert books.faults == []
     assert "Traceback" not in log and "stopped:" not in log, log[-2000:]
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -183,7 +183,7 @@
         self.held.bind(("127.0.0.1", 0))
         self.held.listen()
         self.held.setblocking(True)  # as the platform passes it
-        agent.inherited = os.dup(self.held.fileno())
+        agent.inherited_fd = os.dup(self.held.fileno())
         return agent
 
 
@@ -346,9 +346,9 @@
 def test_the_door_address_comes_from_the_environment() -> None:
     loaded = config.read(with_door())
     assert loaded.operator == "10.0.9.1:3"
-    assert config.from_environment(loaded, {"PROXY_OPERATOR": "127.0.0.1:9100"}).operator == "127.0.0.1:9100"
+    assert config.apply_environment(loaded, {"PROXY_OPERATOR": "127.0.0.1:9100"}).operator == "127.0.0.1:9100"
     with pytest.raises(config.ConfigError, match="PROXY_OPERATOR"):
-        config.from_environment(loaded, {"PROXY_OPERATOR": "nowhere"})
+        config.apply_environment(loaded, {"PROXY_OPERATOR": "nowhere"})
     with pytest.raises(config.ConfigError, match="operator"):
         config.read(with_door(operator="nowhere"))
 
--- a/tests/test_real_ends.py
+++ b/tests/test_real_ends.py
@@ -18,7 +18,7 @@
 
 from standins.lobby import configuration
 from standins.ports import free_ports
-from tests.test_sigkill import PATIENCE_S, ended, up
+from tests.test_sigkill import TIMEOUT_S, kill_and_wait, wait_until_listening
 
 GUARD_MS = 300.0
 SOCKETS = 64  # the agent's limit of descriptors
@@ -52,7 +52,7 @@
             return b""
 
     async def next(self) -> tuple[str, asyncio.StreamWriter]:
-        return await asyncio.wait_for(self.came.get(), PATIENCE_S)
+        return await asyncio.wait_for(self.came.get(), TIMEOUT_S)
 
 
 class BacklogFull(Server):
@@ -89,7 +89,7 @@
 
 
 async def hear(reader: asyncio.StreamReader) -> tuple[str, str]:
-    message = json.loads(await asyncio.wait_for(reader.readline(), PATIENCE_S))
+    message = json.loads(await asyncio.wait_for(reader.readline(), TIMEOUT_S))
     return message["verb"], message["tag"]
 
 
@@ -101,7 +101,7 @@
     port, at = free_ports(1)[0], folder / "config.json"
     record = configuration(port, [await server.start()])
     record["settings"]["services"] = [{"name": "race", "aim-ms": 400.0, "deadline-ms": deadline_ms}]
-    record["settings"]["caps"]["connect-timeout-ms"] = 1000.0 * PATIENCE_S  # no dial times out in these cases
+    record["settings"]["caps"]["connect-timeout-ms"] = 1000.0 * TIMEOUT_S  # no dial times out in these cases
     record["settings"]["family-info"].update({"release-guard-ms": GUARD_MS, "pools-by-class": [[0, 1]]})
     record.update(bus=f"127.0.0.1:{server.bus}", limits={"sockets": SOCKETS})
     at.write_text(json.dumps(record), encoding="utf-8")
@@ -110,13 +110,13 @@
             sys.executable, "-m", "frostport", "serve", "--config", str(at), stderr=log
         )
         try:
-            await up(port)
+            await wait_until_listening(port)
             await case(server, port, program)
             if program.returncode is None:
                 program.send_signal(signal.SIGTERM)
-            assert await asyncio.wait_for(program.wait(), PATIENCE_S) == 0
+            assert await asyncio.wait_for(program.wait(), TIMEOUT_S) == 0
         finally:
-            await ended(program)
+            await kill_and_wait(program)
             server.listener.close()
     assert "Traceback" not in (folder / "log").read_text(encoding="utf-8")
 
@@ -190,8 +190,8 @@
     program.send_signal(signal.SIGTERM)
     program.send_signal(signal.SIGTERM)
     assert await hear(reader) == ("FINISH", tag)  # the server never answers it
-    assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""
-    assert await asyncio.wait_for(program.wait(), PATIENCE_S) == 0
+    assert await asyncio.wait_for(reader.read(), TIMEOUT_S) == b""
+    assert await asyncio.wait_for(program.wait(), TIMEOUT_S) == 0
 
 
 async def quiet_in_a_full_table(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
@@ -220,9 +220,9 @@
         )
     ]
     bus = await asyncio.start_server(told, "127.0.0.1", server.bus)
-    line, silent = await asyncio.wait_for(asked.get(), PATIENCE_S)
+    line, silent = await asyncio.wait_for(asked.get(), TIMEOUT_S)
     assert line == b"from 1\n"
-    line, at = await asyncio.wait_for(asked.get(), PATIENCE_S)  # again: the first stays unanswered
+    line, at = await asyncio.wait_for(asked.get(), TIMEOUT_S)  # again: the first stays unanswered
     assert line == b"from 1\n"
     at.write(json.dumps({"offset": 2, "topology": {"hosts": hosts}}).encode() + b"\n")
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Restarts of an agent with a store, on both fronts: what is known again, and what each side hears."""
+"""Restarts of an agent with a store, with both protocols: the restored state and the messages after it."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 from tests.restart import STORE, DiameterRestarts, PlatformRestarts
 from tests.scenario import START_MS, host, platform, play
 
-OUT = """
+PENDING = """
     send c1 START a class=race left=8000 extras=dest:0 blob=x
     expect s0 START a
 """
-STANDS = (
-    OUT
+ESTABLISHED = (
+    PENDING
     + """
     send s0 STARTED a blob=table
     expect c1 STARTED a blob=table
 """
 )
-AGAIN = """
+RESTART = """
     send agent kill
     expect c1 closed
     expect s0 closed
     send agent start
 """
-ASKED = "send c1 START a class=race left=8000 extras=dest:0 blob=x\n"
-REPEATED_AND_GIVEN_UP = (
+REPEAT = "send c1 START a class=race left=8000 extras=dest:0 blob=x\n"
+REPEAT_AND_GIVE_UP = (
     r'{"verb":"START","tag":"000000000000000a","opts":{"class":"race","left":"8000"},"blob":"x"}\n'
     r'{"verb":"FINISH","tag":"000000000000000a","opts":{},"rc":16}\n'
 )
-UNHEARD = (
-    OUT
+ANSWER_UNSENT = (
+    PENDING
     + """
     send disk hold
     send s0 STARTED a blob=table
     send disk write
     expect c1 nothing
 """
-    + AGAIN
+    + RESTART
 )
-D_ASKED = "send c1 CCR-I a dest=s0 wait=8000 key=500 T=1\n"
-D_UNHEARD = (
+D_REPEAT = "send c1 CCR-I a dest=s0 wait=8000 key=500 T=1\n"
+D_ANSWER_UNSENT = (
     """
     send c1 CCR-I a dest=s0 wait=8000 key=500
     expect s0 CCR-I a
@@ -56,12 +56,12 @@
     send disk write
     expect c1 nothing
 """
-    + AGAIN
+    + RESTART
 )
-# One final word to a client that may not have heard the answer: server's end, client's repeat and release,
-# the agent's restart and its disk in every order.
-ONE_WORD = {
-    "the end, then the repeat: the answer, then the release": UNHEARD
+# A client that may not have received its answer gets exactly one final outcome, whatever the order of the
+# server's end, the client's repeat and release, the agent's restart and the delays of its disk.
+ONE_FINAL_ANSWER = {
+    "the end, then the repeat: the answer, then the release": ANSWER_UNSENT
     + """
         send c1 ECHO b
         expect c1 ECHOED b
@@ -69,7 +69,7 @@
         expect s0 FINISHED a
         expect c1 nothing
         """
-    + ASKED
+    + REPEAT
     + """
         expect c1 STARTED a blob=table
         expect c1 FINISH a rc=16
@@ -77,8 +77,8 @@
         wait 12000
         expect c1 nothing
     """,
-    "the repeat, then the end": UNHEARD
-    + ASKED
+    "the repeat, then the end": ANSWER_UNSENT
+    + REPEAT
     + """
         expect c1 STARTED a blob=table
         send s0 FINISH a rc=16
@@ -87,7 +87,7 @@
         wait 12000
         expect c1 nothing
     """,
-    "the end, another restart, then the repeat": UNHEARD
+    "the end, another restart, then the repeat": ANSWER_UNSENT
     + """
         send s0 FINISH a rc=16
         expect s0 FINISHED a
@@ -98,19 +98,19 @@
         expect c1 ECHOED b
         expect c1 nothing
         """
-    + ASKED
+    + REPEAT
     + """
         expect c1 STARTED a blob=table
         expect c1 FINISH a rc=16
         expect s0 FINISH a rc=16
         expect s0 nothing
     """,
-    "the end waits for its record while the repeat comes": UNHEARD
+    "the end waits for its record while the repeat comes": ANSWER_UNSENT
     + """
         send disk hold
         send s0 FINISH a rc=16
         """
-    + ASKED
+    + REPEAT
     + """
         expect c1 STARTED a blob=table
         expect c1 nothing
@@ -119,7 +119,7 @@
         expect s0 FINISHED a
         expect s0 nothing
     """,
-    "the end held back to its limit, then told, then the repeat: no answer after the release": UNHEARD
+    "the end held back to its limit, then told, then the repeat: no answer after the release": ANSWER_UNSENT
     + """
         send c1 ECHO b
         expect c1 ECHOED b
@@ -128,19 +128,19 @@
         wait 10000
         expect c1 FINISH a rc=16
         """
-    + ASKED
+    + REPEAT
     + """
         expect c1 FINISH a rc=16
         send c1 FINISHED a
         expect c1 nothing
         """
-    + ASKED
+    + REPEAT
     + """
         expect c1 FINISH a rc=41
         expect s0 nothing
     """,
-    "the client's release before the end: neither is told": UNHEARD
-    + ASKED
+    "the client's release before the end: neither is told": ANSWER_UNSENT
+    + REPEAT
     + """
         expect c1 STARTED a
         send c1 FINISH a rc=16
@@ -151,7 +151,7 @@
         wait 12000
         expect c1 nothing
     """,
-    "the end, then the client's release without a repeat": UNHEARD
+    "the end, then the client's release without a repeat": ANSWER_UNSENT
     + """
         send s0 FINISH a rc=16
         expect s0 FINISHED a
@@ -161,7 +161,7 @@
         expect c1 nothing
         expect s0 nothing
     """,
-    "another client's connection hears nothing of it meanwhile": UNHEARD
+    "another client's connection hears nothing of it meanwhile": ANSWER_UNSENT
     + """
         send c2 ECHO b
         expect c2 ECHOED b
@@ -170,13 +170,13 @@
         wait 9000
         expect c2 nothing
         """
-    + ASKED
+    + REPEAT
     + """
         expect c1 STARTED a
         expect c1 FINISH a rc=16
         expect c2 nothing
     """,
-    "another set-up under the id of a call whose end is held": UNHEARD
+    "another set-up under the id of a call whose end is held": ANSWER_UNSENT
     + """
         send s0 FINISH a rc=16
         expect s0 FINISHED a
@@ -185,7 +185,7 @@
         expect c1 closed
         expect s0 nothing
     """,
-    "no restart, the connection broken: the end is told at once, and is the last word": STANDS
+    "no restart, the connection broken: the end is told at once, and is the last word": ESTABLISHED
     + """
         close c1
         send s0 FINISH a rc=16
@@ -194,34 +194,34 @@
         expect c1 FINISH a rc=16
         expect c1 ECHOED b
         """
-    + ASKED
+    + REPEAT
     + """
         expect c1 FINISH a rc=16
         expect c1 nothing
         expect s0 nothing
     """,
-    "no restart, the connection broken, the repeat before the end": STANDS
+    "no restart, the connection broken, the repeat before the end": ESTABLISHED
     + "close c1\n"
-    + ASKED
+    + REPEAT
     + """
         expect c1 STARTED a blob=table
         send s0 FINISH a rc=16
         expect c1 FINISH a rc=16
         expect s0 FINISHED a
     """,
-    "the same set-up twice on one connection is answered once": UNHEARD
-    + ASKED
+    "the same set-up twice on one connection is answered once": ANSWER_UNSENT
+    + REPEAT
     + """
         expect c1 STARTED a
         """
-    + ASKED
+    + REPEAT
     + """
         expect c1 closed
         expect agent standing 1
     """,
 }
-D_ONE_WORD = {
-    "the end, then the repeat: the answer, then the abort": D_UNHEARD
+D_ONE_FINAL_ANSWER = {
+    "the end, then the repeat: the answer, then the abort": D_ANSWER_UNSENT
     + """
         send c1 bare
         send c1 CER
@@ -230,14 +230,14 @@
         expect s0 ASA a
         expect c1 nothing
         """
-    + D_ASKED
+    + D_REPEAT
     + """
         expect c1 CCA-I a result=2001 key=table-7
         expect c1 ASR a cause=1
         send c1 ASA a result=2001
         expect s0 nothing
     """,
-    "the end, another restart, then the repeat": D_UNHEARD
+    "the end, another restart, then the repeat": D_ANSWER_UNSENT
     + """
         send s0 ASR a cause=1
         expect s0 ASA a
@@ -245,14 +245,14 @@
         expect s0 closed
         send agent start
         """
-    + D_ASKED
+    + D_REPEAT
     + """
         expect c1 CCA-I a result=2001 key=table-7
         expect c1 ASR a cause=1
         expect s0 CCR-T a
         expect s0 nothing
     """,
-    "the end held back to its limit, then told, then the repeat: it has failed": D_UNHEARD
+    "the end held back to its limit, then told, then the repeat: it has failed": D_ANSWER_UNSENT
     + """
         send c1 bare
         send c1 CER
@@ -262,7 +262,7 @@
         wait 10000
         expect c1 ASR a cause=1
         """
-    + D_ASKED
+    + D_REPEAT
     + """
         expect c1 CCA-I a result=5012
         expect s0 nothing
@@ -280,15 +280,15 @@
         expect c1 CEA result=2001
         expect c1 ASR a cause=1
         """
-    + D_ASKED
+    + D_REPEAT
     + """
         expect c1 CCA-I a result=5012
         expect s0 nothing
     """,
 }
 PLATFORM = {
-    "a call stands on; its client ends it at its server, and at no other": STANDS
-    + AGAIN
+    "a call stands on; its client ends it at its server, and at no other": ESTABLISHED
+    + RESTART
     + """
         expect agent standing 1
         send c1 FINISH a rc=16
@@ -298,8 +298,8 @@
         expect s1 nothing
         expect agent standing 0
     """,
-    "a call stands on; its server ends it": STANDS
-    + AGAIN
+    "a call stands on; its server ends it": ESTABLISHED
+    + RESTART
     + """
         send c1 ECHO b
         expect c1 ECHOED b
@@ -314,8 +314,8 @@
         expect c1 nothing
         expect agent standing 0
     """,
-    "an attempt out at the crash: released at its server, sent again after the guard alone": OUT
-    + AGAIN
+    "an attempt out at the crash: released at its server, sent again after the guard alone": PENDING
+    + RESTART
     + """
         expect s0 FINISH a rc=16
         send s0 FINISHED a
@@ -327,14 +327,14 @@
         send s0 STARTED a blob=table
         expect c1 STARTED a
     """,
-    "killed between the record of an answer and the answer: asked again, it is given, set up once": OUT
+    "killed between the record of an answer and the answer: asked again, it is given, set up once": PENDING
     + """
         send disk hold
         send s0 STARTED a blob=table
         send disk write
         expect c1 nothing
     """
-    + AGAIN
+    + RESTART
     + """
         expect agent standing 1
         send c1 START a class=race left=8000 extras=dest:0 blob=x
@@ -343,36 +343,36 @@
         send c1 FINISH a rc=16
         expect s0 FINISH a
     """,
-    "another set-up under the id of a call that stands is no repetition": STANDS
-    + AGAIN
+    "another set-up under the id of a call that stands is no repetition": ESTABLISHED
+    + RESTART
     + """
         send c1 START a class=race left=8000 blob=y
         expect c1 FINISH a rc=42
         expect c1 closed
         expect s0 nothing
     """,
-    "killed before the record of an answer: the server is told to release the call": OUT
+    "killed before the record of an answer: the server is told to release the call": PENDING
     + """
         send disk hold
         send s0 STARTED a blob=table
         expect c1 nothing
     """
-    + AGAIN
+    + RESTART
     + """
         expect agent standing 0
         expect s0 FINISH a rc=16
     """,
-    "a call that ended just before the crash is released at its server once more": STANDS
+    "a call that ended just before the crash is released at its server once more": ESTABLISHED
     + """
         send c1 FINISH a rc=16
         expect s0 FINISH a
     """
-    + AGAIN
+    + RESTART
     + """
         expect s0 FINISH a rc=16
         expect agent standing 0
     """,
-    "a release owed to a client outlives the crash": STANDS
+    "a release owed to a client outlives the crash": ESTABLISHED
     + """
         close c1
         send s0 FINISH a rc=16
@@ -392,7 +392,7 @@
         expect c1 ECHOED b
         expect c1 nothing
     """,
-    "a release owed to a server outlives the crash": STANDS
+    "a release owed to a server outlives the crash": ESTABLISHED
     + """
         close s0 silent
         wait 100
@@ -421,7 +421,7 @@
         expect s0 closed
         expect s0 nothing
     """,
-    "a server replaced while the agent was down: what stood there is over": STANDS
+    "a server replaced while the agent was down: what stood there is over": ESTABLISHED
     + """
         send agent kill
         expect c1 closed
@@ -435,7 +435,7 @@
         expect c1 FINISH a rc=41
         expect agent standing 0
     """,
-    "a give-up while the answer waits for its record: no answer after it": OUT
+    "a give-up while the answer waits for its record: no answer after it": PENDING
     + """
         send disk hold
         send s0 STARTED a blob=table
@@ -457,7 +457,7 @@
         wait 9000
         expect s0 nothing
     """,
-    "a client that goes while its answer waits: the call is released": OUT
+    "a client that goes while its answer waits: the call is released": PENDING
     + """
         send disk hold
         send s0 STARTED a blob=table
@@ -466,16 +466,16 @@
         expect s0 FINISH a
         expect agent standing 0
     """,
-    "a repeated set-up and its give-up in one write: what stands is released": STANDS
-    + AGAIN
+    "a repeated set-up and its give-up in one write: what stands is released": ESTABLISHED
+    + RESTART
     + """
         send c1 raw """
-    + REPEATED_AND_GIVEN_UP
+    + REPEAT_AND_GIVE_UP
     + """
         expect c1 STARTED a
         expect s0 FINISH a rc=16
     """,
-    "we close a connection with answers that wait for the disk: they leave before the close": OUT
+    "we close a connection with answers that wait for the disk: they leave before the close": PENDING
     + """
         send c1 START b class=race left=8000 extras=dest:1 blob=x
         expect s1 START b
@@ -509,7 +509,7 @@
         expect s0 nothing
         expect s1 nothing
     """,
-    "SIGTERM with an answer that waits: it leaves before the end": OUT
+    "SIGTERM with an answer that waits: it leaves before the end": PENDING
     + """
         send disk hold
         send s0 STARTED a blob=table
@@ -522,7 +522,7 @@
         wait 60
         expect agent exit
     """,
-    "a disk that hangs: what was taken is answered, new calls are refused until it answers": OUT
+    "a disk that hangs: what was taken is answered, new calls are refused until it answers": PENDING
     + """
         send disk hold
         send s0 STARTED a blob=table
@@ -538,7 +538,7 @@
         send c1 START c class=race left=8000 extras=dest:0 blob=x
         expect s0 START c
     """,
-    "a full disk: what was taken is served, new calls are refused": OUT
+    "a full disk: what was taken is served, new calls are refused": PENDING
     + """
         send disk full
         send s0 STARTED a blob=table
@@ -552,7 +552,7 @@
         wait 1000
         expect agent exit
     """,
-    "a disk that was full and has room again: the store goes on, and knows what happened meanwhile": OUT
+    "a disk that was full and has room again: the store goes on, and knows what happened meanwhile": PENDING
     + """
         send c1 START d class=race left=8000 extras=dest:0 blob=d
         expect s0 START d
@@ -583,11 +583,11 @@
         send c1 START a class=race left=8000 extras=dest:0 blob=x
         expect c1 STARTED a blob=table
     """,
-    "a clock that has gone back: no guard is cut short, no drain made young": OUT
+    "a clock that has gone back: no guard is cut short, no drain made young": PENDING
     + """
         send clock -3600000
     """
-    + AGAIN
+    + RESTART
     + """
         expect s0 FINISH a
         send c1 START a class=race left=8000 extras=dest:0 blob=x
@@ -596,7 +596,7 @@
         wait 100
         expect s0 START a
     """,
-    "power lost twice: what was answered stands": STANDS
+    "power lost twice: what was answered stands": ESTABLISHED
     + """
         send agent power
         send agent start
@@ -611,14 +611,14 @@
 }
 
 
-@pytest.mark.parametrize("name", ONE_WORD)
+@pytest.mark.parametrize("name", ONE_FINAL_ANSWER)
 def test_one_final_word_after_a_kill(name: str) -> None:
-    play(ONE_WORD[name], platform(), PlatformRestarts)
+    play(ONE_FINAL_ANSWER[name], platform(), PlatformRestarts)
 
 
-@pytest.mark.parametrize("name", D_ONE_WORD)
+@pytest.mark.parametrize("name", D_ONE_FINAL_ANSWER)
 def test_one_final_word_after_a_kill_diameter(name: str) -> None:
-    world = play(D_ONE_WORD[name], diameter.config(), DiameterRestarts)
+    world = play(D_ONE_FINAL_ANSWER[name], diameter.config(), DiameterRestarts)
     assert isinstance(world, DiameterRestarts)
     assert list(diameter.audit(world)) == []
 
@@ -631,7 +631,7 @@
 
 def test_with_serve_a_failed_store_stops_no_call() -> None:
     play(
-        OUT
+        PENDING
         + """
         send disk full
         send s0 STARTED a blob=table
@@ -648,7 +648,7 @@
 @pytest.mark.parametrize("durability", ["interval", "none"])
 def test_without_always_an_answer_does_not_wait_and_sigkill_loses_nothing_written(durability: str) -> None:
     play(
-        OUT
+        PENDING
         + """
         send s0 STARTED a blob=table
         send disk hold
@@ -657,7 +657,7 @@
         send disk free
         wait 200
     """.replace("        send s0 FINISH b rc=16\n", "")
-        + AGAIN
+        + RESTART
         + """
         expect agent standing 1
     """,
@@ -666,46 +666,48 @@
     )
 
 
-D_OUT = """
+D_PENDING = """
     send c1 CCR-I a dest=s0 wait=8000 key=500
     expect s0 CCR-I a
 """
-D_STANDS = (
-    D_OUT
+D_ESTABLISHED = (
+    D_PENDING
     + """
     send s0 CCA a result=2001 key=table-7
     expect c1 CCA-I a result=2001 key=table-7
 """
 )
-D_AGAIN = """
+D_RESTART = """
     send agent kill
     expect c1 closed
     expect s0 closed
     send agent start
 """
 DIAMETER = {
-    "a set-up repeated after a restart gets the recorded answer, and is set up once": D_STANDS
-    + D_AGAIN
+    "a set-up repeated after a restart gets the recorded answer, and is set up once": D_ESTABLISHED
+    + D_RESTART
     + """
         send c1 CCR-I a dest=s0 wait=8000 key=500 T=1
         expect c1 CCA-I a result=2001 key=table-7
         expect s0 nothing
     """,
-    "killed between record and answer: the repetition gets it": D_OUT
+    "killed between record and answer: the repetition gets it": D_PENDING
     + """
         send disk hold
         send s0 CCA a result=2001 key=table-7
         send disk write
         expect c1 nothing
     """
-    + D_AGAIN
+    + D_RESTART
     + """
         send c1 CCR-I a dest=s0 wait=8000 key=500 T=1
         expect c1 CCA-I a result=2001 key=table-7
         expect s0 nothing
     """,
-    "a termination after a restart reaches the server that holds the session; repeated, it is known": D_STANDS
-    + D_AGAIN
+    "a termination after a restart reaches the server that holds the session; repeated, it is known": (
+        D_ESTABLISHED
+    )
+    + D_RESTART
     + """
         send c1 CCR-T a id=77
         expect s0 CCR-T a
@@ -722,8 +724,8 @@
         send c1 CCR-T a id=78
         expect agent answered CCA-T 5002
     """,
-    "a server ends a session after the restart": D_STANDS
-    + D_AGAIN
+    "a server ends a session after the restart": D_ESTABLISHED
+    + D_RESTART
     + """
         send c1 bare
         send c1 CER
@@ -735,7 +737,7 @@
         wait 1
         expect c1 ASR a cause=1
     """,
-    "a client that goes while its answer waits: the session is ended": D_OUT
+    "a client that goes while its answer waits: the session is ended": D_PENDING
     + """
         send disk hold
         send s0 CCA a result=2001 key=table-7
@@ -756,14 +758,14 @@
         send s1 CCA a result=5012
         expect c1 CCA-I a result=5012
     """
-    + D_AGAIN
+    + D_RESTART
     + """
         send c1 CCR-I a dest=s0 wait=8000 key=500 T=1
         expect c1 CCA-I a result=5012
         expect s0 nothing
     """,
-    "an attempt out at the crash is ended at its server, and set up again after the guard": D_OUT
-    + D_AGAIN
+    "an attempt out at the crash is ended at its server, and set up again after the guard": D_PENDING
+    + D_RESTART
     + """
         expect s0 CCR-T a
         send s0 CCA-T a result=2001
@@ -773,7 +775,7 @@
         wait 100
         expect s0 CCR-I a
     """,
-    "a server that has started anew while the agent was down has lost its sessions": D_STANDS
+    "a server that has started anew while the agent was down has lost its sessions": D_ESTABLISHED
     + """
         send agent kill
         expect c1 closed
@@ -787,7 +789,7 @@
         expect c1 ASR a cause=4
         expect agent standing 0
     """,
-    "a server that does not come back in time has lost its sessions": D_STANDS
+    "a server that does not come back in time has lost its sessions": D_ESTABLISHED
     + """
         send agent kill
         expect c1 closed
@@ -806,8 +808,8 @@
 }
 
 
-class Answered(DiameterRestarts):
-    """Answers to terminations, which the stand-in passes over, are looked up in the log."""
+class AnswerChecks(DiameterRestarts):
+    """Adds a step that checks answers to terminations in the log, as the stand-in doesn't report them."""
 
     def step(self, line: str) -> None:
         match line.split():
@@ -820,8 +822,8 @@
 
 @pytest.mark.parametrize("name", DIAMETER)
 def test_diameter_restarts(name: str) -> None:
-    world = play(DIAMETER[name], diameter.config(), Answered)
-    assert isinstance(world, Answered)
+    world = play(DIAMETER[name], diameter.config(), AnswerChecks)
+    assert isinstance(world, AnswerChecks)
     assert list(diameter.audit(world)) == []
 
 
@@ -872,7 +874,9 @@
 def test_what_no_longer_counts_is_dropped_and_a_clock_set_back_moves_all_times() -> None:
     now = 1e9
     kept: dict[str, records.Record] = {
-        "call/old": records.Standing("s0", now - recovery.STANDING_MS - 1, "race", "t", "c", 0, 0, True, b""),
+        "call/old": records.Standing(
+            "s0", now - recovery.MAX_CALL_AGE_MS - 1, "race", "t", "c", 0, 0, True, b""
+        ),
         "call/new": records.Standing("s0", now - 5000, "race", "t", "c", 0, 0, True, b""),
         "call/over": records.Over("stands", "s0", now - 61_000, 0.0, "c", 0, -1, 0.0, b""),
         "call/late": records.Over("stands", "s0", now - 1000, now + 100, "c", 0, -1, 0.0, b""),
@@ -881,13 +885,13 @@
     }
     values = {key: records.encode(record) for key, record in kept.items()}
     restored = recovery.restore(values, now, 500.0)
-    assert set(restored.dropped) == {"call/old", "call/over", "owed/x"}
+    assert set(restored.expired_keys) == {"call/old", "call/over", "owed/x"}
     assert restored.standing.keys() == {"new"} and list(restored.releases) == [("s0", "late")]
     earlier = recovery.restore(values, now - 1e6, 500.0)
-    assert earlier.set_back_ms == 1e6 - 10
-    assert earlier.standing["new"].at == now - 5000 - earlier.set_back_ms
-    assert earlier.over["late"].not_before == now + 100 - earlier.set_back_ms
-    assert earlier.budgets["t", "race"] == (1.5, now - 10 - earlier.set_back_ms)
+    assert earlier.clock_set_back_ms == 1e6 - 10
+    assert earlier.standing["new"].at == now - 5000 - earlier.clock_set_back_ms
+    assert earlier.over["late"].not_before == now + 100 - earlier.clock_set_back_ms
+    assert earlier.budgets["t", "race"] == (1.5, now - 10 - earlier.clock_set_back_ms)
 
 
 def test_a_drain_keeps_its_old_time_and_what_is_dropped_leaves_the_store() -> None:
@@ -920,10 +924,10 @@
         recovery.restore({"tomorrow/a": b"\x90"}, 0.0, 500.0)
 
 
-# Random lives
+# Random runs
 
 
-DIALECTS: dict[str, dict[str, str]] = {
+PROTOCOLS: dict[str, dict[str, str]] = {
     "platform": {
         "ask": "START {} class=race left=8000 extras=dest:{} blob=x",
         "asked": "START",
@@ -957,25 +961,26 @@
 }
 
 
-class Life:
-    """Clients and servers that do at random what their protocol allows, and keep books of what they hear."""
+class RandomRun:
+    """Clients and servers that act at random as their protocol allows, and check what they receive."""
 
-    def __init__(self, dialect: str, seed: int) -> None:
-        self.chance, self.words = random.Random(f"{dialect} {seed}"), DIALECTS[dialect]
-        record: dict[str, Any] = platform() if dialect == "platform" else diameter.config()
-        made = PlatformRestarts if dialect == "platform" else DiameterRestarts
-        self.world = made({**record, "chance": seed})
-        self.held: dict[str, dict[str, str]] = {"s0": {}, "s1": {}}  # at each server: out, stands
-        self.waits: dict[str, str] = {}  # calls without an answer, and the client that waits
-        self.stands: dict[str, str] = {}  # calls that their clients know to stand
-        self.unsure: set[str] = set()  # their client's connection broke before the answer came
-        self.failed: set[str] = set()  # over before they were answered
-        self.ended: set[str] = set()  # ended by their server: their client is owed it
+    def __init__(self, protocol: str, seed: int) -> None:
+        self.rng, self.messages = random.Random(f"{protocol} {seed}"), PROTOCOLS[protocol]
+        record: dict[str, Any] = platform() if protocol == "platform" else diameter.config()
+        world_class = PlatformRestarts if protocol == "platform" else DiameterRestarts
+        self.world = world_class({**record, "chance": seed})
+        # By server and call: "out", "lost" or "stands".
+        self.held: dict[str, dict[str, str]] = {"s0": {}, "s1": {}}
+        self.waiting: dict[str, str] = {}  # unanswered calls and their clients
+        self.established: dict[str, str] = {}  # calls that their clients know as established
+        self.unsure: set[str] = set()  # whose connection broke before the answer
+        self.failed: set[str] = set()  # ended before they were answered
+        self.ended: set[str] = set()  # ended by their server; their client has to be told
         self.free_at: dict[str, float] = {}
         self.count = self.kills = 0
 
     def say(self, who: str, word: str, *fields: str) -> None:
-        self.world.step(f"send {who} " + self.words[word].format(*fields))
+        self.world.step(f"send {who} " + self.messages[word].format(*fields))
         self.hear()
 
     def hear(self) -> None:
@@ -990,97 +995,97 @@
 
     def at_server(self, name: str, message: dict[str, str]) -> None:
         verb, call = message[""], message.get("tag", "")
-        if verb == "closed" and self.words["asked"] == "START":
-            # The set-ups open on it run on; each is answered on a later connection, and released there.
+        if verb == "closed" and self.messages["asked"] == "START":
+            # Its pending set-ups go on; each is answered on a later connection, and released there.
             for lost in [lost for lost, how in self.held[name].items() if how == "out"]:
                 self.held[name][lost] = "lost"
                 self.free_at[lost] = self.world.clock.at + 500.0
-        elif verb == self.words["asked"]:
+        elif verb == self.messages["asked"]:
             holders = [server for server, calls in self.held.items() if calls.get(call, "lost") != "lost"]
             assert not holders, f"{call} set up at {name} while at {holders}"
             assert self.world.clock.at >= self.free_at.get(call, 0.0), f"{call} set up again too early"
             self.held[name][call] = "out"
-        elif verb == self.words["released"]:
+        elif verb == self.messages["released"]:
             if self.held[name].pop(call, "") == "out":
                 self.free_at[call] = self.world.clock.at + 500.0
-            self.world.step(f"send {name} " + self.words["release heard"].format(call))
+            self.world.step(f"send {name} " + self.messages["release heard"].format(call))
 
     def at_client(self, name: str, message: dict[str, str]) -> None:
         verb, call = message[""], message.get("tag", "")
         if verb == "closed":
-            for waiting in [waiting for waiting, client in self.waits.items() if client == name]:
-                del self.waits[waiting]
+            for waiting in [waiting for waiting, client in self.waiting.items() if client == name]:
+                del self.waiting[waiting]
                 self.unsure.add(waiting)
-        elif call in self.waits and verb in (self.words["answer"], self.words["refusal"]):
-            assert self.waits.pop(call) == name
-            if verb == self.words["answer"] and message.get("result", "2001") == "2001":
+        elif call in self.waiting and verb in (self.messages["answer"], self.messages["refusal"]):
+            assert self.waiting.pop(call) == name
+            if verb == self.messages["answer"] and message.get("result", "2001") == "2001":
                 assert call not in self.failed, f"{call} was over before its answer"
-                self.stands[call] = name
-        elif verb == self.words["over"]:
-            if call in self.waits:
-                self.failed.add(call)  # to a client that waits: no success may come after it
-            if call in self.stands:
+                self.established[call] = name
+        elif verb == self.messages["over"]:
+            if call in self.waiting:
+                self.failed.add(call)  # no success may follow
+            if call in self.established:
                 assert call in self.ended or self.kills, f"{call} is over, and nobody ended it"
-            self.stands.pop(call, None)
+            self.established.pop(call, None)
             self.unsure.discard(call)
-            self.world.step(f"send {name} " + self.words["over heard"].format(call))
+            self.world.step(f"send {name} " + self.messages["over heard"].format(call))
         else:
-            assert verb not in (self.words["answer"],), f"{name} hears {message} unasked"
+            assert verb not in (self.messages["answer"],), f"{name} hears {message} unasked"
 
     def step(self) -> None:
-        chance = self.chance
+        rng = self.rng
         held = [(server, call, how) for server, calls in self.held.items() for call, how in calls.items()]
         out = [(server, call) for server, call, how in held if how != "stands"]
-        match chance.choices(
+        match rng.choices(
             ("ask", "answer", "release", "end", "kill", "again", "wait", "disk"), (6, 6, 2, 1, 1, 2, 4, 1)
         )[0]:
             case "ask":
                 self.count += 1
-                call, client = f"{self.count:x}", chance.choice(("c1", "c2"))
-                self.waits[call] = client
-                self.say(client, "ask", call, str(chance.randrange(2)))
+                call, client = f"{self.count:x}", rng.choice(("c1", "c2"))
+                self.waiting[call] = client
+                self.say(client, "ask", call, str(rng.randrange(2)))
             case "answer" if out:
-                server, call = chance.choice(out)
-                word = chance.choices(("stands", "busy", "fault"), (6, 1, 1))[0]
+                server, call = rng.choice(out)
+                word = rng.choices(("stands", "busy", "fault"), (6, 1, 1))[0]
                 word = "stands" if self.held[server][call] == "lost" else word
                 if word == "stands":
                     self.held[server][call] = "stands"
                 else:
                     del self.held[server][call]
                 self.say(server, word, call)
-            case "release" if self.stands:
-                call, client = chance.choice(sorted(self.stands.items()))
-                del self.stands[call]
+            case "release" if self.established:
+                call, client = rng.choice(sorted(self.established.items()))
+                del self.established[call]
                 self.say(client, "release", call)
             case "end":
                 standing = [(server, call) for server, call, how in held if how == "stands"]
                 if standing:
-                    server, call = chance.choice(standing)
+                    server, call = rng.choice(standing)
                     del self.held[server][call]
                     self.ended.add(call)
                     self.say(server, "end", call)
             case "kill":
                 self.kills += 1
-                self.world.step("send agent " + chance.choice(("kill", "power")))
+                self.world.step("send agent " + rng.choice(("kill", "power")))
                 self.hear()
-                self.world.clock.at += chance.choice((5.0, 300.0, 2000.0))
+                self.world.clock.at += rng.choice((5.0, 300.0, 2000.0))
                 self.world.step("send agent start")
                 self.hear()
                 self.wait(1200.0)
             case "again" if self.unsure:
-                call, client = chance.choice(sorted(self.unsure)), chance.choice(("c1", "c2"))
+                call, client = rng.choice(sorted(self.unsure)), rng.choice(("c1", "c2"))
                 if client == self.asker(call):
                     self.unsure.discard(call)
-                    self.waits[call] = client
+                    self.waiting[call] = client
                     self.say(client, "ask", call, "0")
             case "disk":
                 self.world.step("send disk hold")
-                for _ in range(chance.randrange(3)):
+                for _ in range(rng.randrange(3)):
                     self.step()
                 self.world.step("send disk free")
                 self.hear()
             case _:
-                self.wait(chance.choice((1.0, 200.0, 3000.0)))
+                self.wait(rng.choice((1.0, 200.0, 3000.0)))
 
     def asker(self, call: str) -> str:
         return "c1" if int(call, 16) % 2 else "c2"
@@ -1092,10 +1097,10 @@
             ms -= 50.0
 
     def end(self) -> None:
-        """All that clients know to stand is released: servers hold only what nobody can know of."""
+        """Releases all calls known to clients; servers may then hold only calls that no client knows of."""
         self.wait(12_000.0)
-        assert not self.waits, f"{self.waits} were never answered"
-        for call, client in sorted(self.stands.items()):
+        assert not self.waiting, f"{self.waiting} were never answered"
+        for call, client in sorted(self.established.items()):
             self.say(client, "release", call)
         self.wait(1000.0)
         for server, calls in self.held.items():
@@ -1113,7 +1118,7 @@
         assert not agent.broker.requests and not agent.broker.open_count
         assert agent.rules.violations.total() == 0
         self.wait(130_000.0)
-        self.waits["ffff"] = "c1"  # one more call: with it, all that ended long ago is forgotten
+        self.waiting["ffff"] = "c1"  # another call expires the ids of calls that ended long ago
         self.say("c1", "ask", "ffff", "0")
         self.wait(10_000.0)
         assert agent.durability is not None
@@ -1122,10 +1127,10 @@
         assert len(kept) <= 2, f"{kept} are never forgotten"
 
 
-@pytest.mark.parametrize("dialect", DIALECTS)
+@pytest.mark.parametrize("protocol", PROTOCOLS)
 @pytest.mark.parametrize("seed", range(30))
-def test_random_lives(dialect: str, seed: int) -> None:
-    life = Life(dialect, seed)
+def test_random_lives(protocol: str, seed: int) -> None:
+    run = RandomRun(protocol, seed)
     for _ in range(60):
-        life.step()
-    life.end()
+        run.step()
+    run.end()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -31,7 +31,7 @@
 
 def better(key: str, one: bytes, other: bytes) -> bytes:
     """The state's own rule, as the agent hands it over."""
-    return records.encode(merge.better(records.decode(key, one)[2], records.decode(key, other)[2]))
+    return records.encode(merge.preferred(records.decode(key, one)[2], records.decode(key, other)[2]))
 
 
 CALL = "call/1"
