--- a/tests/test_sigkill.py
+++ b/tests/test_sigkill.py
@@ -1,4 +1,4 @@
-"""The real program, killed by SIGKILL at random points under load, on one store."""
+"""Kills the real program by SIGKILL at random points under load, and restarts it on the same store."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 from standins.ports import free_ports
 
 KILLS, CLIENTS = 50, 6
-PATIENCE_S = 20.0
-# A disk that hangs for longer than stall_ms lets answers go without their record, by design (a scenario of
-# test_recovery.py): what is asked here is what the store promises while its disk answers, however late.
-STORE = {"path": "s.store", "stall_ms": 1000.0 * PATIENCE_S}
+TIMEOUT_S = 20.0
+# After a disk stall of stall_ms, answers are by design sent before they are recorded (see test_recovery.py).
+# These tests check the guarantees while the disk answers, however late, so no stall may be detected.
+STORE = {"path": "s.store", "stall_ms": 1000.0 * TIMEOUT_S}
 
 
-async def up(port: int) -> None:
-    for _ in range(int(PATIENCE_S / 0.005)):
+async def wait_until_listening(port: int) -> None:
+    """Raises TimeoutError if nothing accepts connections on the port."""
+    for _ in range(int(TIMEOUT_S / 0.005)):
         try:
             _, writer = await asyncio.open_connection("127.0.0.1", port)
         except ConnectionError:
@@ -35,8 +36,9 @@
     raise TimeoutError("the program does not listen")
 
 
-async def killed_often(folder: pathlib.Path, seed: int) -> Books:
-    chance, books = random.Random(seed), Books()
+async def run_with_kills(folder: pathlib.Path, seed: int) -> Books:
+    """Runs and kills the program KILLS times under load, then once more to its regular end."""
+    rng, books = random.Random(seed), Books()
     lobbies = [Lobby(f"h{number}", books, random.Random(number), ends=0.5) for number in (0, 1)]
     ports = [await lobby.start() for lobby in lobbies]
     port = free_ports(1)[0]
@@ -50,68 +52,70 @@
                 sys.executable, "-m", "frostport", "serve", "--config", str(path), stderr=log
             )
             try:
-                await up(port)
+                await wait_until_listening(port)
                 if kill < KILLS:
-                    await asyncio.sleep(chance.uniform(0.0, 0.15))
+                    await asyncio.sleep(rng.uniform(0.0, 0.15))
                     program.kill()
                     continue
-                # The last life: clients release all they know of, servers end what nobody knows of.
-                await quiet(callers)
-                await ended_by_servers(lobbies, books)
+                # The last run: clients release the calls they know of, servers end the others.
+                await stop_callers(callers)
+                await end_calls_at_servers(lobbies, books)
                 program.send_signal(signal.SIGTERM)
-                assert await asyncio.wait_for(program.wait(), PATIENCE_S) == 0
+                assert await asyncio.wait_for(program.wait(), TIMEOUT_S) == 0
             finally:
-                await ended(program)
-    await cancelled(tasks)
+                await kill_and_wait(program)
+    await cancel_all(tasks)
     return books
 
 
-async def ended_by_servers(lobbies: Sequence[Lobby], books: Books) -> None:
-    """Servers hold only what nobody knows of; they end it, and each end is confirmed, after its record."""
+async def end_calls_at_servers(lobbies: Sequence[Lobby], books: Books) -> None:
+    """Checks that servers hold only calls that no client knows of, then ends these.
+
+    Each end is confirmed by the agent, after it is recorded."""
 
     def left() -> set[str]:
         return {call for lobby in lobbies for call in lobby.held} - books.unsure
 
-    with contextlib.suppress(TimeoutError):  # the guard, and what servers tell again
-        await settled(lambda: not left())
+    with contextlib.suppress(TimeoutError):  # for release guards, and messages that servers repeat
+        await wait_until(lambda: not left())
     for call in left():
         books.fault(f"{call}: left at a server, and its client knows nothing of it")
     for lobby in lobbies:
         lobby.end_all()
-    await settled(lambda: not any(lobby.ended for lobby in lobbies))
+    await wait_until(lambda: not any(lobby.ended for lobby in lobbies))
 
 
-async def quiet(callers: Sequence[Caller]) -> None:
-    """Clients ask no more, and release all they know to stand."""
+async def stop_callers(callers: Sequence[Caller]) -> None:
+    """Lets clients stop asking, and release all calls that they know to be established."""
     for caller in callers:
         caller.asking = False
-    await settled(lambda: not any(caller.asked or caller.mine or caller.releasing for caller in callers))
+    await wait_until(lambda: not any(caller.asked or caller.mine or caller.releasing for caller in callers))
 
 
-async def ended(program: asyncio.subprocess.Process) -> None:
-    """Whatever became of it, the program is gone afterwards."""
+async def kill_and_wait(program: asyncio.subprocess.Process) -> None:
+    """Kills the program if it is still running, and waits for its end."""
     with contextlib.suppress(ProcessLookupError):
         program.kill()
     await program.wait()
 
 
-async def cancelled(tasks: Sequence[asyncio.Task[None]]) -> None:
+async def cancel_all(tasks: Sequence[asyncio.Task[None]]) -> None:
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def settled(done: object, patience_s: float = PATIENCE_S) -> None:
-    assert callable(done)
-    for _ in range(int(patience_s / 0.05)):
-        if done():
+async def wait_until(condition: object, timeout_s: float = TIMEOUT_S) -> None:
+    assert callable(condition)
+    for _ in range(int(timeout_s / 0.05)):
+        if condition():
             return
         await asyncio.sleep(0.05)
     raise TimeoutError("calls without an answer")
 
 
 def test_fifty_sigkills_under_load(tmp_path: pathlib.Path) -> None:
-    books = asyncio.run(killed_often(tmp_path, 4))
+    books = asyncio.run(run_with_kills(tmp_path, 4))
     print(f"{books.answers} answers, {books.refused} refused, {len(books.unsure)} never known")
     assert books.faults == []
     assert books.answers - books.refused > 5 * KILLS and books.ended > KILLS
