--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -247,16 +247,16 @@
             for name in names
             if name not in START_ONLY_FIELDS and getattr(old, name) != getattr(new, name)
         ]
-        fixed = [name for name in changed if name not in RELOADABLE_FIELDS]
+        not_applied = [name for name in changed if name not in RELOADABLE_FIELDS]
         if "contracts" in changed and contract_targets(old) != contract_targets(new):
             # The decision module was set up with the aims and deadlines of the start.
-            fixed.append("contracts")
-        if fixed:
-            log.warning("reload: not changed before the next start: %s", ", ".join(fixed))
+            not_applied.append("contracts")
+        if not_applied:
+            log.warning("reload: not changed before the next start: %s", ", ".join(not_applied))
         self.config = dataclasses.replace(
-            old, **{name: getattr(new, name) for name in RELOADABLE_FIELDS if name not in fixed}
+            old, **{name: getattr(new, name) for name in RELOADABLE_FIELDS if name not in not_applied}
         )
-        if "contracts" not in fixed:
+        if "contracts" not in not_applied:
             self.broker.budgets.replace_contracts(new.contracts)
         self.gate.descriptors.limit = self.config.sockets
         self.gate.descriptors.reserved = self.config.sockets - self.config.admission.connections
@@ -264,7 +264,7 @@
         self.side.reload(self.config)
         if self._shed_timer is None:
             self._shed_surplus()
-        log.info("reload: done; changed: %s", ", ".join(set(changed) - set(fixed)) or "nothing")
+        log.info("reload: done; changed: %s", ", ".join(set(changed) - set(not_applied)) or "nothing")
 
     def terminate(self) -> None:
         """SIGTERM: keeps accepting for a short time, answers all open requests, then exits.
--- a/frostport/handover.py
+++ b/frostport/handover.py
@@ -66,24 +66,24 @@
     """Merges records that a successor left in `next` into the store, which is locked; returns all values.
 
     Raises LockedError if that successor is alive and waits for this lock; StoreError, OSError."""
-    held = engine.take_recovered()
+    values = engine.take_recovered()
     if not (path / NEXT_FOLDER).is_dir():
-        return held
+        return values
     folder = DiskFolder(path / NEXT_FOLDER)
     if MANIFEST_NAME not in folder.names():
         with contextlib.suppress(LockedError):  # the process that holds it has only just started
             folder.lock()
             remove_store(folder)  # an earlier removal was interrupted
             folder.unlock()
-        return held
-    later = Engine.open(folder, limits)
-    found = merge.changes(held, later.take_recovered())
-    engine.append(found)
+        return values
+    successor = Engine.open(folder, limits)
+    changes = merge.changes(values, successor.take_recovered())
+    engine.append(changes)
     engine.sync()
-    close_next(later, folder)
-    log.info("store: merged %d records of an interrupted handover", len(found))
-    held.update((key, value) for key, value in found if value is not None)
-    return held
+    close_next(successor, folder)
+    log.info("store: merged %d records of an interrupted handover", len(changes))
+    values.update((key, value) for key, value in changes if value is not None)
+    return values
 
 
 def close_next(later: Engine, folder: DiskFolder) -> None:
@@ -228,16 +228,16 @@
             """Runs on the store's thread, after all writes to `next`."""
             try:
                 main = Engine.open(self.main_folder, self.limits, locked=True)
-                left = main.take_recovered()
+                old_values = main.take_recovered()
                 own = committer.engine
-                main.append(merge.changes(left, dict(own.values())))
+                main.append(merge.changes(old_values, dict(own.values())))
                 main.sync()
                 committer.engine = self.durability.engine = main
                 close_next(own, self.next_folder)
             except Exception as problem:  # guards the thread; `next` still holds all own records
                 why = str(problem) or repr(problem)
                 return lambda: self._takeover_failed(why)
-            return lambda: self._taken_over(left)
+            return lambda: self._taken_over(old_values)
 
         committer.worker.submit(job)
 
@@ -248,22 +248,22 @@
         self.state = HandoverState.FOLLOWING
         self._schedule_poll()
 
-    def _taken_over(self, left: dict[str, bytes]) -> None:
+    def _taken_over(self, old_values: dict[str, bytes]) -> None:
         """This process owns the store: takes over the calls and owed messages of the old one."""
-        for key in left.keys() | self.follower.values.keys():
-            if left.get(key) != self.follower.values.get(key):
-                self._apply(key, left.get(key))
+        for key in old_values.keys() | self.follower.values.keys():
+            if old_values.get(key) != self.follower.values.get(key):
+                self._apply(key, old_values.get(key))
         self.state = HandoverState.DONE
         agent, broker, now = self.agent, self.agent.broker, self.agent.clock.now()
-        theirs = {}
-        for key, value in left.items():
+        unfinished = {}
+        for key, value in old_values.items():
             call = records.split_key(key)[1].rpartition(records.KEY_SEPARATOR)[2]
             if key.startswith((records.OWED, records.RELEASE)) or (
                 key.startswith(CALL)
                 and (call in self.pending_in_predecessor or call not in broker.slots_by_id)
             ):
-                theirs[key] = value
-        restored = recovery.restore(theirs, now, agent.rules.settings.release_guard_ms)
+                unfinished[key] = value
+        restored = recovery.restore(unfinished, now, agent.rules.settings.release_guard_ms)
         for call, over in restored.over.items():
             if call not in broker.slots_by_id:
                 guard = broker.ended_ids.get(call, (0.0, 0.0))[1]
--- a/frostport/state/merge.py
+++ b/frostport/state/merge.py
@@ -37,13 +37,13 @@
 
 def changes(main: Mapping[str, bytes], later: Mapping[str, bytes]) -> list[tuple[str, bytes | None]]:
     """Returns the changes that merge `later` into `main`. Raises BadRecordError."""
-    found: list[tuple[str, bytes | None]] = []
+    needed: list[tuple[str, bytes | None]] = []
     for key, value in later.items():
         mine = main.get(key)
         if mine is None:
-            found.append((key, value))
+            needed.append((key, value))
         elif mine != value:
             kept = records.encode(preferred(records.decode(key, mine)[2], records.decode(key, value)[2]))
             if kept != mine:
-                found.append((key, kept))
-    return found
+                needed.append((key, kept))
+    return needed
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -261,7 +261,7 @@
             except ConnectionError:
                 pass
             await asyncio.sleep(0.01)
-        raise TimeoutError("not ready")
+        raise TimeoutError("the operator port does not report ready")
 
     async def wait_for_log(self, words: str, times: int = 1) -> None:
         """Waits until the log has `words` at least `times` times."""
@@ -269,7 +269,7 @@
             if (self.folder / "log").read_text(encoding="utf-8").count(words) >= times:
                 return
             await asyncio.sleep(0.01)
-        raise TimeoutError(f"never said: {words}")
+        raise TimeoutError(f"not in the log: {words}")
 
 
 async def run_upgrade(folder: pathlib.Path, step: str, seed: int) -> Books:
@@ -337,7 +337,7 @@
         if condition():
             return
         await asyncio.sleep(0.01)
-    raise TimeoutError("never came")
+    raise TimeoutError("condition not met within 60 s")
 
 
 @pytest.mark.parametrize("step", STEPS)
--- a/tests/test_sigkill.py
+++ b/tests/test_sigkill.py
@@ -111,7 +111,7 @@
         if condition():
             return
         await asyncio.sleep(0.05)
-    raise TimeoutError("calls without an answer")
+    raise TimeoutError("condition not met in time")
 
 
 def test_fifty_sigkills_under_load(tmp_path: pathlib.Path) -> None:
