--- a/frostport/config_startup.py
+++ b/frostport/config_startup.py
@@ -31,7 +31,7 @@
 def read(record: Mapping[str, Any]) -> Settings:
     """Returns the settings. Raises ConfigError, which names the field."""
     prefix = "startup."
-    section = base.field(record, "startup", dict, {})
+    section = base.read_field(record, "startup", dict, {})
     if "diameter" in record:
         raise ConfigError("startup: not supported together with diameter")
     values: dict[str, Any] = {}
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -49,7 +49,7 @@
 
 def better(key: str, one: bytes, other: bytes) -> bytes:
     """The preference function of the state, as the agent passes it."""
-    return records.encode(merge.better(records.decode(key, one)[2], records.decode(key, other)[2]))
+    return records.encode(merge.preferred(records.decode(key, one)[2], records.decode(key, other)[2]))
 
 
 CALL = "call/1"
