--- a/tests/trials/test_checker.py
+++ b/tests/trials/test_checker.py
@@ -1,4 +1,4 @@
-"""The trials' checker on hand-made histories: each rule just inside and just outside its limit."""
+"""The checker of the trials on hand-written histories: each rule just inside and just outside its limit."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from trials.checker import check
 from trials.history import Event, Kind
-from trials.site import Day
+from trials.site import TrialSettings
 
-DAY = Day(grace_ms=500.0, guard_ms=300.0, attempts=2)
+SETTINGS = TrialSettings(grace_ms=500.0, guard_ms=300.0, attempts=2)
 END = Event(60.0, Kind.FINISHED, "trial")
 ANSWER = "s0 made 1 for a"
 
@@ -29,24 +29,24 @@
     return Event(at, kind, "n0", number=number, text=text)
 
 
-STANDS = [
+ESTABLISHED = [
     asked(),
     server(1.1, Kind.REACHED),
     server(1.2, Kind.REPLIED, text=ANSWER),
     client(1.3, Kind.ANSWERED, ANSWER),
 ]
 FAILED = client(1.5, Kind.FAILED)
-DRAINS = Event(2.0, Kind.LISTED, "discovery", server="s0", text="draining")
-TOLD = Event(2.1, Kind.DELIVERED, "n0", server="s0", text="draining")
-DOWN = Event(0.5, Kind.DISCOVERY_DOWN, "discovery")
-AWAY = Event(1.15, Kind.UNREACHABLE, "s0")
+DRAINING = Event(2.0, Kind.LISTED, "discovery", server="s0", text="draining")
+DELIVERED = Event(2.1, Kind.DELIVERED, "n0", server="s0", text="draining")
+DISCOVERY_DOWN = Event(0.5, Kind.DISCOVERY_DOWN, "discovery")
+UNREACHABLE = Event(1.15, Kind.UNREACHABLE, "s0")
 
 
 def drained(reached_at: float, *before: Event) -> list[Event]:
-    """A set-up that reaches a server which drains."""
+    """A set-up that reaches a draining server."""
     return [
         *before,
-        DRAINS,
+        DRAINING,
         asked(reached_at - 0.1, 9.0),
         server(reached_at, Kind.REACHED),
         client(reached_at + 0.1, Kind.FAILED),
@@ -77,32 +77,32 @@
     "a second attempt while the first one's server is silent": [
         asked(),
         server(1.1, Kind.REACHED),
-        AWAY,
+        UNREACHABLE,
         server(1.9, Kind.REACHED, "s1"),
         client(2.0, Kind.FAILED),
     ],
     "an attempt 0.1 s after a give-up": [asked(), client(1.5, Kind.GAVE_UP), server(1.6, Kind.REACHED)],
     "told a second after the server's word": [
-        *STANDS,
+        *ESTABLISHED,
         server(5.0, Kind.ENDED),
         server(5.0, Kind.END_WRITTEN),
         client(6.0, Kind.TOLD_OVER),
     ],
     "told 8 s after an end that nobody could hear": [
-        *STANDS,
+        *ESTABLISHED,
         server(5.0, Kind.CUT),
         client(13.0, Kind.TOLD_OVER),
     ],
     "told 8 s after an end whose connection broke": [
-        *STANDS,
+        *ESTABLISHED,
         server(5.0, Kind.ENDED),
         server(5.0, Kind.END_WRITTEN),
         server(5.1, Kind.END_LOST),
         client(13.0, Kind.TOLD_OVER),
     ],
-    "a set-up within the grace": drained(2.6, TOLD),
+    "a set-up within the grace": drained(2.6, DELIVERED),
     "a set-up within the grace of 7 s after the change": drained(9.5),
-    "a set-up within the grace of 6 s after a failed call": drained(8.5, DOWN),
+    "a set-up within the grace of 6 s after a failed call": drained(8.5, DISCOVERY_DOWN),
     "a process that ends as it is told": [
         agent(1.0, Kind.STARTED),
         agent(1.5, Kind.READY),
@@ -110,15 +110,15 @@
         agent(21.0, Kind.EXITED),
     ],
     "ready after 10 s": [agent(1.0, Kind.STARTED), agent(11.0, Kind.READY)],
-    "a call left at its server that stands": [*STANDS, server(59.0, Kind.LEFT)],
+    "a call left at its server that stands": [*ESTABLISHED, server(59.0, Kind.LEFT)],
 }
 BROKEN = {
     "lost: an answer later than that": ("lost", [asked(), client(3.6, Kind.FAILED)]),
     "lost: none at all": ("lost", [asked()]),
     "lost: closed with it read": ("lost", [asked(), client(1.2, Kind.CONNECTION_LOST)]),
     "lost: unanswered at SIGKILL": ("lost", [asked(), agent(0.5, Kind.TERMINATED), agent(2.0, Kind.KILLED)]),
-    "second answer": ("second answer", [*STANDS, client(1.5, Kind.FAILED)]),
-    "foreign answer": ("foreign answer", [*STANDS[:3], client(1.3, Kind.ANSWERED, "another's")]),
+    "second answer": ("second answer", [*ESTABLISHED, client(1.5, Kind.FAILED)]),
+    "foreign answer": ("foreign answer", [*ESTABLISHED[:3], client(1.3, Kind.ANSWERED, "another's")]),
     "attempts": (
         "attempts",
         [
@@ -150,15 +150,15 @@
     "client gone": ("client gone", [asked(), client(1.5, Kind.GAVE_UP), server(1.66, Kind.REACHED)]),
     "told: later than a second after the word": (
         "told",
-        [*STANDS, server(5.0, Kind.ENDED), server(5.0, Kind.END_WRITTEN), client(6.06, Kind.TOLD_OVER)],
+        [*ESTABLISHED, server(5.0, Kind.ENDED), server(5.0, Kind.END_WRITTEN), client(6.06, Kind.TOLD_OVER)],
     ),
     "told: later than 8 s, the server being silent": (
         "told",
-        [*STANDS, AWAY, server(5.0, Kind.CUT), client(13.06, Kind.TOLD_OVER)],
+        [*ESTABLISHED, UNREACHABLE, server(5.0, Kind.CUT), client(13.06, Kind.TOLD_OVER)],
     ),
-    "drain: past the grace": ("drain", drained(2.66, TOLD)),
+    "drain: past the grace": ("drain", drained(2.66, DELIVERED)),
     "drain: past the grace of 7 s": ("drain", drained(9.56)),
-    "drain: past the grace of 6 s after a failed call": ("drain", drained(8.56, DOWN)),
+    "drain: past the grace of 6 s after a failed call": ("drain", drained(8.56, DISCOVERY_DOWN)),
     "crash: nobody asked": ("crash", [agent(5.0, Kind.EXITED, 1.0, "unexpected")]),
     "crash: on SIGTERM": (
         "crash",
@@ -170,18 +170,18 @@
         ],
     ),
     "ready": ("ready", [agent(1.0, Kind.STARTED), agent(11.1, Kind.READY)]),
-    "left standing": ("left standing", [*STANDS, client(20.0, Kind.RELEASED), server(59.0, Kind.LEFT)]),
+    "left standing": ("left standing", [*ESTABLISHED, client(20.0, Kind.RELEASED), server(59.0, Kind.LEFT)]),
 }
 
 
 @pytest.mark.parametrize("name", SOUND)
 def test_a_sound_history_has_no_violation(name: str) -> None:
     events = sorted([*SOUND[name], END], key=lambda event: event.at)
-    assert check(events, DAY) == []
+    assert check(events, SETTINGS) == []
 
 
 @pytest.mark.parametrize("name", BROKEN)
 def test_a_broken_rule_is_found_and_no_other(name: str) -> None:
     rule, history = BROKEN[name]
     events = sorted([*history, END], key=lambda event: event.at)
-    assert [violation.rule for violation in check(events, DAY)] == [rule]
+    assert [violation.rule for violation in check(events, SETTINGS)] == [rule]
--- a/tests/trials/test_seeds.py
+++ b/tests/trials/test_seeds.py
@@ -1,17 +1,17 @@
-"""A few seeds of the trials, and planted defects that the checker has to find, on real processes."""
+"""Trials of real processes: a few seeds break no rule, and the checker finds each planted defect."""
 
 from __future__ import annotations
 
 import pathlib
 from concurrent.futures import ProcessPoolExecutor
 
-from trials.__main__ import Result, trial
-from trials.plan import SECONDS
+from trials.__main__ import Result, run_trial
+from trials.plan import DURATION_S
 
 JOBS = 3
-# Restarts and a reset; a vanished server that comes back; a drained server; over Diameter, a server cut off.
+# Restarts and a reset; a vanished server that returns; a drained server; over Diameter, a server cut off.
 SEEDS = (1, 10, 13, 48)
-PLANTED = {  # each with a seed on which it shows, and the rule that it breaks
+PLANTED = {  # by defect: a seed on which it shows, and the rule that it breaks
     "release_not_sent": (5, "left standing"),
     "guard_left_out": (13, "release guard"),
     "drain_ignored": (5, "drain"),
@@ -22,13 +22,13 @@
 
 
 def played(cases: list[tuple[int, str]], folder: pathlib.Path) -> list[Result]:
-    """Plays seeds, each with a defect or "", a few at a time."""
+    """Plays pairs of a seed and a defect ("" for none), `JOBS` at a time."""
     with ProcessPoolExecutor(JOBS) as pool:
-        waiting = [
-            pool.submit(trial, seed, [], SECONDS, str(folder / f"{defect}-{seed}"), defect)
+        futures = [
+            pool.submit(run_trial, seed, [], DURATION_S, str(folder / f"{defect}-{seed}"), defect)
             for seed, defect in cases
         ]
-        return [done.result() for done in waiting]
+        return [future.result() for future in futures]
 
 
 def test_seeds_break_no_rule(tmp_path: pathlib.Path) -> None:
--- a/trials/__init__.py
+++ b/trials/__init__.py
@@ -1,4 +1,4 @@
-"""Short trials of real processes under combined faults, with a checker of the protocol's rules.
+"""Short trials of real agent processes under combined faults, and a checker of the protocol's rules.
 
-Nothing here is imported by the agent. `python -m trials` plays one trial a seed; see docs/trials.md.
+The agent imports nothing from here. `python -m trials` plays one trial per seed; see docs/trials.md.
 """
--- a/trials/__main__.py
+++ b/trials/__main__.py
@@ -16,16 +16,16 @@
 
 from trials.checker import check
 from trials.history import Event, Kind
-from trials.plan import SECONDS, FaultKind, Plan, draw, rounded, without
+from trials.plan import DURATION_S, FaultKind, Plan, draw_plan, with_rounded_times, without_fault
 from trials.planted import DEFECTS
 from trials.play import play
 from trials.rules.index import Violation
 
-MOST_SHOWN = 3  # violations of a seed
+MAX_SHOWN_VIOLATIONS = 3  # per seed
 
 
 class Result(msgspec.Struct):
-    """What became of one trial."""
+    """The result of one trial; `--json` writes it under these names."""
 
     seed: int
     faults: list[str]
@@ -38,70 +38,75 @@
 
 
 @dataclass(frozen=True)
-class Played:
-    """What a plan's play has shown."""
+class PlayedTrial:
+    """Events, violations and peak use of resources of one play of a plan."""
 
     events: list[Event]
     violations: list[Violation]
-    memory_mb: float  # of the agent that had most
-    descriptors: int  # the same
+    memory_mb: float  # highest of any agent
+    descriptors: int  # highest of any agent
 
 
-def played(plan: Plan, folder: pathlib.Path, defect: str = "") -> Played:
+def play_plan(plan: Plan, folder: pathlib.Path, defect: str = "") -> PlayedTrial:
     """Plays a plan in this process."""
     events, site = asyncio.run(play(plan, folder, defect))
-    return Played(events, check(events, plan.day), site.most_memory_bytes / 1e6, site.most_descriptors)
+    return PlayedTrial(
+        events, check(events, plan.settings), site.peak_memory_bytes / 1e6, site.peak_descriptors
+    )
 
 
-def trial(seed: int, only: list[str], seconds: float, folder: str, defect: str = "") -> Result:
-    """Plays one seed; its history and logs stay in the folder only where it fails."""
-    plan = draw(seed, frozenset(FaultKind(kind) for kind in only), seconds)
-    here = pathlib.Path(folder) / f"seed-{seed}"
-    here.mkdir(parents=True, exist_ok=True)
+def run_trial(seed: int, only: list[str], seconds: float, folder: str, defect: str = "") -> Result:
+    """Plays one seed; its history and logs stay in the folder only if it fails."""
+    plan = draw_plan(seed, frozenset(FaultKind(kind) for kind in only), seconds)
+    seed_folder = pathlib.Path(folder) / f"seed-{seed}"
+    seed_folder.mkdir(parents=True, exist_ok=True)
     faults = [f"{fault.kind.value}@{fault.at_s:.1f}+{fault.for_s:.1f}" for fault in plan.faults]
     try:
-        shown = played(plan, here, defect)
-    except Exception as problem:  # a trial that could not be played is reported as such
+        played = play_plan(plan, seed_folder, defect)
+    except Exception as problem:  # a trial that cannot be played is reported in its result
         return Result(seed, faults, 0, {}, [], 0.0, 0, f"{type(problem).__name__}: {problem}")
-    if not shown.violations:
-        shutil.rmtree(here)
+    if not played.violations:
+        shutil.rmtree(seed_folder)
     return Result(
         seed,
         faults,
-        sum(event.kind is Kind.ASKED for event in shown.events),
-        dict(Counter(violation.rule for violation in shown.violations)),
-        [f"{item.at:.3f} {item.rule} {item.call}: {item.text}" for item in shown.violations[:MOST_SHOWN]],
-        shown.memory_mb,
-        shown.descriptors,
+        sum(event.kind is Kind.ASKED for event in played.events),
+        dict(Counter(violation.rule for violation in played.violations)),
+        [
+            f"{item.at:.3f} {item.rule} {item.call}: {item.text}"
+            for item in played.violations[:MAX_SHOWN_VIOLATIONS]
+        ],
+        played.memory_mb,
+        played.descriptors,
     )
 
 
 def broken_rules(plan: Plan, folder: pathlib.Path) -> set[str]:
     """The rules that a play of the plan breaks."""
-    return {violation.rule for violation in played(plan, folder).violations}
+    return {violation.rule for violation in play_plan(plan, folder).violations}
 
 
 def reduce(seed: int, only: list[str], seconds: float, folder: pathlib.Path) -> Plan:
-    """Cuts a failing plan down while it still breaks one of the same rules."""
-    plan = draw(seed, frozenset(FaultKind(kind) for kind in only), seconds)
+    """Removes faults from a failing plan and rounds their times while it breaks one of the same rules."""
+    plan = draw_plan(seed, frozenset(FaultKind(kind) for kind in only), seconds)
     rules = broken_rules(plan, folder)
     index = 0
     while index < len(plan.faults):
-        shorter = without(plan, index)
+        shorter = without_fault(plan, index)
         if rules & broken_rules(shorter, folder):
             plan = shorter
         else:
             index += 1
-    round_plan = rounded(plan)
-    return round_plan if rules & broken_rules(round_plan, folder) else plan
+    rounded = with_rounded_times(plan)
+    return rounded if rules & broken_rules(rounded, folder) else plan
 
 
-def arguments() -> argparse.Namespace:
-    """The command line."""
+def parse_arguments() -> argparse.Namespace:
+    """Parses the command line."""
     parser = argparse.ArgumentParser(prog="python -m trials", description=__doc__)
     parser.add_argument("--seeds", default="1-10", help="A-B, both played")
     parser.add_argument("--jobs", type=int, default=3, help="trials at a time")
-    parser.add_argument("--seconds", type=float, default=SECONDS, help="length of a trial's faults")
+    parser.add_argument("--seconds", type=float, default=DURATION_S, help="length of a trial's faults")
     parser.add_argument("--only", default="", help="kinds of fault, by commas: " + ", ".join(FaultKind))
     parser.add_argument("--json", type=pathlib.Path, help="writes the results to this file")
     parser.add_argument("--keep", type=pathlib.Path, help="folder for histories and logs of failing seeds")
@@ -111,26 +116,27 @@
 
 
 def main() -> int:
-    """Plays the seeds; 1 where any fails."""
-    given = arguments()
-    first, _, last = given.seeds.partition("-")
+    """Plays the seeds and prints the table; returns 1 if any trial fails."""
+    arguments = parse_arguments()
+    first, _, last = arguments.seeds.partition("-")
     seeds = range(int(first), int(last or first) + 1)
-    only = [kind for kind in given.only.split(",") if kind]
-    folder = given.keep or pathlib.Path(tempfile.mkdtemp(prefix="trials-"))
+    only = [kind for kind in arguments.only.split(",") if kind]
+    folder = arguments.keep or pathlib.Path(tempfile.mkdtemp(prefix="trials-"))
     results = []
-    with ProcessPoolExecutor(given.jobs) as pool:
-        waiting = [
-            pool.submit(trial, seed, only, given.seconds, str(folder), given.planted) for seed in seeds
+    with ProcessPoolExecutor(arguments.jobs) as pool:
+        futures = [
+            pool.submit(run_trial, seed, only, arguments.seconds, str(folder), arguments.planted)
+            for seed in seeds
         ]
-        for done in as_completed(waiting):
-            results.append(done.result())
+        for future in as_completed(futures):
+            results.append(future.result())
             if sys.stderr.isatty():
                 print(f"\r{len(results)} of {len(seeds)}", end="", file=sys.stderr, flush=True)
     results.sort(key=lambda result: result.seed)
     for result in results:
         broken = [f"{rule} {count}" for rule, count in result.violations.items()]
-        told = ", ".join(broken) or result.problem or "-"
-        print(f"{result.seed:5d}  {result.calls:6d} calls  {told}  | {' '.join(result.faults)}")
+        summary = ", ".join(broken) or result.problem or "-"
+        print(f"{result.seed:5d}  {result.calls:6d} calls  {summary}  | {' '.join(result.faults)}")
         for line in result.first:
             print(f"       {line}")
     failed = [result for result in results if result.violations or result.problem]
@@ -139,10 +145,10 @@
         f"most memory {max(result.memory_mb for result in results):.0f} MB, "
         f"most descriptors {max(result.descriptors for result in results)}; kept in {folder}"
     )
-    if given.json:
-        given.json.write_bytes(msgspec.json.encode(results))
-    for result in failed if given.reduce else []:
-        print(f"seed {result.seed}: {reduce(result.seed, only, given.seconds, folder / 'reduced')}")
+    if arguments.json:
+        arguments.json.write_bytes(msgspec.json.encode(results))
+    for result in failed if arguments.reduce else []:
+        print(f"seed {result.seed}: {reduce(result.seed, only, arguments.seconds, folder / 'reduced')}")
     return 1 if failed else 0
 
 
--- a/trials/checker.py
+++ b/trials/checker.py
@@ -1,6 +1,6 @@
 """Checks a history against the protocol's rules: a pure function from events to violations.
 
-Times are in seconds. "The protocol page" is the operators' page on the platform's wire.
+Times are in seconds. "Protocol page" in the rules means the operators' specification of the platform's wire.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from trials.history import Event
 from trials.rules import answers, attempts, ends, processes, servers
 from trials.rules.index import Index, Violation
-from trials.site import Day
+from trials.site import TrialSettings
 
 RULES: tuple[Callable[[Index], Iterator[Violation]], ...] = (
     answers.answered_in_time,
@@ -28,8 +28,8 @@
 )
 
 
-def check(events: Iterable[Event], day: Day) -> list[Violation]:
-    """All violations of a history on a day's settings, by time."""
-    index = Index.of(events, day)
+def check(events: Iterable[Event], settings: TrialSettings) -> list[Violation]:
+    """All violations of a history under a trial's settings, ordered by time."""
+    index = Index.of(events, settings)
     found = [violation for rule in RULES for violation in rule(index)]
     return sorted(found, key=lambda violation: violation.at)
--- a/trials/client.py
+++ b/trials/client.py
@@ -1,4 +1,7 @@
-"""A scripted client on the platform's wire: sets calls up, ends some of them, and keeps connections open."""
+"""A scripted client: sets calls up, cancels or ends some of them, and reconnects when its connection breaks.
+
+It speaks the platform's wire; `trials.diameter` translates for a Diameter peer.
+"""
 
 from __future__ import annotations
 
@@ -12,30 +15,33 @@
 from standins.lobby import encode
 from trials.diameter import Codec
 from trials.history import History, Kind
-from trials.pieces import Pieces
+from trials.split_writer import SplitWriter
 
-CANCELLED, NORMAL = 16, 16
-REFUSALS = (34, 42, 102)
-CONNECT_S = 1.0
-PAUSE_S = 0.05  # before it connects again
+CANCELLED_CAUSE, NORMAL_CAUSE = 16, 16
+REFUSAL_CAUSES = (34, 42, 102)
+CONNECT_TIMEOUT_S = 1.0
+RECONNECT_DELAY_S = 0.05  # between a failed connection attempt and the next one
 
 
 @dataclass
-class Habits:
-    """What a client does. Times in seconds, shares from 0 to 1."""
+class ClientBehaviour:
+    """How a client behaves. Times in seconds, shares from 0 to 1."""
 
     gap_s: float = 0.05  # mean time between two set-ups
-    wait_s: tuple[float, float] = (1.0, 3.0)  # `left` of a set-up, drawn between these
-    hold_s: float = 4.0  # mean time after which it ends a call that stands
-    ends_share: float = 0.4  # of the calls that stand, those that it ends itself
-    cancels_share: float = 0.02
-    closes_every_s: float = 0.0  # mean time between two closes in the middle of work; 0: never
-    resets: bool = False  # such a close is a reset
-    pieces: bool = False  # lines are written in two parts
+    wait_s: tuple[float, float] = (1.0, 3.0)  # bounds of the time that a set-up allows (`left`)
+    hold_s: float = 4.0  # mean time after which it ends an established call
+    ends_share: float = 0.4  # of the established calls, those that the client ends
+    cancels_share: float = 0.02  # set-ups that it gives up
+    closes_every_s: float = 0.0  # mean life of a connection until the client closes it; 0: never closes
+    resets: bool = False  # it closes with a reset
+    split_writes: bool = False  # each line is written in two parts
 
 
 class Client(asyncio.Protocol):
-    """One client with one connection at a time to one agent."""
+    """One client with one connection at a time to one agent.
+
+    `number` makes its tags unique within the trial.
+    """
 
     def __init__(
         self,
@@ -43,36 +49,36 @@
         agent: str,
         port: int,
         history: History,
-        chance: random.Random,
-        habits: Habits,
+        rng: random.Random,
+        behaviour: ClientBehaviour,
         call_class: str,
         number: int,
         diameter: bool = False,
     ) -> None:
-        """`diameter`: whether it is a Diameter peer, or speaks the platform's lines."""
+        """`diameter`: whether it is a Diameter peer rather than a platform client."""
         self.diameter = diameter
         self.codec: Codec | None = None
         self.name, self.agent, self.port, self.number = name, agent, port, number
-        self.history, self.chance, self.habits, self.call_class = history, chance, habits, call_class
+        self.history, self.rng, self.behaviour, self.call_class = history, rng, behaviour, call_class
         self.transport: Any = None
-        self.rest = b""
-        self.pieces = Pieces()
-        self.count = 0
-        self.waiting: set[str] = set()  # set-ups without an answer
+        self.partial_line = b""
+        self.split_writer = SplitWriter()
+        self.set_up_count = 0
+        self.unanswered: set[str] = set()  # tags of set-ups without a final answer
         self.cancelled: set[str] = set()
-        self.standing: set[str] = set()
-        self.releasing: set[str] = set()  # released and not confirmed: said again on each new connection
-        self.asking = True
+        self.established: set[str] = set()
+        self.releasing: set[str] = set()  # released, not confirmed: repeated on each new connection
+        self.sends_set_ups = True
         self.tasks: list[asyncio.Task[None]] = []
-        self.lost: asyncio.Event = asyncio.Event()
-        self.closing_here = False
+        self.disconnected: asyncio.Event = asyncio.Event()
+        self.closed_locally = False
 
     def start(self) -> None:
-        """Runs until `stop`."""
+        """Connects and sends set-ups until `stop`."""
         self.tasks = [asyncio.ensure_future(self._run())]
 
     def stop(self) -> None:
-        """Ends without a further event."""
+        """Stops and aborts the connection without recording an event."""
         for task in self.tasks:
             task.cancel()
         if self.transport is not None:
@@ -81,158 +87,159 @@
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            self.lost = asyncio.Event()
+            self.disconnected = asyncio.Event()
             try:
                 await asyncio.wait_for(
-                    loop.create_connection(lambda: self, "127.0.0.1", self.port), CONNECT_S
+                    loop.create_connection(lambda: self, "127.0.0.1", self.port), CONNECT_TIMEOUT_S
                 )
             except (OSError, TimeoutError):
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
-            asking = asyncio.ensure_future(self._ask())
-            closing = asyncio.ensure_future(self._close_sometime())
+            sending = asyncio.ensure_future(self._generate_set_ups())
+            closing = asyncio.ensure_future(self._close_at_random())
             try:
-                await self.lost.wait()
+                await self.disconnected.wait()
             finally:
-                asking.cancel()
+                sending.cancel()
                 closing.cancel()
 
-    # Its connection
+    # Connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport, self.rest, self.closing_here = transport, b"", False
-        self.pieces = Pieces()
+        self.transport, self.partial_line, self.closed_locally = transport, b"", False
+        self.split_writer = SplitWriter()
         if self.diameter:
             self.codec = Codec(self.name, True)
-            self.transport.write(self.codec.begin())
-        self._write(encode("ECHO", "0" * 16, rc=0))  # an agent tells nothing to one that says nothing
+            self.transport.write(self.codec.opening_message())
+        # An agent sends nothing to a client before the client's first message.
+        self._write(encode("ECHO", "0" * 16, rc=0))
         for tag in self.releasing:
-            self._write(encode("FINISH", tag, rc=NORMAL))
+            self._write(encode("FINISH", tag, rc=NORMAL_CAUSE))
 
     def data_received(self, data: bytes) -> None:
         if self.codec is not None:
-            heard = self.codec.feed(data)
-            self._write_bytes(heard.replies)
-            for message in heard.messages:
-                self._heard(message)
+            received = self.codec.feed(data)
+            self._write_bytes(received.replies)
+            for message in received.messages:
+                self._message_received(message)
             return
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
-            self._heard(json.loads(line))
+            self._message_received(json.loads(line))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        kind = Kind.CLIENT_CLOSED if self.closing_here else Kind.CONNECTION_LOST
-        if not self.closing_here:
-            self._lose(kind)
+        kind = Kind.CLIENT_CLOSED if self.closed_locally else Kind.CONNECTION_LOST
+        if not self.closed_locally:
+            self._record_lost_set_ups(kind)
         self.transport = None
-        self.lost.set()
+        self.disconnected.set()
 
-    def _lose(self, kind: Kind) -> None:
-        for tag in self.waiting:
+    def _record_lost_set_ups(self, kind: Kind) -> None:
+        for tag in self.unanswered:
             self.history.add(kind, self.name, call=tag)
-        self.waiting.clear()
+        self.unanswered.clear()
         self.cancelled.clear()
 
     def close(self) -> None:
-        """Breaks its connection, whatever is open on it."""
+        """Aborts the connection, with a reset where the behaviour says so, whatever is outstanding on it."""
         if self.transport is None:
             return
-        self.closing_here = True
-        self._lose(Kind.CLIENT_CLOSED)
-        if self.habits.resets:
+        self.closed_locally = True
+        self._record_lost_set_ups(Kind.CLIENT_CLOSED)
+        if self.behaviour.resets:
             reset(self.transport)
         else:
             self.transport.abort()
 
-    async def _close_sometime(self) -> None:
-        if self.habits.closes_every_s:
-            await asyncio.sleep(self.chance.expovariate(1.0 / self.habits.closes_every_s))
+    async def _close_at_random(self) -> None:
+        if self.behaviour.closes_every_s:
+            await asyncio.sleep(self.rng.expovariate(1.0 / self.behaviour.closes_every_s))
             self.close()
 
-    # Its calls
+    # Calls
 
-    async def _ask(self) -> None:
+    async def _generate_set_ups(self) -> None:
         while True:
-            if self.asking and not self.closing_here and (self.codec is None or self.codec.open):
-                self._set_up()
-            await asyncio.sleep(self.chance.expovariate(1.0 / self.habits.gap_s))
-
-    def _set_up(self) -> None:
-        self.count += 1
-        tag = f"{self.number:08x}{self.count:08x}"
-        wait_s = self.chance.uniform(*self.habits.wait_s)
+            if self.sends_set_ups and not self.closed_locally and (self.codec is None or self.codec.open):
+                self._send_set_up()
+            await asyncio.sleep(self.rng.expovariate(1.0 / self.behaviour.gap_s))
+
+    def _send_set_up(self) -> None:
+        self.set_up_count += 1
+        tag = f"{self.number:08x}{self.set_up_count:08x}"
+        wait_s = self.rng.uniform(*self.behaviour.wait_s)
         options: dict[str, Any] = {
             "class": self.call_class,
             "left": str(round(wait_s * 1000.0)),
             "extras": "dest:-1;width:1;via:-1",
-            "key": f"{self.count:016x}",
+            "key": f"{self.set_up_count:016x}",
         }
         line = encode("START", tag, blob=f"description {tag}", **options)
-        self.waiting.add(tag)
+        self.unanswered.add(tag)
         loop = asyncio.get_running_loop()
-        loop.call_later(self._write(line), self._asked, tag, wait_s)
+        loop.call_later(self._write(line), self._set_up_written, tag, wait_s)
 
     def _write(self, line: bytes) -> float:
-        """Writes a line, at once or in pieces; how long it takes, in seconds."""
+        """Writes a line; returns the seconds until its last byte is written."""
         return self._write_bytes(line if self.codec is None else self.codec.encode(line))
 
     def _write_bytes(self, data: bytes) -> float:
-        if self.habits.pieces and data:
-            return self.pieces.write(self.transport, data)
+        if self.behaviour.split_writes and data:
+            return self.split_writer.write(self.transport, data)
         self.transport.write(data)
         return 0.0
 
-    def _asked(self, tag: str, wait_s: float) -> None:
-        if tag not in self.waiting:
+    def _set_up_written(self, tag: str, wait_s: float) -> None:
+        if tag not in self.unanswered:
             return
         self.history.add(Kind.ASKED, self.name, call=tag, number=wait_s, text=self.agent)
-        if self.chance.random() < self.habits.cancels_share:
-            asyncio.get_running_loop().call_later(self.chance.uniform(0.0, wait_s / 2.0), self._cancel, tag)
+        if self.rng.random() < self.behaviour.cancels_share:
+            asyncio.get_running_loop().call_later(self.rng.uniform(0.0, wait_s / 2.0), self._cancel, tag)
 
     def _cancel(self, tag: str) -> None:
-        if tag in self.waiting and self.transport is not None:
+        if tag in self.unanswered and self.transport is not None:
             self.cancelled.add(tag)
-            self._write(encode("FINISH", tag, rc=CANCELLED))
+            self._write(encode("FINISH", tag, rc=CANCELLED_CAUSE))
             self.history.add(Kind.GAVE_UP, self.name, call=tag)
 
-    def _heard(self, message: dict[str, Any]) -> None:
+    def _message_received(self, message: dict[str, Any]) -> None:
         tag, verb = str(message["tag"]), message["verb"]
         if verb == "STARTED":
-            self._answered(tag, str(message["blob"]))
-        elif verb == "FINISH" and tag in self.waiting:
-            self.waiting.discard(tag)
-            refused = int(message["rc"]) in REFUSALS
+            self._call_answered(tag, str(message["blob"]))
+        elif verb == "FINISH" and tag in self.unanswered:
+            self.unanswered.discard(tag)
+            refused = int(message["rc"]) in REFUSAL_CAUSES
             self.history.add(
                 Kind.REFUSED if refused else Kind.FAILED, self.name, call=tag, number=int(message["rc"])
             )
         elif verb == "FINISH":
-            self.standing.discard(tag)
+            self.established.discard(tag)
             self.releasing.discard(tag)
             self.history.add(Kind.TOLD_OVER, self.name, call=tag)
             self._write(encode("FINISHED", tag))
         elif verb == "FINISHED":
-            self.waiting.discard(tag)
+            self.unanswered.discard(tag)
             self.cancelled.discard(tag)
             self.releasing.discard(tag)
 
-    def _answered(self, tag: str, description: str) -> None:
+    def _call_answered(self, tag: str, description: str) -> None:
         self.history.add(Kind.ANSWERED, self.name, call=tag, text=description)
-        self.waiting.discard(tag)
+        self.unanswered.discard(tag)
         if tag in self.cancelled:
-            return  # its give-up crosses the answer, and ends the call
-        self.standing.add(tag)
-        if self.chance.random() < self.habits.ends_share:
-            hold_s = self.chance.expovariate(1.0 / self.habits.hold_s)
+            return  # the give-up crossed the answer and ends the call
+        self.established.add(tag)
+        if self.rng.random() < self.behaviour.ends_share:
+            hold_s = self.rng.expovariate(1.0 / self.behaviour.hold_s)
             asyncio.get_running_loop().call_later(hold_s, self.release, tag)
 
     def release(self, tag: str) -> None:
-        """Ends a call that stands, if it still does."""
-        if tag not in self.standing:
+        """Releases a call if it is still established; without a connection, once there is one."""
+        if tag not in self.established:
             return
         if self.transport is None:
             asyncio.get_running_loop().call_later(0.2, self.release, tag)
             return
-        self.standing.discard(tag)
+        self.established.discard(tag)
         self.releasing.add(tag)
-        self._write(encode("FINISH", tag, rc=NORMAL))
+        self._write(encode("FINISH", tag, rc=NORMAL_CAUSE))
         self.history.add(Kind.RELEASED, self.name, call=tag)
--- a/trials/discovery.py
+++ b/trials/discovery.py
@@ -1,4 +1,4 @@
-"""Scripted discovery: numbered events, and the ways in which it can fail."""
+"""A scripted discovery service: a stream of numbered events, and the ways in which it can fail."""
 
 from __future__ import annotations
 
@@ -11,48 +11,48 @@
 from standins.ports import free_ports
 from trials.history import History, Kind
 
-BEAT_S = 1.0  # between two lines with the last number
+HEARTBEAT_S = 1.0  # longest time between two lines with the number of the last event
 
 
 class Mode(StrEnum):
-    """How discovery treats those who ask."""
+    """How discovery treats its connections."""
 
     UP = "up"
-    DOWN = "down"  # refuses, and breaks what is open
-    SILENT = "silent"  # accepts and keeps what is open, and says nothing
-    REFUSING = "refusing"  # accepts, and closes at once
-    SLOW = "slow"  # answers after SLOW_S
+    DOWN = "down"  # refuses, and resets open connections
+    SILENT = "silent"  # accepts, keeps open connections, and sends nothing
+    REFUSING = "refusing"  # accepts, and closes at once; open connections are reset
+    SLOW = "slow"  # accepts, and sends the first line after SLOW_S
 
 
 SLOW_S = 3.0
 
 
 class Discovery:
-    """One discovery service with a port for each agent, since each reaches the servers by its own ports."""
+    """One discovery service with a port for each agent, since each agent has its own ports to the servers."""
 
-    def __init__(self, history: History, dials: dict[str, dict[str, int]]) -> None:
-        """`dials`: by agent, the port of each server."""
-        self.history, self.dials = history, dials
+    def __init__(self, history: History, server_ports: dict[str, dict[str, int]]) -> None:
+        """`server_ports`: by agent, the port of each server."""
+        self.history, self.server_ports = history, server_ports
         self.mode = Mode.UP
         self.changes: list[list[dict[str, Any]]] = []
-        self.waiting: list[list[dict[str, Any]]] = []  # changes that come once it is up
-        self.servers: dict[str, asyncio.Server] = {}
+        self.pending_changes: list[list[dict[str, Any]]] = []  # published once the mode allows it
+        self.listeners: dict[str, asyncio.Server] = {}
         self.ports: dict[str, int] = {}
-        self.open: dict[asyncio.StreamWriter, str] = {}  # and the agent of each
+        self.connections: dict[asyncio.StreamWriter, str] = {}  # with the agent of each
         self.stalled: set[asyncio.StreamWriter] = set()
-        self.old_servers: dict[str, asyncio.Server] = {}  # at addresses that were left
-        self.old: dict[str, set[asyncio.StreamWriter]] = {}  # and what is open there
+        self.former_listeners: dict[str, asyncio.Server] = {}  # at addresses before a move, by agent
+        self.former_connections: dict[str, set[asyncio.StreamWriter]] = {}  # their connections, by agent
         self.changed = asyncio.Event()
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, agent: str) -> None:
-        """Listens for an agent, on its port of before if there was one."""
+        """Listens for an agent, on its previous port if it had one."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self.open[writer] = agent
+            self.connections[writer] = agent
             with contextlib.suppress(ConnectionError, ValueError, IndexError):
                 await self._serve(agent, reader, writer)
-            del self.open[writer]
+            del self.connections[writer]
             self.stalled.discard(writer)
             writer.close()
 
@@ -62,103 +62,105 @@
             task.add_done_callback(self.tasks.discard)
 
         port = self.ports.setdefault(agent, free_ports(1)[0])
-        self.servers[agent] = await asyncio.start_server(accept, "127.0.0.1", port)
+        self.listeners[agent] = await asyncio.start_server(accept, "127.0.0.1", port)
 
     async def _serve(self, agent: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.mode is Mode.REFUSING:
             return
-        had = int((await reader.readline()).split()[1])
+        last_sent = int((await reader.readline()).split()[1])
         if self.mode is Mode.SLOW:
             await asyncio.sleep(SLOW_S)
         while not (writer.is_closing() or reader.at_eof()):
             changed = self.changed
             if self.mode in (Mode.UP, Mode.SLOW) and writer not in self.stalled:
-                for number in range(had + 1, len(self.changes) + 1):
+                for number in range(last_sent + 1, len(self.changes) + 1):
                     writer.write(self.line(agent, number))
-                    self._note(agent, number)
-                had = len(self.changes)
-                writer.write(b"%d\n" % had)
+                    self._record_delivery(agent, number)
+                last_sent = len(self.changes)
+                writer.write(b"%d\n" % last_sent)
                 await writer.drain()
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(changed.wait(), BEAT_S)
+                await asyncio.wait_for(changed.wait(), HEARTBEAT_S)
 
-    def _note(self, agent: str, number: int) -> None:
+    def _record_delivery(self, agent: str, number: int) -> None:
         for host in self.changes[number - 1]:
             self.history.add(Kind.DELIVERED, agent, server=host["host"], text=host["health"], number=number)
 
     def line(self, agent: str, number: int) -> bytes:
-        """One event as this agent hears it."""
+        """The line of one event for an agent."""
         return json.dumps(self.event(agent, number)).encode() + b"\n"
 
     def event(self, agent: str, number: int) -> dict[str, Any]:
-        """One event with this agent's ports."""
+        """One event, with the server addresses for an agent."""
         hosts = [
-            {**host, "dial": f"127.0.0.1:{self.dials[agent][host['host']]}"}
+            {**host, "dial": f"127.0.0.1:{self.server_ports[agent][host['host']]}"}
             for host in self.changes[number - 1]
         ]
         return {"offset": number, "topology": {"seq": number, "whole": number == 1, "hosts": hosts}}
 
-    def change(self, hosts: list[dict[str, Any]]) -> None:
-        """Takes a change in: now, or once it is up again."""
+    def publish(self, hosts: list[dict[str, Any]]) -> None:
+        """Publishes a change of servers: now, or once discovery serves again."""
         if self.mode in (Mode.DOWN, Mode.SILENT, Mode.REFUSING):
-            self.waiting.append(hosts)
+            self.pending_changes.append(hosts)
             return
         self.changes.append(hosts)
         for host in hosts:
             self.history.add(
                 Kind.LISTED, "discovery", server=host["host"], text=host["health"], number=len(self.changes)
             )
-        self._wake()
+        self._notify_change()
 
-    def _wake(self) -> None:
+    def _notify_change(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def enter(self, mode: Mode) -> None:
-        """Changes how it treats those who ask."""
-        before, self.mode = self.mode, mode
-        if mode is Mode.UP and before is not Mode.UP:
+    async def set_mode(self, mode: Mode) -> None:
+        """Changes the mode; changes that were held back are published when it serves again."""
+        previous, self.mode = self.mode, mode
+        if mode is Mode.UP and previous is not Mode.UP:
             self.history.add(Kind.DISCOVERY_UP, "discovery")
-        elif before is Mode.UP:
+        elif previous is Mode.UP:
             self.history.add(Kind.DISCOVERY_DOWN, "discovery", text=mode.value)
         if mode is Mode.DOWN:
-            for server in self.servers.values():
-                server.close()
+            for listener in self.listeners.values():
+                listener.close()
         if mode in (Mode.DOWN, Mode.REFUSING):
-            for writer in list(self.open):
+            for writer in list(self.connections):
                 writer.transport.abort()
-        if before is Mode.DOWN and mode is not Mode.DOWN:
-            for agent in list(self.servers):
+        if previous is Mode.DOWN and mode is not Mode.DOWN:
+            for agent in list(self.listeners):
                 await self.start(agent)
         if mode in (Mode.UP, Mode.SLOW):
-            waiting, self.waiting = self.waiting, []
-            for hosts in waiting:
-                self.change(hosts)
-        self._wake()
+            pending_changes, self.pending_changes = self.pending_changes, []
+            for hosts in pending_changes:
+                self.publish(hosts)
+        self._notify_change()
 
     def stall(self) -> None:
-        """What is open falls silent, and stays open; new connections are served."""
+        """Sends nothing more on the connections that are open, and keeps them; new ones are served."""
         self.history.add(Kind.DISCOVERY_STALLED, "discovery")
-        self.stalled.update(self.open)
-
-    async def move(self, agent: str) -> None:
-        """Another port for an agent; the old one accepts nothing more, and says nothing more."""
-        self.old_servers[agent] = self.servers.pop(agent)
-        self.old_servers[agent].close()
-        self.old[agent] = {writer for writer, whose in self.open.items() if whose == agent}
-        self.stalled |= self.old[agent]
+        self.stalled.update(self.connections)
+
+    async def move_port(self, agent: str) -> None:
+        """Opens another port for an agent; the former one accepts nothing and sends nothing more."""
+        self.former_listeners[agent] = self.listeners.pop(agent)
+        self.former_listeners[agent].close()
+        self.former_connections[agent] = {
+            writer for writer, owner in self.connections.items() if owner == agent
+        }
+        self.stalled |= self.former_connections[agent]
         del self.ports[agent]
         await self.start(agent)
 
-    def end_old(self, agent: str) -> None:
-        """Closes what is open at the address that was left."""
-        for writer in self.old.pop(agent, set()):
+    def close_former(self, agent: str) -> None:
+        """Closes the connections at an agent's former port."""
+        for writer in self.former_connections.pop(agent, set()):
             writer.close()
 
     async def stop(self) -> None:
-        """Closes everything."""
-        for server in self.servers.values():
-            server.close()
+        """Closes all listeners and connections."""
+        for listener in self.listeners.values():
+            listener.close()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/trials/history.py
+++ b/trials/history.py
@@ -1,4 +1,4 @@
-"""The history of a trial: what each party did and saw, on one monotonic clock."""
+"""The history of a trial: what each party did and saw, timed by one monotonic clock."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 
 
 class Kind(StrEnum):
-    """What an event says."""
+    """Kind of an event. The values are written to the history file."""
 
     # Clients
     ASKED = "asked"  # the last byte of a set-up was written
-    ANSWERED = "answered"  # an answer came; `text` is its description
+    ANSWERED = "answered"  # an answer arrived; `text` is its description
     REFUSED = "refused"
     FAILED = "failed"
     GAVE_UP = "gave up"  # the client cancelled its set-up
-    RELEASED = "released"  # the client ended a call that stood
-    TOLD_OVER = "told over"  # the end of a call that stood has come
-    CLIENT_CLOSED = "client closed"  # the client broke a connection; one event for each set-up open on it
-    CONNECTION_LOST = "connection lost"  # the agent broke it; one event for each set-up open on it
-    NOT_SENT = "not sent"  # no connection was to be had
+    RELEASED = "released"  # the client ended an established call
+    TOLD_OVER = "told over"  # the client was notified that an established call has ended
+    CLIENT_CLOSED = "client closed"  # the client closed its connection; one event for each unanswered set-up
+    CONNECTION_LOST = "connection lost"  # the agent closed it; one event for each unanswered set-up
+    NOT_SENT = "not sent"  # no connection was available
     # Servers
-    REACHED = "reached"  # a set-up arrived whole
-    REPLIED = "replied"  # an attempt's end or answer was written; `text` says which
-    WITHDRAWN = "withdrawn"  # a give-up or a release by the agent arrived
+    REACHED = "reached"  # a complete set-up arrived
+    REPLIED = "replied"  # an answer (`text`: description) or a refusal (`text`: cause) was written
+    WITHDRAWN = "withdrawn"  # a give-up or a release from the agent arrived
     CONNECTION_ENDED = "connection ended"  # an attempt's connection broke
-    ENDED = "ended"  # a call that stood came to its end at the server
+    ENDED = "ended"  # the server ended an established call
     END_WRITTEN = "end written"  # its release was written to an open connection
-    END_LOST = "end lost"  # the connection that it was written to broke before it was confirmed
-    CUT = "cut"  # a call that stood was lost with its server
-    LEFT = "left"  # a call that still stands at the server when the trial ends
-    UNREACHABLE = "unreachable"  # from now on a server reads, writes and accepts nothing
+    END_LOST = "end lost"  # the connection that carried the release broke before the confirmation
+    CUT = "cut"  # an established call was lost with its server
+    LEFT = "left"  # a call that is still established at the server when the trial ends
+    UNREACHABLE = "unreachable"  # from now on the server reads, writes and accepts nothing
     REACHABLE = "reachable"
     # Discovery
-    LISTED = "listed"  # discovery has a change of a server's state; `text` is the state
-    DELIVERED = "delivered"  # it was written to an agent
+    LISTED = "listed"  # discovery published a server's new state (`text`)
+    DELIVERED = "delivered"  # a published state was written to an agent
     DISCOVERY_DOWN = "discovery down"
     DISCOVERY_UP = "discovery up"
-    DISCOVERY_STALLED = "discovery stalled"  # what is open falls silent
+    DISCOVERY_STALLED = "discovery stalled"  # open connections carry nothing more
     # Agents
     STARTED = "started"
     READY = "ready"
@@ -50,8 +50,8 @@
     EXITED = "exited"  # `number` is the exit status
     PAUSED = "paused"  # SIGSTOP
     RESUMED = "resumed"  # SIGCONT
-    DRAINING = "draining"  # an operator's drain
-    RESUMING = "resuming"  # and its end
+    DRAINING = "draining"  # an operator drained the agent
+    RESUMING = "resuming"  # an operator ended the drain
     RELOADED = "reloaded"  # SIGHUP
     # The trial
     FAULT = "fault"  # `text` names it
@@ -59,7 +59,7 @@
 
 
 class Event(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One event; `at` is in seconds from the start of the trial."""
+    """One event; `at` is in seconds from the start of the trial, `party` the name of who did or saw it."""
 
     at: float
     kind: Kind
@@ -71,7 +71,7 @@
 
 
 class History:
-    """Collects the events of one trial in the order in which they were noticed."""
+    """Collects the events of one trial in the order in which they are recorded."""
 
     def __init__(self) -> None:
         self._began = time.monotonic()
@@ -88,17 +88,17 @@
         self.events.append(Event(self.now(), kind, party, call, server, number, text))
 
     def save(self, path: pathlib.Path) -> None:
-        """Writes one JSON object a line."""
+        """Writes the events to a file, one JSON object a line."""
         encode = msgspec.json.Encoder().encode
         path.write_bytes(b"".join(encode(event) + b"\n" for event in self.events))
 
 
 def load(path: pathlib.Path) -> list[Event]:
-    """Reads what `History.save` wrote. Raises msgspec.ValidationError on any other form."""
-    return list(_decode(path.read_bytes().splitlines()))
+    """Reads a file that `History.save` wrote. Raises msgspec.ValidationError if a line has another form."""
+    return list(_decode_events(path.read_bytes().splitlines()))
 
 
-def _decode(lines: Iterable[bytes]) -> Iterator[Event]:
+def _decode_events(lines: Iterable[bytes]) -> Iterator[Event]:
     decoder = msgspec.json.Decoder(Event)
     for line in lines:
         yield decoder.decode(line)
--- a/trials/plan.py
+++ b/trials/plan.py
@@ -1,4 +1,4 @@
-"""What happens in a trial, drawn from one seed: the day's settings, its parties, and a list of faults."""
+"""Draws the plan of a trial from one seed: the settings, the parties, and a list of faults."""
 
 from __future__ import annotations
 
@@ -6,46 +6,46 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-from trials.client import Habits
-from trials.server import Behaviour
-from trials.site import Day, Size
+from trials.client import ClientBehaviour
+from trials.server import ServerBehaviour
+from trials.site import Size, TrialSettings
 
-CALM_S = 1.0  # before the first fault
-SECONDS = 16.0  # from the start of calls to the last fault's end
-FAULTS_LEAST, FAULTS_MOST = 3, 7
-DIAMETER_EVERY = 3  # seeds: a third of the trials are played over Diameter
+FIRST_FAULT_S = 1.0  # earliest time of a fault
+DURATION_S = 16.0  # from the start of calls to the last fault's end
+MIN_FAULTS, MAX_FAULTS = 3, 7
+DIAMETER_SEED_INTERVAL = 3  # seeds divisible by it are played over Diameter
 
 
 class FaultKind(StrEnum):
-    """What can go wrong."""
+    """Kind of a fault. The values are choices of `--only` and name the methods of `trials.play.Player`."""
 
-    AGENT_TERM = "agent-term"  # SIGTERM, SIGKILL at the earliest the protocol page allows, restart
+    AGENT_TERM = "agent-term"  # SIGTERM, SIGKILL at the earliest time the protocol page allows, restart
     AGENT_TERM_TWICE = "agent-term-twice"
     AGENT_TERM_EARLY = "agent-term-early"  # SIGTERM to a process that is not ready yet
     AGENT_KILL = "agent-kill"
-    AGENT_STOP = "agent-stop"  # SIGSTOP, and SIGCONT later
-    AGENT_RELOAD = "agent-reload"  # SIGHUP moves discovery
-    AGENT_DRAIN = "agent-drain"  # an operator's drain, and its end
-    SERVER_VANISH = "server-vanish"  # for good, or until a new process comes back
-    SERVER_CUT = "server-cut"  # its links, to all agents or to one
+    AGENT_STOP = "agent-stop"  # SIGSTOP, later SIGCONT
+    AGENT_RELOAD = "agent-reload"  # discovery moves to another address, and SIGHUP tells the agent
+    AGENT_DRAIN = "agent-drain"  # an operator drains the agent and later ends the drain
+    SERVER_VANISH = "server-vanish"  # for good, or until a new process starts at its address
+    SERVER_CUT = "server-cut"  # the links to all agents or to one
     SERVER_HANG = "server-hang"
     SERVER_CRASH = "server-crash"
     SERVER_DRAIN = "server-drain"  # listed as draining, later as gone
-    SERVER_REPLACE = "server-replace"  # a spare joins cold, the old one drains and goes
-    SERVER_RESET = "server-reset"  # its connections break, busy ones as well
+    SERVER_REPLACE = "server-replace"  # a spare joins in a cold start; the replaced server drains and leaves
+    SERVER_RESET = "server-reset"  # its connections are reset, also those with outstanding attempts
     SERVER_RESET_IDLE = "server-reset-idle"
-    SERVER_NO_DIALS = "server-no-dials"  # new connections do not come up
+    SERVER_NO_DIALS = "server-no-dials"  # new connections are never established
     DISCOVERY_DOWN = "discovery-down"
     DISCOVERY_SILENT = "discovery-silent"
-    DISCOVERY_STALLED = "discovery-stalled"  # open connections fall silent, new ones work
+    DISCOVERY_STALLED = "discovery-stalled"  # open connections carry nothing more, new ones work
     DISCOVERY_REFUSING = "discovery-refusing"
     DISCOVERY_SLOW = "discovery-slow"
-    CLIENTS_CLOSE = "clients-close"  # a share of the clients break their connections
-    CLIENTS_CROWD = "clients-crowd"  # many connections that say nothing
+    CLIENTS_CLOSE = "clients-close"  # a share of the clients close their connections
+    CLIENTS_CROWD = "clients-crowd"  # many connections on which nothing is sent
 
 
-# With Diameter the servers stand in the configuration: there is no discovery.
-PLATFORM_ALONE = frozenset(kind for kind in FaultKind if kind.value.startswith("discovery")) | {
+# Faults that need discovery. Over Diameter there is none: the servers are listed in the configuration.
+PLATFORM_ONLY = frozenset(kind for kind in FaultKind if kind.value.startswith("discovery")) | {
     FaultKind.AGENT_RELOAD,
     FaultKind.SERVER_DRAIN,
     FaultKind.SERVER_REPLACE,
@@ -58,86 +58,89 @@
 
     at_s: float
     kind: FaultKind
-    target: int = 0  # which agent or server, modulo how many there are
+    target: int = 0  # index of the agent or server, modulo their number
     for_s: float = 0.0  # 0: for good
 
 
 @dataclass(frozen=True)
 class Plan:
-    """One trial."""
+    """One trial; the faults are in the order of their times."""
 
     seed: int
-    day: Day
+    settings: TrialSettings
     size: Size
     faults: tuple[Fault, ...] = field(default=())
-    seconds: float = SECONDS
-
-
-def draw(seed: int, only: frozenset[FaultKind] = frozenset(), seconds: float = SECONDS) -> Plan:
-    """The plan of a seed; `only`: the kinds that may be drawn, empty for all."""
-    chance = random.Random(seed)
-    day = Day(
-        deadline_ms=chance.choice([800.0, 1500.0, 3000.0, 9000.0]),
-        grace_ms=chance.choice([300.0, 500.0, 2000.0]),
-        guard_ms=chance.choice([300.0, 500.0]),
-        attempts=chance.choice([2, 4, 6]),
-        probes=chance.random() < 0.5,
-        peers=chance.random() < 0.7,
+    seconds: float = DURATION_S
+
+
+def draw_plan(seed: int, only: frozenset[FaultKind] = frozenset(), seconds: float = DURATION_S) -> Plan:
+    """The plan of a seed, always the same for the same arguments.
+
+    `only` holds the kinds of fault that may be drawn, empty for all; all faults end within `seconds`.
+    """
+    rng = random.Random(seed)
+    settings = TrialSettings(
+        deadline_ms=rng.choice([800.0, 1500.0, 3000.0, 9000.0]),
+        grace_ms=rng.choice([300.0, 500.0, 2000.0]),
+        guard_ms=rng.choice([300.0, 500.0]),
+        attempts=rng.choice([2, 4, 6]),
+        probes=rng.random() < 0.5,
+        peers=rng.random() < 0.7,
     )
-    habits = Habits(
-        gap_s=chance.choice([0.05, 0.1, 0.2]),
-        wait_s=(day.deadline_ms / 2000.0, day.deadline_ms / 1000.0),
-        hold_s=chance.choice([1.0, 4.0, 20.0]),
-        ends_share=chance.choice([0.2, 0.5]),
-        cancels_share=chance.choice([0.0, 0.05, 0.2]),
-        closes_every_s=chance.choice([0.0, 0.0, 3.0]),
-        resets=chance.random() < 0.5,
-        pieces=chance.random() < 0.2,
+    client_behaviour = ClientBehaviour(
+        gap_s=rng.choice([0.05, 0.1, 0.2]),
+        wait_s=(settings.deadline_ms / 2000.0, settings.deadline_ms / 1000.0),
+        hold_s=rng.choice([1.0, 4.0, 20.0]),
+        ends_share=rng.choice([0.2, 0.5]),
+        cancels_share=rng.choice([0.0, 0.05, 0.2]),
+        closes_every_s=rng.choice([0.0, 0.0, 3.0]),
+        resets=rng.random() < 0.5,
+        split_writes=rng.random() < 0.2,
     )
-    behaviour = Behaviour(
-        answer_s=chance.choice([0.01, 0.05, 0.2]),
-        hold_s=chance.choice([1.0, 4.0, 20.0]),
-        full_share=chance.choice([0.0, 0.05, 0.2]),
-        error_share=chance.choice([0.0, 0.05]),
-        mute_share=chance.choice([0.0, 0.0, 0.05]),
-        early_end_share=chance.choice([0.0, 0.05]),
-        pieces=chance.random() < 0.2,
-        double_share=chance.choice([0.0, 0.0, 0.1]),
-        reports_each=chance.random() < 0.3,
+    server_behaviour = ServerBehaviour(
+        answer_s=rng.choice([0.01, 0.05, 0.2]),
+        hold_s=rng.choice([1.0, 4.0, 20.0]),
+        full_share=rng.choice([0.0, 0.05, 0.2]),
+        error_share=rng.choice([0.0, 0.05]),
+        mute_share=rng.choice([0.0, 0.0, 0.05]),
+        early_end_share=rng.choice([0.0, 0.05]),
+        split_writes=rng.random() < 0.2,
+        duplicate_share=rng.choice([0.0, 0.0, 0.1]),
+        staggered_reports=rng.random() < 0.3,
     )
     size = Size(
-        agents=chance.randint(2, 4),
-        servers=chance.randint(4, 6),
+        agents=rng.randint(2, 4),
+        servers=rng.randint(4, 6),
         clients=3,
-        habits=habits,
-        behaviour=behaviour,
+        client_behaviour=client_behaviour,
+        server_behaviour=server_behaviour,
     )
     kinds = sorted(only) if only else list(FaultKind)
     faults = [
-        _draw_fault(chance, FaultKind(chance.choice(kinds)), seconds)
-        for _ in range(chance.randint(FAULTS_LEAST, FAULTS_MOST))
+        _draw_fault(rng, FaultKind(rng.choice(kinds)), seconds)
+        for _ in range(rng.randint(MIN_FAULTS, MAX_FAULTS))
     ]
-    if seed % DIAMETER_EVERY == 0:
-        day = replace(day, diameter=True, probes=False, peers=False)
-        faults = [fault for fault in faults if fault.kind not in PLATFORM_ALONE]
-    return Plan(seed, day, size, tuple(sorted(faults, key=lambda fault: fault.at_s)), seconds)
+    if seed % DIAMETER_SEED_INTERVAL == 0:
+        settings = replace(settings, diameter=True, probes=False, peers=False)
+        faults = [fault for fault in faults if fault.kind not in PLATFORM_ONLY]
+    return Plan(seed, settings, size, tuple(sorted(faults, key=lambda fault: fault.at_s)), seconds)
 
 
-def _draw_fault(chance: random.Random, kind: FaultKind, seconds: float) -> Fault:
-    at_s = chance.uniform(CALM_S, seconds * 0.6)
-    for_s = chance.choice([0.5, 2.0, 3.0, 5.0, 6.5, 8.0])
-    if kind is FaultKind.SERVER_VANISH and chance.random() < 0.4:
+def _draw_fault(rng: random.Random, kind: FaultKind, seconds: float) -> Fault:
+    at_s = rng.uniform(FIRST_FAULT_S, seconds * 0.6)
+    for_s = rng.choice([0.5, 2.0, 3.0, 5.0, 6.5, 8.0])
+    if kind is FaultKind.SERVER_VANISH and rng.random() < 0.4:
         for_s = 0.0
-    return Fault(at_s, kind, chance.randrange(100), min(for_s, seconds - at_s))
+    return Fault(at_s, kind, rng.randrange(100), min(for_s, seconds - at_s))
 
 
-def without(plan: Plan, index: int) -> Plan:
-    """The plan less one fault."""
+def without_fault(plan: Plan, index: int) -> Plan:
+    """The plan without the fault at an index."""
     return replace(plan, faults=plan.faults[:index] + plan.faults[index + 1 :])
 
 
-def rounded(plan: Plan) -> Plan:
-    """The plan with its faults at half seconds."""
+def with_rounded_times(plan: Plan) -> Plan:
+    """The plan with the times of its faults rounded to half seconds."""
     return replace(
         plan,
         faults=tuple(
--- a/trials/planted.py
+++ b/trials/planted.py
@@ -1,6 +1,7 @@
 """Starts an agent with a defect planted in it: `python -m trials.planted DEFECT ARGUMENT ...`.
 
-Each defect breaks one rule on purpose; the checker has to find it.
+Each defect breaks one rule on purpose, and the checker has to find it. The names of the functions are
+the choices of `--planted`.
 """
 
 from __future__ import annotations
@@ -20,66 +21,66 @@
 
 
 def release_not_sent() -> None:
-    """A call that its client ends is left standing at its server."""
+    """The release of a call by its client is not sent to the server, where the call stays established."""
     setattr(UpstreamPool, "release", lambda self, attempt: None)  # noqa: B010 (mypy knows it as a method)
 
 
 def guard_left_out() -> None:
-    """The release guard is taken for none."""
-    real = settings.read
+    """The release guard is 0."""
+    original = settings.read
 
     def read(conf: settings.SettingsReader) -> api.Settings:
-        return dataclasses.replace(real(conf), release_guard_ms=0.0)
+        return dataclasses.replace(original(conf), release_guard_ms=0.0)
 
     setattr(settings, "read", read)  # noqa: B010
 
 
 def drain_ignored() -> None:
-    """A server that drains counts as ready until it is gone."""
-    real: Any = Broker.update_server_list
+    """A draining server counts as ready until it is gone."""
+    original: Any = Broker.update_server_list
 
     def update_server_list(
         self: Broker, kind: api.ListKind, version: int, servers: Iterable[api.Server], dials: Any = None
     ) -> Any:
-        shown = [
+        changed = [
             dataclasses.replace(server, state=api.Lifecycle.READY)
             if server.state is api.Lifecycle.DRAINING
             else server
             for server in servers
         ]
-        return real(self, kind, version, shown, dials)
+        return original(self, kind, version, changed, dials)
 
     setattr(Broker, "update_server_list", update_server_list)  # noqa: B010
 
 
 def answer_twice() -> None:
-    """An answer is said twice to its client."""
-    real: Any = PlatformFront.call_established
+    """An answer is written to its client twice."""
+    original: Any = PlatformFront.call_established
 
     def call_established(self: PlatformFront, request: Any, description: Any) -> None:
         connection = self.connections.get(request.connection_id)
-        real(self, request, description)
+        original(self, request, description)
         if connection is not None:
             connection.open_set_ups[request.id] = request
-            real(self, request, description)
+            original(self, request, description)
 
     setattr(PlatformFront, "call_established", call_established)  # noqa: B010
 
 
 def attempts_for_the_gone() -> None:
-    """A client that has closed or cancelled is still served."""
+    """Attempts are made for a client that has closed its connection or cancelled its set-up."""
     setattr(Broker, "gone", lambda self, request: None)  # noqa: B010
     setattr(PlatformFront, "is_waiting", lambda self, request: True)  # noqa: B010
 
 
 def silence_ignored() -> None:
-    """Nobody looks after servers that have fallen silent."""
+    """Silent servers are not detected."""
     setattr(LivenessSweep, "sweep", lambda self: None)  # noqa: B010
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
-    plant.__name__: plant
-    for plant in (
+    defect.__name__: defect
+    for defect in (
         release_not_sent,
         guard_left_out,
         drain_ignored,
--- a/trials/play.py
+++ b/trials/play.py
@@ -1,4 +1,4 @@
-"""Plays a plan on a site of real processes, and returns its history."""
+"""Plays a plan on a site of real agent processes and returns its history."""
 
 from __future__ import annotations
 
@@ -15,99 +15,103 @@
 from trials.plan import Fault, Plan
 from trials.site import Site
 
-QUIESCE_S = 10.0  # longer than any caller may wait to be told
-KILL_AFTER_S = 0.7  # "SIGKILL arrives no sooner than the longest deadline and 0.7 s more after SIGTERM"
-LONGEST_DEADLINE_S = 3.0  # "counted as 3 s where it is longer" (the protocol page)
-GONE_AFTER_S = 2.0  # from a drain to the end of the process
-CROWD = 120  # connections that say nothing
-EARLY_S = 0.1  # after its start, a process is not ready yet
+QUIESCE_S = 10.0  # longer than a caller may wait to be notified of the end of its call
+# Protocol page: "SIGKILL arrives no sooner than the longest deadline and 0.7 s more after SIGTERM".
+SIGKILL_DELAY_S = 0.7
+LONGEST_DEADLINE_S = 3.0  # protocol page: the deadline is "counted as 3 s where it is longer"
+EXIT_AFTER_DRAIN_S = 2.0  # from the end of the drain grace to the end of the server's process
+IDLE_CONNECTIONS = 120  # opened by one clients-crowd fault; nothing is sent on them
+EARLY_SIGTERM_S = 0.1  # after its start, when a process is not ready yet
 
 
 class Player:
-    """Applies faults to a site, each at its time."""
+    """Applies the faults of a plan to a site, each at its time.
+
+    The method of a fault is found by the value of its kind: `agent-term` by `_agent_term`.
+    """
 
     def __init__(self, site: Site, plan: Plan) -> None:
         self.site, self.plan = site, plan
-        self.spare = plan.size.servers
-        self.busy: set[str] = set()  # parties under a fault: a second one passes them over
-        self.crowd: list[asyncio.StreamWriter] = []
+        self.next_spare = plan.size.servers
+        self.faulted: set[str] = set()  # parties under a fault; a further fault for one of them is skipped
+        self.idle_connections: list[asyncio.StreamWriter] = []
 
     async def run(self) -> None:
-        """Plays all faults; returns once the last is over."""
-        tasks = [asyncio.ensure_future(self._at(fault)) for fault in self.plan.faults]
+        """Plays all faults; returns once the plan's time has passed and the last fault is over."""
+        tasks = [asyncio.ensure_future(self._play_fault(fault)) for fault in self.plan.faults]
         await asyncio.sleep(self.plan.seconds)
         await asyncio.gather(*tasks)
-        for writer in self.crowd:
+        for writer in self.idle_connections:
             writer.close()
 
-    async def _at(self, fault: Fault) -> None:
+    async def _play_fault(self, fault: Fault) -> None:
         await asyncio.sleep(fault.at_s)
-        name, _, rest = fault.kind.value.partition("-")
-        target = {
+        name, _, action = fault.kind.value.partition("-")
+        targets = {
             "agent": list(self.site.agents),
-            "server": self._listed(),
+            "server": self._ready_servers(),
             "discovery": ["discovery"],
             "clients": ["clients"],
         }[name]
-        party = target[fault.target % len(target)]
-        if party in self.busy:
+        party = targets[fault.target % len(targets)]
+        if party in self.faulted:
             return
-        self.busy.add(party)
+        self.faulted.add(party)
         self.site.history.add(Kind.FAULT, party, text=fault.kind.value, number=fault.for_s)
-        play: Callable[[Fault, str], Awaitable[None]] = getattr(self, f"_{name}_{rest.replace('-', '_')}")
+        play: Callable[[Fault, str], Awaitable[None]] = getattr(self, f"_{name}_{action.replace('-', '_')}")
         await play(fault, party)
-        self.busy.discard(party)
+        self.faulted.discard(party)
 
-    def _listed(self) -> list[str]:
+    def _ready_servers(self) -> list[str]:
         names = [f"s{number}" for number in range(self.plan.size.servers)]
         return [name for name in names if self.site.entries[name]["health"] == "ready"] or names[:1]
 
     # Agents
 
     async def _agent_term(self, fault: Fault, party: str) -> None:
-        await self._restart(self.site.agents[party], 1)
+        await self._restart_agent(self.site.agents[party], 1)
 
     async def _agent_term_twice(self, fault: Fault, party: str) -> None:
-        await self._restart(self.site.agents[party], 2)
+        await self._restart_agent(self.site.agents[party], 2)
 
-    async def _restart(self, agent: AgentProcess, signals: int) -> None:
-        longest_s = min(self.plan.day.deadline_ms / 1000.0, LONGEST_DEADLINE_S)
+    async def _restart_agent(self, agent: AgentProcess, signals: int) -> None:
+        longest_s = min(self.plan.settings.deadline_ms / 1000.0, LONGEST_DEADLINE_S)
         for number in range(signals):
-            agent.send(signal.SIGTERM)
+            agent.send_signal(signal.SIGTERM)
             if number + 1 < signals:
                 await asyncio.sleep(0.1)
         with contextlib.suppress(TimeoutError):
-            assert agent.program is not None
-            await asyncio.wait_for(agent.program.wait(), longest_s + KILL_AFTER_S)
-        agent.send(signal.SIGKILL)
-        await self._start(agent)
-
-    async def _start(self, agent: AgentProcess) -> None:
-        if agent.program is not None:
-            await agent.program.wait()
-        self.site.refresh_known(agent)
+            assert agent.process is not None
+            await asyncio.wait_for(agent.process.wait(), longest_s + SIGKILL_DELAY_S)
+        agent.send_signal(signal.SIGKILL)
+        await self._start_agent(agent)
+
+    async def _start_agent(self, agent: AgentProcess) -> None:
+        if agent.process is not None:
+            await agent.process.wait()
+        self.site.refresh_known_servers(agent)
         await agent.start()
-        await agent.ready()
+        await agent.wait_until_ready()
 
     async def _agent_term_early(self, fault: Fault, party: str) -> None:
         agent = self.site.agents[party]
-        agent.send(signal.SIGKILL)
-        assert agent.program is not None
-        await agent.program.wait()
+        agent.send_signal(signal.SIGKILL)
+        assert agent.process is not None
+        await agent.process.wait()
         await agent.start()
-        await asyncio.sleep(EARLY_S)
-        await self._restart(agent, 1)
+        await asyncio.sleep(EARLY_SIGTERM_S)
+        await self._restart_agent(agent, 1)
 
     async def _agent_kill(self, fault: Fault, party: str) -> None:
         agent = self.site.agents[party]
-        agent.send(signal.SIGKILL)
+        agent.send_signal(signal.SIGKILL)
         await asyncio.sleep(min(fault.for_s, 2.0))
-        await self._start(agent)
+        await self._start_agent(agent)
 
     async def _agent_stop(self, fault: Fault, party: str) -> None:
-        self.site.agents[party].send(signal.SIGSTOP)
+        self.site.agents[party].send_signal(signal.SIGSTOP)
         await asyncio.sleep(fault.for_s)
-        self.site.agents[party].send(signal.SIGCONT)
+        self.site.agents[party].send_signal(signal.SIGCONT)
 
     async def _agent_reload(self, fault: Fault, party: str) -> None:
         assert self.site.discovery is not None
@@ -116,11 +120,11 @@
 
     async def _agent_drain(self, fault: Fault, party: str) -> None:
         agent = self.site.agents[party]
-        if await agent.ask("drain"):
+        if await agent.command("drain"):
             self.site.history.add(Kind.DRAINING, party)
             await asyncio.sleep(fault.for_s)
             self.site.history.add(Kind.RESUMING, party)
-            await agent.ask("resume")
+            await agent.command("resume")
 
     # Servers
 
@@ -129,18 +133,18 @@
         server.vanish()
         if not fault.for_s:
             await asyncio.sleep(1.0)
-            self.site.list_as(party, "gone")
+            self.site.publish_health(party, "gone")
             return
         await asyncio.sleep(fault.for_s)
         server.come_back()
-        self.site.list_as(party, "ready", born_ms=round(time.time() * 1000.0))
+        self.site.publish_health(party, "ready", born_ms=round(time.time() * 1000.0))
 
     async def _server_cut(self, fault: Fault, party: str) -> None:
         server = self.site.servers[party]
         names = list(self.site.agents)
         server.cut_links(names if fault.target % 2 else names[:1])
         await asyncio.sleep(fault.for_s)
-        server.mend_links()
+        server.restore_links()
 
     async def _server_hang(self, fault: Fault, party: str) -> None:
         self.site.servers[party].hang()
@@ -152,25 +156,25 @@
         server.crash()
         await asyncio.sleep(fault.for_s)
         server.restart()
-        self.site.list_as(party, "ready", born_ms=round(time.time() * 1000.0))
+        self.site.publish_health(party, "ready", born_ms=round(time.time() * 1000.0))
 
     async def _server_drain(self, fault: Fault, party: str) -> None:
-        await self._leave(party)
+        await self._drain_and_stop(party)
 
-    async def _leave(self, party: str) -> None:
+    async def _drain_and_stop(self, party: str) -> None:
         server = self.site.servers[party]
-        self.site.list_as(party, "draining")
-        await asyncio.sleep(self.plan.day.grace_ms / 1000.0 + GONE_AFTER_S)
+        self.site.publish_health(party, "draining")
+        await asyncio.sleep(self.plan.settings.grace_ms / 1000.0 + EXIT_AFTER_DRAIN_S)
         server.crash()
-        self.site.list_as(party, "gone")
+        self.site.publish_health(party, "gone")
 
     async def _server_replace(self, fault: Fault, party: str) -> None:
-        if self.spare < len(self.site.servers):
-            name = f"s{self.spare}"
-            self.spare += 1
+        if self.next_spare < len(self.site.servers):
+            name = f"s{self.next_spare}"
+            self.next_spare += 1
             self.site.servers[name].restart()
-            self.site.list_as(name, "ready", born_ms=round(time.time() * 1000.0))
-        await self._leave(party)
+            self.site.publish_health(name, "ready", born_ms=round(time.time() * 1000.0))
+        await self._drain_and_stop(party)
 
     async def _server_reset(self, fault: Fault, party: str) -> None:
         self.site.servers[party].reset_connections()
@@ -179,55 +183,58 @@
         self.site.servers[party].reset_connections(idle_only=True)
 
     async def _server_no_dials(self, fault: Fault, party: str) -> None:
-        doors = self.site.servers[party].doors.values()
-        for door in doors:
-            door.hang()
+        listeners = self.site.servers[party].listeners.values()
+        for listener in listeners:
+            listener.block()
         await asyncio.sleep(fault.for_s)
-        for door in doors:
-            door.resume()
+        for listener in listeners:
+            listener.unblock()
 
     # Discovery
 
-    async def _mode(self, fault: Fault, mode: Mode) -> None:
-        await self.site.discovery_mode(mode)
+    async def _hold_mode(self, fault: Fault, mode: Mode) -> None:
+        await self.site.set_discovery_mode(mode)
         await asyncio.sleep(fault.for_s)
-        await self.site.discovery_mode(Mode.UP)
+        await self.site.set_discovery_mode(Mode.UP)
 
     async def _discovery_down(self, fault: Fault, party: str) -> None:
-        await self._mode(fault, Mode.DOWN)
+        await self._hold_mode(fault, Mode.DOWN)
 
     async def _discovery_silent(self, fault: Fault, party: str) -> None:
-        await self._mode(fault, Mode.SILENT)
+        await self._hold_mode(fault, Mode.SILENT)
 
     async def _discovery_stalled(self, fault: Fault, party: str) -> None:
         assert self.site.discovery is not None
         self.site.discovery.stall()
 
     async def _discovery_refusing(self, fault: Fault, party: str) -> None:
-        await self._mode(fault, Mode.REFUSING)
+        await self._hold_mode(fault, Mode.REFUSING)
 
     async def _discovery_slow(self, fault: Fault, party: str) -> None:
-        await self._mode(fault, Mode.SLOW)
+        await self._hold_mode(fault, Mode.SLOW)
 
     # Clients
 
     async def _clients_close(self, fault: Fault, party: str) -> None:
         for client in self.site.clients:
-            if self.site.chance.random() < 0.3:
+            if self.site.rng.random() < 0.3:
                 client.close()
 
     async def _clients_crowd(self, fault: Fault, party: str) -> None:
         agent = list(self.site.agents.values())[fault.target % len(self.site.agents)]
-        host, _, port = str(agent.record["listen"]).rpartition(":")
-        for _ in range(CROWD):
+        host, _, port = str(agent.configuration["listen"]).rpartition(":")
+        for _ in range(IDLE_CONNECTIONS):
             with contextlib.suppress(OSError, TimeoutError):
                 _, writer = await asyncio.wait_for(asyncio.open_connection(host, int(port)), 1.0)
-                self.crowd.append(writer)
+                self.idle_connections.append(writer)
 
 
 async def play(plan: Plan, folder: pathlib.Path, defect: str = "") -> tuple[list[Event], Site]:
-    """Plays a plan; its history and the logs of its agents are left in the folder."""
-    site = Site(folder, plan.seed, plan.day, plan.size, defect)
+    """Plays a plan and returns its events and its site.
+
+    The history and the agents' logs are left in the folder. `defect` names a function of `trials.planted`.
+    """
+    site = Site(folder, plan.seed, plan.settings, plan.size, defect)
     try:
         await site.open()
         await Player(site, plan).run()
--- a/trials/rules/__init__.py
+++ b/trials/rules/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol's rules, each as a function from an indexed history to its violations."""
+"""Protocol rules. Each is a pure function from an indexed history to the violations it finds."""
--- a/trials/rules/index.py
+++ b/trials/rules/index.py
@@ -1,4 +1,4 @@
-"""A history's events by kind and by call, and what several rules ask of them."""
+"""A history indexed by kind and by call, with the queries that several rules share."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from dataclasses import dataclass, field
 
 from trials.history import Event, Kind
-from trials.site import Day
+from trials.site import TrialSettings
 
-SLACK_S = 0.05  # "every time limit grows by 50 ms" (the protocol page, the rules on sockets)
-REACHED_LATE_S = 0.5  # what a link held while it was cut arrives within this after it is mended
+SLACK_S = 0.05  # protocol page, section on sockets: "every time limit grows by 50 ms"
+LATE_DELIVERY_S = 0.5  # data held by a cut link arrives within this time after the link is restored
 
 
 @dataclass(frozen=True)
 class Violation:
-    """One breach of a rule."""
+    """One breach of a rule. `at` is in seconds from the start of the trial; `call` is empty for a process."""
 
     rule: str
     at: float
@@ -25,66 +25,66 @@
 
 @dataclass(frozen=True)
 class Period:
-    """A time from one event to another, in seconds."""
+    """The time between two events, in seconds from the start of the trial."""
 
     begin: float
     end: float
 
-    def meets(self, begin: float, end: float) -> bool:
-        """Whether it has a moment in common with another period."""
+    def overlaps(self, begin: float, end: float) -> bool:
+        """Whether the two periods share a moment; both ends are inclusive."""
         return self.begin <= end and self.end >= begin
 
 
 @dataclass
 class Index:
-    """The events of a history by kind and by call."""
+    """The events of one history by kind and by call, in the order of the history."""
 
     events: list[Event]
-    day: Day
+    settings: TrialSettings
     by_kind: dict[Kind, list[Event]] = field(default_factory=lambda: defaultdict(list))
     by_call: dict[str, list[Event]] = field(default_factory=lambda: defaultdict(list))
     unreachable: dict[str, list[Period]] = field(default_factory=lambda: defaultdict(list))  # by server
-    stopped: dict[str, list[Period]] = field(default_factory=lambda: defaultdict(list))  # by agent: SIGSTOP
+    paused: dict[str, list[Period]] = field(default_factory=lambda: defaultdict(list))  # by agent: SIGSTOP
 
     @classmethod
-    def of(cls, events: Iterable[Event], day: Day) -> Index:
-        """Sorts the events in."""
-        index = cls(list(events), day)
+    def of(cls, events: Iterable[Event], settings: TrialSettings) -> Index:
+        """Builds the index. The events have to be in the order of their time."""
+        index = cls(list(events), settings)
         for event in index.events:
             index.by_kind[event.kind].append(event)
             if event.call:
                 index.by_call[event.call].append(event)
-        index._periods(Kind.UNREACHABLE, Kind.REACHABLE, index.unreachable)
-        index._periods(Kind.PAUSED, Kind.RESUMED, index.stopped)
+        index._collect_periods(Kind.UNREACHABLE, Kind.REACHABLE, index.unreachable)
+        index._collect_periods(Kind.PAUSED, Kind.RESUMED, index.paused)
         return index
 
-    def _periods(self, begins: Kind, ends: Kind, found: dict[str, list[Period]]) -> None:
-        """Pairs the events that begin and end a state of a party."""
-        begun: dict[str, float] = {}
+    def _collect_periods(self, begin_kind: Kind, end_kind: Kind, found: dict[str, list[Period]]) -> None:
+        """Pairs the events that begin and end a state of a party; an open state lasts to the end."""
+        open_periods: dict[str, float] = {}
         for event in self.events:
-            if event.kind is begins:
-                begun.setdefault(event.party, event.at)
-            elif event.kind is ends and event.party in begun:
-                found[event.party].append(Period(begun.pop(event.party), event.at))
-        for party, at in begun.items():
+            if event.kind is begin_kind:
+                open_periods.setdefault(event.party, event.at)
+            elif event.kind is end_kind and event.party in open_periods:
+                found[event.party].append(Period(open_periods.pop(event.party), event.at))
+        for party, at in open_periods.items():
             found[party].append(Period(at, self.end))
 
     @property
     def end(self) -> float:
-        """When the trial ended."""
+        """The time of the last event, 0 for an empty history."""
         return self.events[-1].at if self.events else 0.0
 
     def first(self, call: str, *kinds: Kind) -> Event | None:
-        """The first event of a call that is of one of these kinds."""
+        """The first event of a call of one of these kinds."""
         return next((event for event in self.by_call[call] if event.kind in kinds), None)
 
     def agent_of(self, call: str) -> str:
-        """The agent that a call was asked of."""
+        """The agent that received the request, empty if the call has none."""
         asked = self.first(call, Kind.ASKED)
         return asked.text if asked is not None else ""
 
     def server_of(self, call: str, answered: Event) -> str:
-        """The server that made the description which a client was given."""
+        """The server that produced the description in an answer, empty if none did."""
         return next(
             (
                 event.server
@@ -94,20 +94,20 @@
             "",
         )
 
-    def ended_after(self, agent: str, at: float) -> bool:
-        """Whether an agent's process ended after a time: what it knew of its calls is gone with it."""
+    def exited_after(self, agent: str, at: float) -> bool:
+        """Whether an agent's process exited at or after a time, and so lost what it knew of its calls."""
         return any(event.party == agent and event.at >= at for event in self.by_kind[Kind.EXITED])
 
     def killed_within(self, agent: str, begin: float, end: float) -> bool:
-        """Whether an agent was killed (SIGKILL, with no SIGTERM before) in a period."""
+        """Whether an agent got SIGKILL within a period without SIGTERM before."""
         for event in self.by_kind[Kind.KILLED]:
             within = event.party == agent and begin <= event.at <= end
-            if within and not self.terminated_before(agent, event.at):
+            if within and not self.sigterm_before(agent, event.at):
                 return True
         return False
 
-    def terminated_before(self, agent: str, at: float) -> Event | None:
-        """The SIGTERM that the process of an agent got which ran at a time, if any."""
+    def sigterm_before(self, agent: str, at: float) -> Event | None:
+        """The first SIGTERM sent by a time to the process that an agent ran then, if any."""
         last: Event | None = None
         for event in self.events:
             if event.at > at:
@@ -118,10 +118,10 @@
                 last = event
         return last
 
-    def was_stopped(self, agent: str, begin: float, end: float) -> bool:
-        """Whether an agent was stopped (SIGSTOP) at some moment of a period."""
-        return any(period.meets(begin, end) for period in self.stopped[agent])
+    def was_paused(self, agent: str, begin: float, end: float) -> bool:
+        """Whether an agent was paused by SIGSTOP at some moment of a period."""
+        return any(period.overlaps(begin, end) for period in self.paused[agent])
 
     def was_unreachable(self, server: str, begin: float, end: float) -> bool:
-        """Whether a server was silent at some moment of a period, or had just been."""
-        return any(period.meets(begin - REACHED_LATE_S, end) for period in self.unreachable[server])
+        """Whether a server was unreachable at some moment of a period, or up to `LATE_DELIVERY_S` before."""
+        return any(period.overlaps(begin - LATE_DELIVERY_S, end) for period in self.unreachable[server])
--- a/trials/rules/processes.py
+++ b/trials/rules/processes.py
@@ -1,4 +1,4 @@
-"""Rules on processes: none crashes, and nine in ten of those that are started again are ready in time."""
+"""Rules on agent processes: none crashes, and nine in ten of the started ones are ready in time."""
 
 from __future__ import annotations
 
@@ -7,21 +7,23 @@
 from trials.history import Event, Kind
 from trials.rules.index import Index, Violation
 
-READY_S = 10.0  # "nine in ten restarted call agents are ready within 10 s" (the standing test's page)
+READY_S = 10.0  # operators' requirement: "nine in ten restarted call agents are ready within 10 s"
 READY_SHARE = 0.9
 
 
 def no_crash(index: Index) -> Iterator[Violation]:
-    """No process ends unless it is told to, and one that is told to ends with status 0."""
+    """No process exits unasked, and one that got SIGTERM exits with status 0 or, killed later, by SIGKILL."""
     for event in index.by_kind[Kind.EXITED]:
         if event.text:
-            yield Violation("crash", event.at, "", f"{event.party} ended with {event.number:.0f}")
-        elif event.number not in (0.0, -9.0) and not _before_its_start(index, event):
-            yield Violation("crash", event.at, "", f"{event.party} ended with {event.number:.0f} on SIGTERM")
+            yield Violation("crash", event.at, "", f"{event.party} exited with status {event.number:.0f}")
+        elif event.number not in (0.0, -9.0) and not _exited_during_start(index, event):
+            yield Violation(
+                "crash", event.at, "", f"{event.party} exited with status {event.number:.0f} on SIGTERM"
+            )
 
 
-def _before_its_start(index: Index, exited: Event) -> bool:
-    """Whether SIGTERM came so early that the program had not taken its signals over."""
+def _exited_during_start(index: Index, exited: Event) -> bool:
+    """Whether SIGTERM ended a process that was not ready yet, before its signal handlers were installed."""
     started = [
         event for event in index.by_kind[Kind.STARTED] if event.party == exited.party and event.at < exited.at
     ]
@@ -32,23 +34,36 @@
 
 
 def ready_in_time(index: Index) -> Iterator[Violation]:
-    """Nine in ten of the processes that are started again are ready within 10 s."""
+    """`READY_SHARE` of the started processes are ready within `READY_S`.
+
+    Processes that were paused or signalled to end within that time, or for which the trial ended before it
+    passed, are not counted.
+    """
     slow: list[Event] = []
     count = 0
     for event in index.by_kind[Kind.STARTED]:
         ready = next(
-            (at for at in index.by_kind[Kind.READY] if at.party == event.party and at.at > event.at), None
+            (
+                later
+                for later in index.by_kind[Kind.READY]
+                if later.party == event.party and later.at > event.at
+            ),
+            None,
         )
         ended = next(
             (
-                at
-                for at in index.by_kind[Kind.TERMINATED] + index.by_kind[Kind.KILLED]
-                if at.party == event.party and at.at > event.at
+                later
+                for later in index.by_kind[Kind.TERMINATED] + index.by_kind[Kind.KILLED]
+                if later.party == event.party and later.at > event.at
             ),
             None,
         )
-        stopped = index.was_stopped(event.party, event.at, event.at + READY_S)
-        if stopped or event.at + READY_S > index.end or (ended is not None and ended.at < event.at + READY_S):
+        was_paused = index.was_paused(event.party, event.at, event.at + READY_S)
+        if (
+            was_paused
+            or event.at + READY_S > index.end
+            or (ended is not None and ended.at < event.at + READY_S)
+        ):
             continue
         count += 1
         if ready is None or ready.at > event.at + READY_S:
--- a/trials/site.py
+++ b/trials/site.py
@@ -1,4 +1,4 @@
-"""A site of a trial: agents, servers, clients and discovery, wired together on loopback."""
+"""The site of a trial: agents, servers, clients and discovery, connected on loopback."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 from standins.ports import free_ports
 from trials.agents import AgentProcess
-from trials.client import Client, Habits
+from trials.client import Client, ClientBehaviour
 from trials.discovery import Discovery, Mode
 from trials.history import History, Kind
-from trials.server import Behaviour, Server
+from trials.server import Server, ServerBehaviour
 
 CALL_CLASS = "race"
-OLD_ADDRESS_S = 1.5  # after SIGHUP, discovery closes what is open at its old address
-READY_S = 30.0  # how long the agents may take to be ready before the trial begins
+FORMER_ADDRESS_S = 1.5  # after SIGHUP, until discovery closes the connections at its former address
+READY_TIMEOUT_S = 30.0  # for all agents to be ready before the trial begins
 
 
 @dataclass
-class Day:
-    """The settings of a trial. Times in ms."""
+class TrialSettings:
+    """The settings that a trial varies; the names follow the agent's configuration."""
 
     deadline_ms: float = 3000.0
     grace_ms: float = 500.0
@@ -40,8 +40,11 @@
     sockets: int = 256
     diameter: bool = False  # clients and servers are Diameter peers
 
-    def settings(self, servers: int, me: int, agents: int) -> dict[str, Any]:
-        """The settings as an agent's configuration has them."""
+    def for_agent(self, servers: int, agent_number: int, agents: int) -> dict[str, Any]:
+        """The `settings` entry of the configuration of one agent.
+
+        `servers` counts the spare ones as well; `agent_number` is the agent's index among `agents`.
+        """
         return {
             "services": [
                 {
@@ -67,7 +70,7 @@
                 "retransmit-ms": 400.0,
             },
             "report": {"columns": ["free", "size", "can_take"], "how": "piggyback"},
-            "me": me,
+            "me": agent_number,
             "siblings": agents,
             "rules": {
                 "drain-grace-ms": self.grace_ms,
@@ -81,48 +84,58 @@
 
 @dataclass
 class Size:
-    """How many of each party there are."""
+    """How many parties of each kind a trial has, and how they behave."""
 
     agents: int = 3
     servers: int = 5
-    clients: int = 4  # of each agent
-    spare_servers: int = 3  # that may join later
-    habits: Habits = field(default_factory=Habits)
-    behaviour: Behaviour = field(default_factory=Behaviour)
+    clients: int = 4  # per agent
+    spare_servers: int = 3  # join in `server-replace` faults
+    client_behaviour: ClientBehaviour = field(default_factory=ClientBehaviour)
+    server_behaviour: ServerBehaviour = field(default_factory=ServerBehaviour)
 
 
 class Site:
-    """The parties of one trial."""
+    """The parties of one trial, and the history that they record."""
 
-    def __init__(self, folder: pathlib.Path, seed: int, day: Day, size: Size, defect: str = "") -> None:
-        """`defect`: one of `trials.planted`, put into every agent."""
-        self.folder, self.day, self.size, self.defect = folder, day, size, defect
-        self.chance, self.history = random.Random(seed), History()
+    def __init__(
+        self, folder: pathlib.Path, seed: int, settings: TrialSettings, size: Size, defect: str = ""
+    ) -> None:
+        """`defect` names a function of `trials.planted` that every agent is started with, empty for none."""
+        self.folder, self.settings, self.size, self.defect = folder, settings, size, defect
+        self.rng, self.history = random.Random(seed), History()
         self.agents: dict[str, AgentProcess] = {}
         self.servers: dict[str, Server] = {}
         self.clients: list[Client] = []
         self.discovery: Discovery | None = None
         self.entries: dict[str, dict[str, Any]] = {}
-        self.most_memory_bytes = 0
-        self.most_descriptors = 0
-        self.watching: asyncio.Task[None] | None = None
+        self.peak_memory_bytes = 0
+        self.peak_descriptors = 0
+        self.resource_watch: asyncio.Task[None] | None = None
 
-    def _fork(self) -> random.Random:
-        return random.Random(self.chance.random())
+    def _fork_rng(self) -> random.Random:
+        return random.Random(self.rng.random())
 
     async def open(self) -> None:
-        """Starts everything, and waits until all agents are ready."""
+        """Starts all parties; the clients begin once all agents are ready.
+
+        Raises TimeoutError if the agents are not ready within `READY_TIMEOUT_S`.
+        """
         names = [f"n{number}" for number in range(self.size.agents)]
-        dials: dict[str, dict[str, int]] = {name: {} for name in names}
+        server_ports: dict[str, dict[str, int]] = {name: {} for name in names}
         for number in range(self.size.servers + self.size.spare_servers):
             server = Server(
-                f"s{number}", self.history, self._fork(), self.size.behaviour, names, self.day.diameter
+                f"s{number}",
+                self.history,
+                self._fork_rng(),
+                self.size.server_behaviour,
+                names,
+                self.settings.diameter,
             )
             self.servers[server.name] = server
             for agent, port in server.start().items():
-                dials[agent][server.name] = port
+                server_ports[agent][server.name] = port
             if number >= self.size.servers:
-                server.crash()  # nobody there yet: refuses
+                server.crash()  # a spare refuses connections until it joins
             self.entries[server.name] = {
                 "host": server.name,
                 "site": "east",
@@ -132,119 +145,119 @@
                 "share": 4,
                 "born_ms": 0,
             }
-        self.discovery = Discovery(self.history, dials)
+        self.discovery = Discovery(self.history, server_ports)
         self.discovery.changes.append([self.entries[f"s{number}"] for number in range(self.size.servers)])
         ports = free_ports(len(names) * 3)
         for number, name in enumerate(names):
             await self.discovery.start(name)
-            record: dict[str, Any] = {
+            configuration: dict[str, Any] = {
                 "name": name,
                 "listen": f"127.0.0.1:{ports[3 * number]}",
                 "operator": f"127.0.0.1:{ports[3 * number + 2]}",
                 "seed": f"{number:02x}",
-                "limits": {"sockets": self.day.sockets},
-                "settings": self.day.settings(len(self.servers), number, len(names)),
+                "limits": {"sockets": self.settings.sockets},
+                "settings": self.settings.for_agent(len(self.servers), number, len(names)),
             }
-            if self.day.diameter:
-                record["diameter"] = self._diameter(name, dials[name], len(names))
+            if self.settings.diameter:
+                configuration["diameter"] = self._diameter_configuration(name, server_ports[name], len(names))
             else:
-                record["bus"] = f"127.0.0.1:{self.discovery.ports[name]}"
-                record["known"] = {"offset": 1, "batch": [self.discovery.event(name, 1)]}
-            if self.day.peers:
-                record["peer_listen"] = f"127.0.0.1:{ports[3 * number + 1]}"
-                record["peers"] = [f"127.0.0.1:{port}" for port in ports[1::3]]
-            self.agents[name] = AgentProcess(name, self.folder, record, self.history, self.defect)
+                configuration["bus"] = f"127.0.0.1:{self.discovery.ports[name]}"
+                configuration["known"] = {"offset": 1, "batch": [self.discovery.event(name, 1)]}
+            if self.settings.peers:
+                configuration["peer_listen"] = f"127.0.0.1:{ports[3 * number + 1]}"
+                configuration["peers"] = [f"127.0.0.1:{port}" for port in ports[1::3]]
+            self.agents[name] = AgentProcess(name, self.folder, configuration, self.history, self.defect)
             await self.agents[name].start()
-        async with asyncio.timeout(READY_S):
-            await asyncio.gather(*(agent.ready() for agent in self.agents.values()))
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            await asyncio.gather(*(agent.wait_until_ready() for agent in self.agents.values()))
         for number, name in enumerate(names * self.size.clients):
             client = Client(
                 f"c{number}",
                 name,
                 ports[3 * names.index(name)],
                 self.history,
-                self._fork(),
-                self.size.habits,
+                self._fork_rng(),
+                self.size.client_behaviour,
                 CALL_CLASS,
                 number + 1,
-                self.day.diameter,
+                self.settings.diameter,
             )
             self.clients.append(client)
             client.start()
-        self.watching = asyncio.ensure_future(self._watch())
+        self.resource_watch = asyncio.ensure_future(self._watch_resources())
 
-    def _diameter(self, name: str, dials: dict[str, int], agents: int) -> dict[str, Any]:
-        """An agent's peers: all clients, and the servers that are there from the start."""
+    def _diameter_configuration(self, name: str, server_ports: dict[str, int], agents: int) -> dict[str, Any]:
+        """The `diameter` entry of an agent's configuration: all clients and all but the spare servers."""
         return {
             "host": name,
             "realm": "here",
             "clients": [f"c{number}" for number in range(agents * self.size.clients)],
             "watchdog_ms": 6000,
             "servers": [
-                {"host": f"s{number}", "dial": f"127.0.0.1:{dials[f's{number}']}", "number": number}
+                {"host": f"s{number}", "dial": f"127.0.0.1:{server_ports[f's{number}']}", "number": number}
                 for number in range(self.size.servers)
             ],
         }
 
-    async def _watch(self) -> None:
+    async def _watch_resources(self) -> None:
         while True:
             for agent in self.agents.values():
-                self.most_memory_bytes = max(self.most_memory_bytes, agent.memory_bytes())
-                self.most_descriptors = max(self.most_descriptors, agent.descriptors())
+                self.peak_memory_bytes = max(self.peak_memory_bytes, agent.memory_bytes())
+                self.peak_descriptors = max(self.peak_descriptors, agent.descriptors())
             await asyncio.sleep(0.25)
 
-    def list_as(self, name: str, health: str, born_ms: int | None = None) -> None:
-        """Discovery has a new state of a server."""
+    def publish_health(self, name: str, health: str, born_ms: int | None = None) -> None:
+        """Publishes a new state of a server to discovery; `born_ms` is the start of a new process."""
         assert self.discovery is not None
         entry = {**self.entries[name], "health": health}
         if born_ms is not None:
             entry["born_ms"] = born_ms
         self.entries[name] = entry
-        self.discovery.change([entry])
+        self.discovery.publish([entry])
 
-    def refresh_known(self, agent: AgentProcess) -> None:
-        """A process that starts is given the list as it stands."""
+    def refresh_known_servers(self, agent: AgentProcess) -> None:
+        """Puts the current server list and discovery address into an agent's configuration."""
         assert self.discovery is not None
-        if self.day.diameter:
+        if self.settings.diameter:
             return
         number = len(self.discovery.changes)
         events = [self.discovery.event(agent.name, at) for at in range(1, number + 1)]
-        agent.record["known"] = {"offset": number, "batch": events}
-        agent.record["bus"] = f"127.0.0.1:{self.discovery.ports[agent.name]}"
+        agent.configuration["known"] = {"offset": number, "batch": events}
+        agent.configuration["bus"] = f"127.0.0.1:{self.discovery.ports[agent.name]}"
 
     async def move_discovery(self, name: str) -> None:
-        """Discovery moves to another address for an agent, which is told by SIGHUP; the old one ends."""
+        """Moves discovery to another address for one agent, sends it SIGHUP, and closes the former one."""
         assert self.discovery is not None
         agent = self.agents[name]
-        await self.discovery.move(name)
+        await self.discovery.move_port(name)
         agent.write_configuration(bus=f"127.0.0.1:{self.discovery.ports[name]}")
         self.history.add(Kind.RELOADED, name)
-        agent.send(signal.SIGHUP)
-        await asyncio.sleep(OLD_ADDRESS_S)
-        self.discovery.end_old(name)
+        agent.send_signal(signal.SIGHUP)
+        await asyncio.sleep(FORMER_ADDRESS_S)
+        self.discovery.close_former(name)
 
-    async def discovery_mode(self, mode: Mode) -> None:
-        """Changes how discovery treats those who ask."""
+    async def set_discovery_mode(self, mode: Mode) -> None:
+        """Changes how discovery treats its connections."""
         assert self.discovery is not None
-        await self.discovery.enter(mode)
+        await self.discovery.set_mode(mode)
 
-    async def quiesce(self, patience_s: float) -> None:
-        """Clients ask no more; those that are left have their calls ended; waits until all is told."""
+    async def quiesce(self, wait_s: float) -> None:
+        """Stops new set-ups and random closes, then waits for outstanding answers and notifications."""
         for client in self.clients:
-            client.asking = False
-            client.habits = Habits(closes_every_s=0.0)
-        await asyncio.sleep(patience_s)
+            client.sends_set_ups = False
+            client.behaviour = ClientBehaviour(closes_every_s=0.0)
+        await asyncio.sleep(wait_s)
 
     async def close(self) -> None:
-        """Ends everything and saves the history."""
+        """Records the calls that remain, stops all parties and saves the history to `history.jsonl`."""
         for server in self.servers.values():
-            server.tell_left()
+            server.record_left_calls()
         self.history.add(Kind.FINISHED, "trial")
-        if self.watching is not None:
-            self.watching.cancel()
+        if self.resource_watch is not None:
+            self.resource_watch.cancel()
         for agent in self.agents.values():
-            if agent.running():
-                agent.send(signal.SIGCONT)
+            if agent.is_running():
+                agent.send_signal(signal.SIGCONT)
             await agent.stop()
         for client in self.clients:
             client.stop()
