--- a/tests/trials/test_checker.py
+++ b/tests/trials/test_checker.py
@@ -53,7 +53,7 @@
     ]
 
 
-SOUND = {
+VALID = {
     "an answer half a second late": [asked(), client(3.5, Kind.FAILED)],
     "a request whose client gave it up": [asked(), client(2.0, Kind.GAVE_UP)],
     "a request that crosses a close": [asked(), client(1.04, Kind.CONNECTION_LOST)],
@@ -74,7 +74,7 @@
         server(1.6, Kind.WITHDRAWN, "s1"),
         client(1.7, Kind.FAILED),
     ],
-    "a second attempt while the first one's server is silent": [
+    "a second attempt while the first one's server is unreachable": [
         asked(),
         server(1.1, Kind.REACHED),
         UNREACHABLE,
@@ -82,13 +82,13 @@
         client(2.0, Kind.FAILED),
     ],
     "an attempt 0.1 s after a give-up": [asked(), client(1.5, Kind.GAVE_UP), server(1.6, Kind.REACHED)],
-    "told a second after the server's word": [
+    "told 1 s after the server's release": [
         *ESTABLISHED,
         server(5.0, Kind.ENDED),
         server(5.0, Kind.END_WRITTEN),
         client(6.0, Kind.TOLD_OVER),
     ],
-    "told 8 s after an end that nobody could hear": [
+    "told 8 s after an end without a release": [
         *ESTABLISHED,
         server(5.0, Kind.CUT),
         client(13.0, Kind.TOLD_OVER),
@@ -103,19 +103,19 @@
     "a set-up within the grace": drained(2.6, DELIVERED),
     "a set-up within the grace of 7 s after the change": drained(9.5),
     "a set-up within the grace of 6 s after a failed call": drained(8.5, DISCOVERY_DOWN),
-    "a process that ends as it is told": [
+    "a process that exits on SIGTERM": [
         agent(1.0, Kind.STARTED),
         agent(1.5, Kind.READY),
         agent(20.0, Kind.TERMINATED),
         agent(21.0, Kind.EXITED),
     ],
     "ready after 10 s": [agent(1.0, Kind.STARTED), agent(11.0, Kind.READY)],
-    "a call left at its server that stands": [*ESTABLISHED, server(59.0, Kind.LEFT)],
+    "an established call that its server keeps": [*ESTABLISHED, server(59.0, Kind.LEFT)],
 }
-BROKEN = {
-    "lost: an answer later than that": ("lost", [asked(), client(3.6, Kind.FAILED)]),
+VIOLATING = {
+    "lost: an answer later than half a second": ("lost", [asked(), client(3.6, Kind.FAILED)]),
     "lost: none at all": ("lost", [asked()]),
-    "lost: closed with it read": ("lost", [asked(), client(1.2, Kind.CONNECTION_LOST)]),
+    "lost: connection closed 0.2 s after the set-up": ("lost", [asked(), client(1.2, Kind.CONNECTION_LOST)]),
     "lost: unanswered at SIGKILL": ("lost", [asked(), agent(0.5, Kind.TERMINATED), agent(2.0, Kind.KILLED)]),
     "second answer": ("second answer", [*ESTABLISHED, client(1.5, Kind.FAILED)]),
     "foreign answer": ("foreign answer", [*ESTABLISHED[:3], client(1.3, Kind.ANSWERED, "another's")]),
@@ -148,18 +148,18 @@
         ],
     ),
     "client gone": ("client gone", [asked(), client(1.5, Kind.GAVE_UP), server(1.66, Kind.REACHED)]),
-    "told: later than a second after the word": (
+    "told: later than 1 s after the release": (
         "told",
         [*ESTABLISHED, server(5.0, Kind.ENDED), server(5.0, Kind.END_WRITTEN), client(6.06, Kind.TOLD_OVER)],
     ),
-    "told: later than 8 s, the server being silent": (
+    "told: later than 8 s, the server being unreachable": (
         "told",
         [*ESTABLISHED, UNREACHABLE, server(5.0, Kind.CUT), client(13.06, Kind.TOLD_OVER)],
     ),
     "drain: past the grace": ("drain", drained(2.66, DELIVERED)),
     "drain: past the grace of 7 s": ("drain", drained(9.56)),
     "drain: past the grace of 6 s after a failed call": ("drain", drained(8.56, DISCOVERY_DOWN)),
-    "crash: nobody asked": ("crash", [agent(5.0, Kind.EXITED, 1.0, "unexpected")]),
+    "crash: exit without a signal": ("crash", [agent(5.0, Kind.EXITED, 1.0, "unexpected")]),
     "crash: on SIGTERM": (
         "crash",
         [
@@ -174,14 +174,14 @@
 }
 
 
-@pytest.mark.parametrize("name", SOUND)
+@pytest.mark.parametrize("name", VALID)
 def test_a_sound_history_has_no_violation(name: str) -> None:
-    events = sorted([*SOUND[name], END], key=lambda event: event.at)
+    events = sorted([*VALID[name], END], key=lambda event: event.at)
     assert check(events, SETTINGS) == []
 
 
-@pytest.mark.parametrize("name", BROKEN)
+@pytest.mark.parametrize("name", VIOLATING)
 def test_a_broken_rule_is_found_and_no_other(name: str) -> None:
-    rule, history = BROKEN[name]
+    rule, history = VIOLATING[name]
     events = sorted([*history, END], key=lambda event: event.at)
     assert [violation.rule for violation in check(events, SETTINGS)] == [rule]
--- a/trials/client.py
+++ b/trials/client.py
@@ -17,6 +17,7 @@
 from trials.history import History, Kind
 from trials.split_writer import SplitWriter
 
+# Causes of a FINISH.
 CANCELLED_CAUSE, NORMAL_CAUSE = 16, 16
 REFUSAL_CAUSES = (34, 42, 102)
 CONNECT_TIMEOUT_S = 1.0
--- a/trials/diameter.py
+++ b/trials/diameter.py
@@ -15,7 +15,8 @@
 from frostport.diameter.avp import Avp, Frames, Message, make
 
 REALM = "here"
-BUSY_CAUSE, REFUSED_CAUSE, FAILED_CAUSE, NORMAL_CAUSE = 34, 42, 41, 16
+# Causes of a FINISH.
+FULL_CAUSE, REFUSED_CAUSE, FAILED_CAUSE, NORMAL_CAUSE = 34, 42, 41, 16
 OTHER_ERROR = 5012  # DIAMETER_UNABLE_TO_COMPLY
 
 
@@ -145,7 +146,7 @@
         if self._is_initiator:
             return self._credit_control(call, avp.TERMINATION, {})
         if (avp.INITIAL, call) in self._requests:
-            return self._answer(call, avp.TOO_BUSY if line["rc"] == BUSY_CAUSE else OTHER_ERROR, [])
+            return self._answer(call, avp.TOO_BUSY if line["rc"] == FULL_CAUSE else OTHER_ERROR, [])
         head = [make(avp.SESSION_ID, call), *self._identity(), make(avp.DESTINATION_REALM, REALM)]
         head += [make(avp.DESTINATION_HOST, "agent"), make(avp.AUTH_APPLICATION_ID, avp.CREDIT_CONTROL)]
         return self._request(avp.AS, avp.CREDIT_CONTROL, [*head, make(avp.TERMINATION_CAUSE, avp.LOGOUT)])
--- a/trials/plan.py
+++ b/trials/plan.py
@@ -20,20 +20,20 @@
     """Kind of a fault. The values are choices of `--only` and name the methods of `trials.play.Player`."""
 
     AGENT_TERM = "agent-term"  # SIGTERM, SIGKILL at the earliest time the protocol page allows, restart
-    AGENT_TERM_TWICE = "agent-term-twice"
+    AGENT_TERM_TWICE = "agent-term-twice"  # the same with a second SIGTERM 0.1 s later
     AGENT_TERM_EARLY = "agent-term-early"  # SIGTERM to a process that is not ready yet
-    AGENT_KILL = "agent-kill"
+    AGENT_KILL = "agent-kill"  # SIGKILL, later a restart
     AGENT_STOP = "agent-stop"  # SIGSTOP, later SIGCONT
     AGENT_RELOAD = "agent-reload"  # discovery moves to another address, and SIGHUP tells the agent
     AGENT_DRAIN = "agent-drain"  # an operator drains the agent and later ends the drain
     SERVER_VANISH = "server-vanish"  # for good, or until a new process starts at its address
     SERVER_CUT = "server-cut"  # the links to all agents or to one
-    SERVER_HANG = "server-hang"
-    SERVER_CRASH = "server-crash"
+    SERVER_HANG = "server-hang"  # the process stops for a time, connections stay open
+    SERVER_CRASH = "server-crash"  # the process dies, a new one starts later
     SERVER_DRAIN = "server-drain"  # listed as draining, later as gone
     SERVER_REPLACE = "server-replace"  # a spare joins in a cold start; the replaced server drains and leaves
     SERVER_RESET = "server-reset"  # its connections are reset, also those with outstanding attempts
-    SERVER_RESET_IDLE = "server-reset-idle"
+    SERVER_RESET_IDLE = "server-reset-idle"  # only those without outstanding attempts
     SERVER_NO_DIALS = "server-no-dials"  # new connections are never established
     DISCOVERY_DOWN = "discovery-down"
     DISCOVERY_SILENT = "discovery-silent"
--- a/trials/planted.py
+++ b/trials/planted.py
@@ -21,7 +21,7 @@
 
 
 def release_not_sent() -> None:
-    """The release of a call by its client is not sent to the server, where the call stays established."""
+    """The release of a call by its client is not sent on: the call stays established at its server."""
     setattr(UpstreamPool, "release", lambda self, attempt: None)  # noqa: B010 (mypy knows it as a method)
 
 
--- a/trials/rules/attempts.py
+++ b/trials/rules/attempts.py
@@ -1,4 +1,4 @@
-"""Rules on attempts: their number, their order, the release guard, and none for a client that has gone."""
+"""Rules on attempts: their number, their order, the release guard, and none for a client that is gone."""
 
 from __future__ import annotations
 
