--- a/standins/faulty.py
+++ b/standins/faulty.py
@@ -1,8 +1,8 @@
-"""Starts the program with a machine's faults around it: `python -m standins.faulty FAULTS ARGUMENT ...`.
+"""Runs the program with simulated faults of its machine: `python -m standins.faulty FAULTS ARGUMENT ...`.
 
-FAULTS is JSON: `skew_ms` and `drift` (a share) move the time of day and the monotonic clock; while the file
-`full` exists, whatever is appended to a file under the folder `disk` fails with ENOSPC, and adds a line to
-that file.
+FAULTS is a JSON object. `skew_ms` sets the time of day ahead, and `drift` (a fraction) makes the time of day
+and the monotonic clock run fast. While the file `full` exists, each append to a file in the folder `disk`
+fails with ENOSPC and adds a line to `full`.
 """
 
 from __future__ import annotations
@@ -18,19 +18,21 @@
 from frostport.store.files import DiskFile
 
 
-def skew(ms: float, drift: float) -> None:
+def skew_clocks(ms: float, drift: float) -> None:
+    """Replaces `time.time` and `time.monotonic`."""
     for name in ("time", "monotonic"):
         real = getattr(time, name)
-        began = real()
-        moved = ms / 1000.0 if name == "time" else 0.0
+        started = real()
+        offset = ms / 1000.0 if name == "time" else 0.0
 
-        def read(real: Any = real, began: float = began, moved: float = moved) -> float:
-            return float(real() + moved + (real() - began) * drift)
+        def read(real: Any = real, started: float = started, offset: float = offset) -> float:
+            return float(real() + offset + (real() - started) * drift)
 
         setattr(time, name, read)
 
 
-def fill(folder: pathlib.Path, flag: pathlib.Path) -> None:
+def make_disk_fillable(folder: pathlib.Path, flag: pathlib.Path) -> None:
+    """Makes appends to files in `folder` fail while `flag` exists."""
     real = DiskFile.append
 
     def append(self: DiskFile, data: bytes) -> None:
@@ -44,13 +46,13 @@
     DiskFile.append = append  # type: ignore[method-assign]
 
 
-def begin() -> None:
+def run() -> None:
     faults = json.loads(sys.argv[1])
-    skew(faults.get("skew_ms", 0.0), faults.get("drift", 0.0))
+    skew_clocks(faults.get("skew_ms", 0.0), faults.get("drift", 0.0))
     if "full" in faults:
-        fill(pathlib.Path(faults["disk"]), pathlib.Path(faults["full"]))
+        make_disk_fillable(pathlib.Path(faults["disk"]), pathlib.Path(faults["full"]))
     sys.exit(main(sys.argv[2:]))
 
 
 if __name__ == "__main__":
-    begin()
+    run()
--- a/standins/files.py
+++ b/standins/files.py
@@ -1,6 +1,7 @@
-"""A folder in memory that loses power: what was not synced is lost, kept in part, or kept in another order.
+"""An in-memory folder with simulated power loss: unsynced data is lost, kept in part, or kept out of order.
 
-Faults are scripted by operation: `fail` names the number of operations until one raises, and what it raises.
+`MemoryFolder.fail` scripts a fault: the number of operations until one raises, and the exception that it
+raises.
 """
 
 from __future__ import annotations
@@ -11,180 +12,193 @@
 
 from frostport.store.errors import LockedError
 
-BLOCK = 16  # the size in which unsynced data may be kept or lost
+BLOCK_BYTES = 16  # the size in which unsynced data may be kept or lost
 DATABASE = "\0database"
 
 
 class PowerLostError(BaseException):
-    """The machine is gone: nothing above may catch it as an error of a file."""
+    """The machine has lost power. A BaseException, so that no handler for file errors catches it."""
 
 
-class Node:
-    """A file's bytes: what is durable, and what was written since."""
+class Inode:
+    """A file's contents: the durable bytes, the current bytes, and the changes since the last sync."""
 
     def __init__(self, durable: bytes = b"") -> None:
-        self.durable, self.now = durable, bytearray(durable)
-        self.pending: list[tuple[int, bytes] | int] = []  # a write at an offset, or a truncation
+        self.durable, self.current = durable, bytearray(durable)
+        # Each is a write (offset and data), or a truncation (the new size).
+        self.pending: list[tuple[int, bytes] | int] = []
 
     def write(self, offset: int, data: bytes) -> None:
-        self.now[len(self.now) :] = bytes(max(0, offset - len(self.now)))
-        self.now[offset : offset + len(data)] = data
+        self.current[len(self.current) :] = bytes(max(0, offset - len(self.current)))
+        self.current[offset : offset + len(data)] = data
         self.pending.append((offset, data))
 
     def truncate(self, size: int) -> None:
-        del self.now[size:]
+        del self.current[size:]
         self.pending.append(size)
 
     def sync(self) -> None:
-        self.durable, self.pending = bytes(self.now), []
-
-    def after_crash(self, chance: random.Random) -> Node:
-        """Nothing, all, a torn prefix, or any blocks of what was not synced."""
-        how = chance.choice(("nothing", "all", "prefix", "blocks"))
-        if how == "nothing":
-            return Node(self.durable)
-        if how == "all":
-            return Node(bytes(self.now))
-        kept = Node(self.durable)
-        steps = self.pending if how == "blocks" else self.pending[: chance.randint(0, len(self.pending))]
-        for number, step in enumerate(steps):
-            if isinstance(step, int):
-                kept.truncate(step)
-            elif how == "prefix":
-                last = number == len(steps) - 1
-                kept.write(step[0], step[1][: chance.randint(0, len(step[1])) if last else None])
+        self.durable, self.pending = bytes(self.current), []
+
+    def after_power_loss(self, rng: random.Random) -> Inode:
+        """The file as found after a power loss: with none or all of the unsynced changes, a prefix of them of
+        which the last is torn, or any of their blocks."""
+        outcome = rng.choice(("nothing", "all", "prefix", "blocks"))
+        if outcome == "nothing":
+            return Inode(self.durable)
+        if outcome == "all":
+            return Inode(bytes(self.current))
+        kept = Inode(self.durable)
+        changes = self.pending if outcome == "blocks" else self.pending[: rng.randint(0, len(self.pending))]
+        for number, change in enumerate(changes):
+            if isinstance(change, int):
+                kept.truncate(change)
+            elif outcome == "prefix":
+                last = number == len(changes) - 1
+                kept.write(change[0], change[1][: rng.randint(0, len(change[1])) if last else None])
             else:
-                for at in range(0, len(step[1]), BLOCK):
-                    if chance.random() < 0.6:
-                        kept.write(step[0] + at, step[1][at : at + BLOCK])
-        return Node(bytes(kept.now))
+                for at in range(0, len(change[1]), BLOCK_BYTES):
+                    if rng.random() < 0.6:
+                        kept.write(change[0] + at, change[1][at : at + BLOCK_BYTES])
+        return Inode(bytes(kept.current))
 
 
 class MemoryFile:
-    def __init__(self, folder: MemoryFolder, name: str, node: Node) -> None:
-        self.folder, self.name, self.node = folder, name, node
+    """An open file of a `MemoryFolder`, with the interface of `frostport.store.files.DiskFile`."""
+
+    def __init__(self, folder: MemoryFolder, name: str, inode: Inode) -> None:
+        self.folder, self.name, self.inode = folder, name, inode
 
     def append(self, data: bytes) -> None:
-        part = self.folder.step("append", self.name)
-        end = len(self.node.now)
-        if part is not None:  # a fault: a part of it is written all the same
-            self.node.write(end, data[: part(len(data))])
-            raise self.folder.raises()
-        self.node.write(end, data)
+        written_bytes = self.folder.begin_operation("append", self.name)
+        end = len(self.inode.current)
+        if written_bytes is not None:  # a scripted fault: part of the data is written all the same
+            self.inode.write(end, data[: written_bytes(len(data))])
+            raise self.folder.make_error()
+        self.inode.write(end, data)
 
     def write_at(self, offset: int, data: bytes) -> None:
-        part = self.folder.step("write", self.name)
-        if part is not None:
-            self.node.write(offset, data[: part(len(data))])
-            raise self.folder.raises()
-        self.node.write(offset, data)
+        written_bytes = self.folder.begin_operation("write", self.name)
+        if written_bytes is not None:
+            self.inode.write(offset, data[: written_bytes(len(data))])
+            raise self.folder.make_error()
+        self.inode.write(offset, data)
 
     def read_at(self, offset: int, size: int) -> bytes:
-        return bytes(self.node.now[offset : offset + size])
+        return bytes(self.inode.current[offset : offset + size])
 
     def size(self) -> int:
-        return len(self.node.now)
+        return len(self.inode.current)
 
     def truncate(self, size: int) -> None:
-        if self.folder.step("truncate", self.name) is not None:
-            raise self.folder.raises()
-        self.node.truncate(size)
+        if self.folder.begin_operation("truncate", self.name) is not None:
+            raise self.folder.make_error()
+        self.inode.truncate(size)
 
     def sync(self) -> None:
-        if self.folder.step("sync", self.name) is not None:
-            raise self.folder.raises()
-        self.node.sync()
+        if self.folder.begin_operation("sync", self.name) is not None:
+            raise self.folder.make_error()
+        self.inode.sync()
 
     def close(self) -> None:
         pass
 
 
 class MemoryFolder:
-    """A folder that can be made to fail at any operation, and to crash."""
-
-    def __init__(self, files: dict[str, bytes] | None = None, chance: random.Random | None = None) -> None:
-        self.chance = chance or random.Random(0)
-        self.nodes = {name: Node(data) for name, data in (files or {}).items()}
-        self.durable = dict(self.nodes)  # the names as they would be found after a crash
-        self.renames: list[tuple[str, str | None, Node | None]] = []  # not yet synced: old, new, node
-        self.steps = 0
-        self.fails_at, self.error = -1, BaseException
-        self.lasting = False
+    """A folder that can be made to fail at any operation and to lose power, with the interface of
+    `frostport.store.files.DiskFolder`."""
+
+    def __init__(self, files: dict[str, bytes] | None = None, rng: random.Random | None = None) -> None:
+        self.rng = rng or random.Random(0)
+        self.inodes = {name: Inode(data) for name, data in (files or {}).items()}
+        self.durable = dict(self.inodes)  # the directory entries as of the last sync
+        # Unsynced changes of directory entries: old name, new name (None: removed), inode.
+        self.renames: list[tuple[str, str | None, Inode | None]] = []
+        self.operations = 0
+        self.fails_at_operation, self.error = -1, BaseException
+        self.persistent = False
         self.locked = False
-        self.log: list[str] = []
+        self.log: list[str] = []  # each operation and its file
 
     # Faults
 
-    def fail(self, after: int, error: Callable[[], BaseException], lasting: bool = False) -> None:
-        """The `after`th operation from now raises; with `lasting`, all that follow as well."""
-        self.fails_at, self._raises, self.lasting = self.steps + after, error, lasting
-
-    def step(self, what: str, name: str) -> Callable[[int], int] | None:
-        """Counts an operation; where it shall fail, how much of its data is still written."""
-        self.steps += 1
+    def fail(self, after: int, make_error: Callable[[], BaseException], persistent: bool = False) -> None:
+        """Makes the `after`th operation from now raise; if `persistent`, all following ones as well."""
+        self.fails_at_operation, self._make_error, self.persistent = (
+            self.operations + after,
+            make_error,
+            persistent,
+        )
+
+    def begin_operation(self, what: str, name: str) -> Callable[[int], int] | None:
+        """Counts an operation. Returns None if it shall succeed, otherwise a function from the size of its
+        data to the number of bytes that are written before it fails."""
+        self.operations += 1
         self.log.append(f"{what} {name}")
-        if self.steps == self.fails_at or (self.lasting and 0 <= self.fails_at < self.steps):
-            return lambda size: self.chance.randint(0, size)
+        if self.operations == self.fails_at_operation or (
+            self.persistent and 0 <= self.fails_at_operation < self.operations
+        ):
+            return lambda size: self.rng.randint(0, size)
         return None
 
-    def raises(self) -> BaseException:
-        return self._raises()
+    def make_error(self) -> BaseException:
+        """The exception of the scripted fault."""
+        return self._make_error()
 
-    def crash(self, chance: random.Random) -> MemoryFolder:
-        """The folder as it is found after the power was lost now."""
-        found = MemoryFolder(chance=chance)
+    def after_power_loss(self, rng: random.Random) -> MemoryFolder:
+        """The folder as it is found if power is lost now."""
+        found = MemoryFolder(rng=rng)
         names = dict(self.durable)
-        kept = self.renames[: chance.randint(0, len(self.renames))]
-        if chance.random() < 0.5:  # in any order: no system promises that one goes before the other
-            kept = [rename for rename in self.renames if chance.random() < 0.5]
-        for old, new, node in kept:
+        kept = self.renames[: rng.randint(0, len(self.renames))]
+        if rng.random() < 0.5:  # any subset: file systems do not promise to keep their order
+            kept = [rename for rename in self.renames if rng.random() < 0.5]
+        for old, new, inode in kept:
             names.pop(old, None)
-            if new is not None and node is not None:
-                names[new] = node
-        found.nodes = {name: node.after_crash(chance) for name, node in names.items()}
-        found.durable = dict(found.nodes)
+            if new is not None and inode is not None:
+                names[new] = inode
+        found.inodes = {name: inode.after_power_loss(rng) for name, inode in names.items()}
+        found.durable = dict(found.inodes)
         return found
 
-    def killed(self) -> MemoryFolder:
-        """The folder as it is found after the process alone was killed: the system has all that was
-        written."""
-        return MemoryFolder(self.contents(), self.chance)
+    def after_kill(self) -> MemoryFolder:
+        """The folder as it is found if only the process is killed: the system keeps all that was written."""
+        return MemoryFolder(self.contents(), self.rng)
 
     def contents(self) -> dict[str, bytes]:
-        return {name: bytes(node.now) for name, node in self.nodes.items()}
+        return {name: bytes(inode.current) for name, inode in self.inodes.items()}
 
-    # As the engine's folder
+    # The interface that the engine uses
 
     def names(self) -> set[str]:
-        return set(self.nodes)
+        return set(self.inodes)
 
     def open(self, name: str, create: bool = False) -> MemoryFile:
-        if name not in self.nodes:
+        if name not in self.inodes:
             if not create:
                 raise FileNotFoundError(2, "no such file", name)
-            if self.step("create", name) is not None:
-                raise self.raises()
-            self.nodes[name] = Node()
-            self.renames.append((name, name, self.nodes[name]))
-        return MemoryFile(self, name, self.nodes[name])
+            if self.begin_operation("create", name) is not None:
+                raise self.make_error()
+            self.inodes[name] = Inode()
+            self.renames.append((name, name, self.inodes[name]))
+        return MemoryFile(self, name, self.inodes[name])
 
     def replace(self, old: str, new: str) -> None:
-        if self.step("replace", new) is not None:
-            raise self.raises()
-        self.nodes[new] = self.nodes.pop(old)
-        self.renames.append((old, new, self.nodes[new]))
+        if self.begin_operation("replace", new) is not None:
+            raise self.make_error()
+        self.inodes[new] = self.inodes.pop(old)
+        self.renames.append((old, new, self.inodes[new]))
 
     def remove(self, name: str) -> None:
-        if name in self.nodes:
-            if self.step("remove", name) is not None:
-                raise self.raises()
-            del self.nodes[name]
+        if name in self.inodes:
+            if self.begin_operation("remove", name) is not None:
+                raise self.make_error()
+            del self.inodes[name]
             self.renames.append((name, None, None))
 
     def sync(self) -> None:
-        if self.step("sync", ".") is not None:
-            raise self.raises()
-        self.durable, self.renames = dict(self.nodes), []
+        if self.begin_operation("sync", ".") is not None:
+            raise self.make_error()
+        self.durable, self.renames = dict(self.inodes), []
 
     def lock(self) -> None:
         if self.locked:
@@ -195,15 +209,15 @@
         self.locked = False
 
     def database(self, name: str) -> sqlite3.Connection:
-        """The index in memory, from the image that was last committed."""
+        """The index database in memory, loaded from the image that was last committed."""
         database = sqlite3.connect(":memory:", isolation_level=None, check_same_thread=False)
-        if name in self.nodes and self.nodes[name].now:
-            database.deserialize(bytes(self.nodes[name].now))
+        if name in self.inodes and self.inodes[name].current:
+            database.deserialize(bytes(self.inodes[name].current))
         return database
 
     def committed(self, name: str, database: sqlite3.Connection) -> None:
         file = self.open(name, create=True)
-        if self.step("image", name) is not None:
-            raise self.raises()
-        file.node.truncate(0)
-        file.node.write(0, database.serialize())
+        if self.begin_operation("image", name) is not None:
+            raise self.make_error()
+        file.inode.truncate(0)
+        file.inode.write(0, database.serialize())
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,6 +1,7 @@
-"""Real processes of the program, a relay on every ordered pair of agents, a checker of their records.
+"""Runs real agent processes, with a relay for every ordered pair of agents, and checks their event records.
 
-With an `Outside` there are relays as well between each agent and its clients, lobby servers and list service.
+An `Environment` adds clients, lobby servers and a list service, with a relay between each of them and its
+agent.
 """
 
 from __future__ import annotations
@@ -23,22 +24,24 @@
 from frostport.agreement.state_machine import Note
 from frostport.store.engine import Engine, Limits
 from frostport.store.files import DiskFolder
-from standins.faults import BACK, FORWARD, DatagramRelay, StreamRelay, Way
+from standins.faults import BACK, FORWARD, DatagramRelay, DirectionFaults, StreamRelay
 from standins.lists import ListService
-from standins.lobby import Books, Caller, Lobby, configuration
+from standins.lobby import Caller, LobbyServer, Observations, configuration
 from standins.ports import free_ports
 
-PATIENCE_S = 90.0  # the end of a wait for something recorded; no verdict rests on it
+TIMEOUT_S = 90.0  # bounds each wait for an event; a test's verdict does not depend on how long it takes
 
 
-class Outside:
-    """Clients, two lobby servers and a list service for each agent, each behind a relay: `clients`, `h0`,
-    `h1`, `list`."""
+class Environment:
+    """Clients, two lobby servers and a list service for each agent, each behind a relay.
+
+    `relays` is keyed by the agent's name and one of "clients", "h0", "h1" and "list".
+    """
 
     def __init__(self, callers: int = 2) -> None:
-        self.books, self.list, self.callers = Books(), ListService(), list[Caller]()
-        self.lobbies: list[Lobby] = []
-        self.each = callers
+        self.observed, self.list_service, self.callers = Observations(), ListService(), list[Caller]()
+        self.lobbies: list[LobbyServer] = []
+        self.callers_per_agent = callers
         self.relays: dict[tuple[str, str], StreamRelay] = {}
         self.tasks: list[asyncio.Task[None]] = []
         self.hosts = [
@@ -53,46 +56,55 @@
             }
             for number in (0, 1)
         ]
-        self.list.tell(self.hosts)
+        self.list_service.publish(self.hosts)
 
-    async def _relay(self, name: str, what: str, port: int, chance: random.Random) -> str:
-        relay = self.relays[name, what] = StreamRelay(f"{name}/{what}", ("127.0.0.1", port), chance)
+    async def _relay(self, name: str, what: str, port: int, rng: random.Random) -> str:
+        relay = self.relays[name, what] = StreamRelay(f"{name}/{what}", ("127.0.0.1", port), rng)
         return await relay.start()
 
-    async def join(self, name: str, listen: int, chance: random.Random) -> tuple[dict[str, str], str]:
-        """The addresses of the servers and of the list, as this agent is to reach them."""
+    async def add_agent(self, name: str, listen: int, rng: random.Random) -> tuple[dict[str, str], str]:
+        """Starts an agent's parties. Returns its lobby servers' addresses by host, and its list service's
+        address."""
         dials = {}
         for host in ("h0", "h1"):
-            lobby = Lobby(f"{name}.{host}", self.books, random.Random(chance.random()), ends=0.3)
+            lobby = LobbyServer(
+                f"{name}.{host}", self.observed, random.Random(rng.random()), end_probability=0.3
+            )
             self.lobbies.append(lobby)
-            dials[host] = await self._relay(name, host, await lobby.start(), chance)
-        told = await self._relay(name, "list", await self.list.start(name, dials), chance)
-        address = await self._relay(name, "clients", listen, chance)
+            dials[host] = await self._relay(name, host, await lobby.start(), rng)
+        told = await self._relay(name, "list", await self.list_service.start(name, dials), rng)
+        address = await self._relay(name, "clients", listen, rng)
         port = int(address.rpartition(":")[2])
         first = len(self.callers)
         self.callers += [
-            Caller(first + number, self.books, random.Random(chance.random()), lambda: port)
-            for number in range(self.each)
+            Caller(first + number, self.observed, random.Random(rng.random()), lambda: port)
+            for number in range(self.callers_per_agent)
         ]
         return dials, told
 
-    def call(self) -> None:
+    def start_callers(self) -> None:
+        """Starts all clients."""
         self.tasks += [asyncio.create_task(caller.run()) for caller in self.callers]
 
-    def balance(self, rig: Rig) -> None:
-        """As a balancer before the agents does: it asks each whether it is ready, and sends nothing new to
-        one that is not."""
+    def start_balancer(self, rig: Rig) -> None:
+        """Acts as a load balancer in front of the agents: it polls each agent's readiness, and sends no new
+        calls to one that is not ready."""
 
         async def watch(name: str, callers: list[Caller]) -> None:
             while True:
                 ready = (await rig.ask(name, "ready"))[:1] == ["OK yes"]
                 for caller in callers:
-                    caller.elsewhere = not ready and caller.heeds
+                    caller.avoids_agent = not ready and caller.follows_balancer
                 await asyncio.sleep(0.05)
 
         self.tasks += [
-            asyncio.create_task(watch(name, self.callers[at * self.each : (at + 1) * self.each]))
-            for at, name in enumerate(rig.names)
+            asyncio.create_task(
+                watch(
+                    name,
+                    self.callers[number * self.callers_per_agent : (number + 1) * self.callers_per_agent],
+                )
+            )
+            for number, name in enumerate(rig.names)
         ]
 
     def heal(self) -> None:
@@ -105,11 +117,15 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
         for relay in self.relays.values():
             relay.stop()
-        await self.list.stop()
+        await self.list_service.stop()
 
 
 class Rig:
-    """Agents `n0`, `n1` ...; the first `voters` of them vote. `machines`: faults of standins/faulty.py."""
+    """A fleet of agent processes `n0`, `n1` ..., of which the first `voters` are voters.
+
+    `machines` maps agents to the faults of their machines, as JSON for standins/faulty.py. The relays and the
+    environment draw from generators seeded with `seed`.
+    """
 
     def __init__(
         self,
@@ -118,48 +134,51 @@
         voters: int,
         seed: int,
         relays: bool = True,
-        outside: Outside | None = None,
+        environment: Environment | None = None,
         machines: dict[str, dict[str, Any]] | None = None,
-        top: dict[str, Any] | None = None,
+        extra_config: dict[str, Any] | None = None,
         **fleet: Any,
     ) -> None:
-        """`top`: more of each agent's configuration; `fleet`: more of its `fleet`."""
-        self.top = top or {}
-        self.outside, self.machines = outside, machines or {}
-        self.reached: dict[str, tuple[dict[str, str], str]] = {}  # by agent: its servers and its list
-        self.folder, self.chance, self.seed = folder, random.Random(seed), seed
+        """`extra_config` adds top-level fields to each agent's configuration, `fleet` fields of its section
+        `fleet`."""
+        self.extra_config = extra_config or {}
+        self.environment, self.machines = environment, machines or {}
+        self.addresses_by_agent: dict[str, tuple[dict[str, str], str]] = {}  # see `Environment.add_agent`
+        self.folder, self.rng, self.seed = folder, random.Random(seed), seed
         self.names = [f"n{number}" for number in range(count)]
-        self.voters, self.more, self.relayed = self.names[:voters], fleet, relays
+        self.voters, self.fleet_options, self.use_relays = self.names[:voters], fleet, relays
         ports = iter(free_ports(4 * count))
         self.ports = {
             name: {what: next(ports) for what in ("listen", "door", "gossip", "link")} for name in self.names
         }
-        self.across = False  # relays only between agents of different zones
+        self.relays_between_zones_only = False  # set before entering: no relays between agents of one zone
         self.relays: dict[tuple[str, str], tuple[DatagramRelay, StreamRelay]] = {}
         self.programs: dict[str, asyncio.subprocess.Process] = {}
         self.log = (folder / "log").open("wb")
         self.history: list[str] = []
-        self.patience_s = PATIENCE_S
-        self.notes = 0
+        self.timeout_s = TIMEOUT_S
+        self.note_count = 0
 
-    # Beginning and end
+    # Start and stop
 
     async def __aenter__(self) -> Rig:
-        for first in self.names if self.relayed else ():
+        for first in self.names if self.use_relays else ():
             for second in self.names:
-                if first != second and (not self.across or self.zone(first) != self.zone(second)):
-                    chance = random.Random(self.chance.random())
+                if first != second and (
+                    not self.relays_between_zones_only or self.zone(first) != self.zone(second)
+                ):
+                    rng = random.Random(self.rng.random())
                     pair = (
-                        DatagramRelay(f"{first}>{second}", self.at(second, "gossip"), chance),
-                        StreamRelay(f"{first}>{second}", self.at(second, "link"), chance),
+                        DatagramRelay(f"{first}>{second}", self.endpoint(second, "gossip"), rng),
+                        StreamRelay(f"{first}>{second}", self.endpoint(second, "link"), rng),
                     )
                     for relay in pair:
                         await relay.start()
                     self.relays[first, second] = pair
-        for name in self.names if self.outside is not None else ():
-            assert self.outside is not None
-            self.reached[name] = await self.outside.join(
-                name, self.ports[name]["listen"], random.Random(self.chance.random())
+        for name in self.names if self.environment is not None else ():
+            assert self.environment is not None
+            self.addresses_by_agent[name] = await self.environment.add_agent(
+                name, self.ports[name]["listen"], random.Random(self.rng.random())
             )
         for name in self.names:
             await self.start(name)
@@ -171,14 +190,15 @@
                 program.send_signal(signal.SIGCONT)
                 program.kill()
             await program.wait()
-        if self.outside is not None:
-            await self.outside.stop()
+        if self.environment is not None:
+            await self.environment.stop()
         for pair in self.relays.values():
             for relay in pair:
                 relay.stop()
         self.log.close()
 
-    def at(self, name: str, what: str) -> tuple[str, int]:
+    def endpoint(self, name: str, what: str) -> tuple[str, int]:
+        """Host and port of an agent's `what`: "listen", "door", "gossip" or "link"."""
         return "127.0.0.1", self.ports[name][what]
 
     def zone(self, name: str) -> str:
@@ -188,6 +208,7 @@
         return f"127.0.0.1:{self.ports[name][what]}"
 
     async def start(self, name: str) -> None:
+        """Writes the agent's configuration and starts its process."""
         routes = {}
         for other in self.names:
             if (name, other) in self.relays:
@@ -205,125 +226,138 @@
             "record": f"{name}.jsonl",
             "zone": self.zone(name),
             "routes": routes,
-            **self.more,
+            **self.fleet_options,
         }
-        record = {
+        config = {
             **configuration(self.ports[name]["listen"], []),
             "name": name,
             "fleet": fleet,
             "operator": self.address(name, "door"),
         }
-        if self.outside is not None:
-            dials, told = self.reached[name]
-            first = self.outside.list.event(1, dials)
-            record.update(
-                bus=told, known={"offset": 1, "batch": [json.loads(first)]}, store={"path": f"{name}.store"}
+        if self.environment is not None:
+            dials, list_address = self.addresses_by_agent[name]
+            first = self.environment.list_service.encode_event(1, dials)
+            config.update(
+                bus=list_address,
+                known={"offset": 1, "batch": [json.loads(first)]},
+                store={"path": f"{name}.store"},
             )
-        record.update(self.top)
+        config.update(self.extra_config)
         path = self.folder / f"{name}.json"
-        path.write_text(json.dumps(record), encoding="utf-8")
-        how = ["standins.faulty", json.dumps(self.machines[name])] if name in self.machines else ["frostport"]
+        path.write_text(json.dumps(config), encoding="utf-8")
+        module = (
+            ["standins.faulty", json.dumps(self.machines[name])] if name in self.machines else ["frostport"]
+        )
         self.programs[name] = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", *how, "serve", "--config", str(path), stderr=self.log
+            sys.executable, "-m", *module, "serve", "--config", str(path), stderr=self.log
         )
 
-    def with_disks(self) -> None:
-        """From each agent's next start on, its disk can be filled."""
+    def make_disks_fillable(self) -> None:
+        """Makes `fill_disk` work for each agent from its next start on."""
         for name in self.names:
             self.machines[name] = {
                 "disk": str(self.folder / f"{name}.fleet"),
                 "full": str(self.folder / f"{name}.full"),
             }
 
-    def fill(self, name: str) -> None:
-        self.say(f"the disk of {name} is full")
+    def fill_disk(self, name: str) -> None:
+        """Lets the agent's disk refuse all writes, until `free_disk`."""
+        self.add_history(f"the disk of {name} is full")
         pathlib.Path(self.machines[name]["full"]).touch()
 
-    def refused(self, name: str) -> int:
-        """Writes that the full disk has refused."""
+    def refused_writes(self, name: str) -> int:
+        """The number of writes that the full disk has refused."""
         return len(pathlib.Path(self.machines[name]["full"]).read_text(encoding="utf-8").splitlines())
 
-    def room(self, name: str) -> None:
-        self.say(f"there is room on the disk of {name}")
+    def free_disk(self, name: str) -> None:
+        self.add_history(f"there is room on the disk of {name}")
         pathlib.Path(self.machines[name]["full"]).unlink()
 
-    # Faults; each is in the history, and its relay's record shows it
+    # Faults. Each is added to the history, and the relays count what they do
 
-    def say(self, text: str) -> None:
+    def add_history(self, text: str) -> None:
         self.history.append(text)
 
-    def way(self, sender: str, to: str) -> list[Way]:
-        """All that carries what `sender` says to `to`: its own relays forward, the other's back."""
+    def path_faults(self, sender: str, to: str) -> list[DirectionFaults]:
+        """The faults of each direction that carries data from `sender` to `to`: forward in the relays that
+        `sender` connects to, back in those that `to` connects to."""
         return [
-            relay.ways[direction]
+            relay.faults[direction]
             for pair, direction in (((sender, to), FORWARD), ((to, sender), BACK))
             for relay in self.relays[pair]
         ]
 
     def cut(self, sender: str, to: str) -> None:
-        self.say(f"cut {sender} > {to}")
-        for way in self.way(sender, to):
-            way.cut = True
-
-    def links_cut(self, name: str) -> None:
-        """Its links, both ways; datagrams go on."""
-        self.say(f"cut all links of {name}")
+        """Cuts one direction."""
+        self.add_history(f"cut {sender} > {to}")
+        for faults in self.path_faults(sender, to):
+            faults.cut = True
+
+    def cut_links(self, name: str) -> None:
+        """Cuts all links of an agent in both directions; datagrams still pass."""
+        self.add_history(f"cut all links of {name}")
         for pair, (_, link) in self.relays.items():
             if name in pair:
-                for way in link.ways.values():
-                    way.cut = True
+                for faults in link.faults.values():
+                    faults.cut = True
 
-    def apart(self, some: list[str]) -> None:
+    def partition(self, some: list[str]) -> None:
+        """Cuts these agents off from all others, in both directions."""
         for name in some:
             for other in self.names:
                 if other not in some and (name, other) in self.relays:
                     self.cut(name, other)
                     self.cut(other, name)
 
-    def every(self, what: str, **changes: float) -> None:
-        self.say(f"every datagram: {what}")
+    def set_datagram_faults(self, what: str, **changes: float) -> None:
+        """Sets fields of `DirectionFaults` for all datagrams; `what` describes them in the history."""
+        self.add_history(f"every datagram: {what}")
         for gossip, _ in self.relays.values():
-            for way in gossip.ways.values():
+            for faults in gossip.faults.values():
                 for name, value in changes.items():
-                    setattr(way, name, value)
+                    setattr(faults, name, value)
 
     def heal(self) -> None:
-        self.say("heal")
+        """Removes all faults of the network."""
+        self.add_history("heal")
         for pair in self.relays.values():
             for relay in pair:
                 relay.heal()
-        if self.outside is not None:
-            self.outside.heal()
+        if self.environment is not None:
+            self.environment.heal()
 
-    def injected(self, what: str) -> int:
-        return sum(relay.record[what] for pair in self.relays.values() for relay in pair)
+    def fault_count(self, what: str) -> int:
+        """The sum of one counter over the relays between agents."""
+        return sum(relay.counts[what] for pair in self.relays.values() for relay in pair)
 
     async def kill(self, name: str, disk: bool = True) -> None:
-        self.say(f"kill {name}" + ("" if disk else " and its disk"))
+        """Kills an agent's process; unless `disk`, its fleet store is deleted as well."""
+        self.add_history(f"kill {name}" + ("" if disk else " and its disk"))
         with contextlib.suppress(ProcessLookupError):  # it may have ended by itself
             self.programs[name].kill()
         await self.programs[name].wait()
         if not disk:
             shutil.rmtree(self.folder / f"{name}.fleet")
 
-    def grow(self, count: int) -> None:
-        """Puts as many entries into the logs of the voters, which are down, as if they had settled them."""
-        self.say(f"{count} entries more")
+    def append_entries(self, count: int) -> None:
+        """Appends `count` entries to the logs of the voters, which are stopped, as if they were committed."""
+        self.add_history(f"{count} entries more")
         engines = [Engine.open(DiskFolder(self.folder / f"{name}.fleet"), Limits()) for name in self.voters]
         logs = [
             Log({key: value for key, value in engine.take_recovered().items() if key.startswith("raft/")})
             for engine in engines
         ]
         longest = max(logs, key=lambda log: (log.last_term, log.last_index))
-        first, term, whole = longest.last_index + 1, longest.last_term, list(longest.entries)
+        first, term, entries = longest.last_index + 1, longest.last_term, list(longest.entries)
         for engine, log in zip(engines, logs, strict=True):
-            # As the leader would: what differs from the longest is cut, what is missing added.
-            same = next(
+            # As a leader does: truncate entries that conflict with the longest log, append the missing ones.
+            conflict = next(
                 (entry.index for entry in log.entries if longest.term_at(entry.index) != entry.term),
                 log.last_index + 1,
             )
             engine.append(
-                log.truncate_from(same) + log.append([entry for entry in whole if entry.index >= same])
+                log.truncate_from(conflict)
+                + log.append([entry for entry in entries if entry.index >= conflict])
             )
             for at in range(0, count, 1000):
                 engine.append(
@@ -345,29 +379,31 @@
             engine.close()
 
     def freeze(self, name: str) -> None:
-        self.say(f"stop {name}")
+        """Sends SIGSTOP."""
+        self.add_history(f"stop {name}")
         self.programs[name].send_signal(signal.SIGSTOP)
 
-    async def frozen(self, name: str) -> None:
-        """Stops it, and waits until it has stopped: the signal takes its time."""
+    async def freeze_and_wait(self, name: str) -> None:
+        """Sends SIGSTOP and waits until the process has stopped, which the signal does not do at once."""
         self.freeze(name)
         stat = pathlib.Path(f"/proc/{self.programs[name].pid}/stat")
 
         async def stopped() -> bool:
             return stat.read_text(encoding="utf-8").rpartition(")")[2].split()[0] == "T"
 
-        await self.until(f"{name} has stopped", stopped)
+        await self.wait_until(f"{name} has stopped", stopped)
 
-    def wake(self, name: str) -> None:
-        self.say(f"continue {name}")
+    def unfreeze(self, name: str) -> None:
+        """Sends SIGCONT."""
+        self.add_history(f"continue {name}")
         self.programs[name].send_signal(signal.SIGCONT)
 
-    # Asking
+    # Queries
 
     async def ask(self, name: str, line: str) -> list[str]:
-        """One call at a door; [] where nobody answers."""
+        """The lines that an agent's operator port answers to one command; [] if it does not answer."""
         try:
-            reader, writer = await asyncio.open_connection(*self.at(name, "door"))
+            reader, writer = await asyncio.open_connection(*self.endpoint(name, "door"))
             writer.write(line.encode() + b"\n")
             answer = await asyncio.wait_for(reader.read(), 5.0)
             writer.close()
@@ -375,49 +411,59 @@
         except (OSError, TimeoutError):
             return []
 
-    async def agreed(self, name: str) -> dict[str, str]:
+    async def log_status(self, name: str) -> dict[str, str]:
+        """The fields of an agent's answer to the `agreed` command."""
         answer = await self.ask(name, "agreed")
-        return dict(part.split("=", 1) for part in answer[0].split()[1:]) if answer else {}
+        return dict(field.split("=", 1) for field in answer[0].split()[1:]) if answer else {}
 
     async def note(self, name: str) -> None:
-        self.notes += 1
-        await self.ask(name, f"note text-{self.notes}")
+        """Submits one more note to the agreed log through this agent."""
+        self.note_count += 1
+        await self.ask(name, f"note text-{self.note_count}")
 
-    async def until(self, what: str, done: Callable[[], Any]) -> None:
-        for _ in range(int(self.patience_s / 0.1)):
+    async def wait_until(self, what: str, done: Callable[[], Any]) -> None:
+        """Polls an awaitable condition; raises AssertionError naming `what` if it never holds."""
+        for _ in range(int(self.timeout_s / 0.1)):
             if await done():
                 return
             await asyncio.sleep(0.1)
-        said = {
+        statuses = {
             name: (await self.ask(name, "agreed"))[:1] or f"ended: {self.programs[name].returncode}"
             for name in self.names[:7]
         }
-        gone = {name: program.returncode for name, program in self.programs.items() if program.returncode}
-        said.update(gone=str(gone))
-        raise AssertionError(f"never: {what}; seed {self.seed}; {self.history}; {said}") from None
+        exit_codes = {
+            name: program.returncode for name, program in self.programs.items() if program.returncode
+        }
+        statuses.update(exit_codes=str(exit_codes))
+        raise AssertionError(
+            f"condition never held: {what}; seed {self.seed}; history: {self.history}; statuses: {statuses}"
+        ) from None
 
-    async def leader(self, among: list[str] | None = None) -> str:
+    async def wait_for_leader(self, among: list[str] | None = None) -> str:
+        """The name of the first agent, of these or of all, that reports that it is the leader."""
         found = ""
 
         async def led() -> bool:
             nonlocal found
             for name in among or self.names:
-                said = await self.agreed(name)
-                if said.get("role") == "leader":
+                status = await self.log_status(name)
+                if status.get("role") == "leader":
                     found = name
                     return True
             return False
 
-        await self.until("a leader", led)
+        await self.wait_until("a leader", led)
         return found
 
-    async def together(self, count: int) -> None:
-        """All agents see each other alive, and have applied the same, at least so many commands."""
+    async def wait_for_convergence(self, count: int) -> None:
+        """Waits until all agents see each other alive and have applied the same commands, `count` or more."""
 
         async def same() -> bool:
-            said = [await self.agreed(name) for name in self.names]
+            statuses = [await self.log_status(name) for name in self.names]
             return (
-                all(said) and len({told["digest"] for told in said}) == 1 and int(said[0]["count"]) >= count
+                all(statuses)
+                and len({status["digest"] for status in statuses}) == 1
+                and int(statuses[0]["count"]) >= count
             )
 
         async def seen() -> bool:
@@ -427,22 +473,27 @@
                     return False
             return True
 
-        await self.until("all see each other alive", seen)
-        await self.until(f"all have applied {count} commands", same)
+        await self.wait_until("all see each other alive", seen)
+        await self.wait_until(f"all have applied {count} commands", same)
 
-    # The checker
+    # Event records
 
     def records(self, name: str) -> list[dict[str, Any]]:
+        """The event records that an agent has written so far."""
         path = self.folder / f"{name}.jsonl"
-        whole, _, _ = path.read_text(encoding="utf-8").rpartition("\n")  # the last line may be under way
-        return [json.loads(line) for line in whole.splitlines()]
+        complete, _, _ = path.read_text(encoding="utf-8").rpartition("\n")  # the last line may be incomplete
+        return [json.loads(line) for line in complete.splitlines()]
 
-    async def check(self) -> None:
-        """One leader a term; one order everywhere; every acknowledged command in it."""
+    async def check_records(self) -> None:
+        """Stops all agents and checks their records.
+
+        Each term had at most one leader, all agents applied the same commands in the same order, these
+        include every acknowledged command (of which there are some), and no traceback was logged.
+        """
         for name in self.names:
             self.programs[name].terminate()
         for name in self.names:
-            assert await asyncio.wait_for(self.programs[name].wait(), PATIENCE_S) == 0
+            assert await asyncio.wait_for(self.programs[name].wait(), TIMEOUT_S) == 0
         leaders: dict[int, str] = {}
         orders: dict[str, dict[int, str]] = {}
         acknowledged: set[str] = set()
@@ -457,11 +508,13 @@
                         assert order.setdefault(int(index), id) == id
                 elif line["event"] == "acknowledged":
                     acknowledged.add(line["id"])
-        whole: dict[int, str] = {}
+        merged: dict[int, str] = {}
         for order in orders.values():
             for index, id in order.items():
-                assert whole.setdefault(index, id) == id, f"entry {index} differs; {self.history}"
-        assert acknowledged <= set(whole.values()), f"lost; seed {self.seed}; {self.history}"
+                assert merged.setdefault(index, id) == id, f"entry {index} differs; {self.history}"
+        assert acknowledged <= set(merged.values()), (
+            f"acknowledged commands are lost; seed {self.seed}; {self.history}"
+        )
         assert acknowledged
         text = (self.folder / "log").read_text(encoding="utf-8")
         assert "Traceback" not in text, text[-3000:]
--- a/standins/lists.py
+++ b/standins/lists.py
@@ -1,4 +1,4 @@
-"""The list service as a stand-in: numbered events, told from where each connection asks."""
+"""A scripted list service: numbered events, sent from the offset that each connection asks for."""
 
 from __future__ import annotations
 
@@ -10,22 +10,26 @@
 
 
 class ListService:
-    """One list; each agent has a port of its own, since it reaches the servers by addresses of its own."""
+    """One list of servers, which every agent reads at a port of its own, since each agent reaches the servers
+    at addresses of its own (through relays)."""
 
-    def __init__(self, beat_s: float = 1.0) -> None:
-        self.beat_s = beat_s
-        self.events: list[list[dict[str, Any]]] = []  # the hosts that each one tells of; the first is whole
-        self.asked: list[tuple[float, str, int]] = []  # when (s), by whom, from where
+    def __init__(self, heartbeat_s: float = 1.0) -> None:
+        self.heartbeat_s = heartbeat_s
+        # The hosts in each event; the first event is a complete list, the later ones are changes.
+        self.events: list[list[dict[str, Any]]] = []
+        self.requests: list[tuple[float, str, int]] = []  # Unix s, agent, offset
         self.tasks: set[asyncio.Task[None]] = set()
         self.servers: list[asyncio.Server] = []
-        self.told = asyncio.Event()
+        self.changed = asyncio.Event()  # set, and replaced, with each new event
 
-    def tell(self, hosts: list[dict[str, Any]]) -> None:
+    def publish(self, hosts: list[dict[str, Any]]) -> None:
+        """Adds an event and sends it on all connections."""
         self.events.append(hosts)
-        self.told.set()
-        self.told = asyncio.Event()
+        self.changed.set()
+        self.changed = asyncio.Event()
 
-    def event(self, number: int, dials: dict[str, str]) -> bytes:
+    def encode_event(self, number: int, dials: dict[str, str]) -> bytes:
+        """The line for an event, counted from 1; `dials` maps host names to addresses."""
         hosts = [{**host, "dial": dials[host["host"]]} for host in self.events[number - 1]]
         return (
             json.dumps(
@@ -35,19 +39,21 @@
         )
 
     async def start(self, name: str, dials: dict[str, str]) -> int:
+        """Listens for one agent, and returns the port."""
+
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with contextlib.suppress(ConnectionError, ValueError):
-                at = int((await reader.readline()).split()[1])
-                self.asked.append((time.time(), name, at))
+                offset = int((await reader.readline()).split()[1])
+                self.requests.append((time.time(), name, offset))
                 while True:
-                    told = self.told
-                    while at < len(self.events):
-                        at += 1
-                        writer.write(self.event(at, dials))
-                    writer.write(b"%d\n" % at)
+                    changed = self.changed
+                    while offset < len(self.events):
+                        offset += 1
+                        writer.write(self.encode_event(offset, dials))
+                    writer.write(b"%d\n" % offset)
                     await writer.drain()
                     with contextlib.suppress(TimeoutError):
-                        await asyncio.wait_for(told.wait(), self.beat_s)
+                        await asyncio.wait_for(changed.wait(), self.heartbeat_s)
             writer.close()
 
         def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/standins/lobby.py
+++ b/standins/lobby.py
@@ -1,6 +1,7 @@
-"""Lobby servers and clients on the platform's wire, over real sockets, with books of what each saw.
+"""Scripted lobby servers and clients that speak the platform's protocol over real sockets.
 
-They do what the protocol allows, at random from a seed; what breaks a rule is a line in `Books.faults`.
+They choose among what the protocol allows with a seeded random generator, and record what they observe in one
+`Observations` object, which adds a line to its `faults` for each violation of the protocol by the agent.
 """
 
 from __future__ import annotations
@@ -14,13 +15,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-UNREAD_S = 1.0  # answers written so shortly before a connection broke may be lost, and are told again
-AGAIN = 0.15  # how likely a client's next set-up is the repetition of one that was not answered
+RESEND_WINDOW_S = (
+    1.0  # answers written within this time before a disconnect may be unread, so they are resent
+)
+REPEAT_PROBABILITY = 0.15  # that a client's next set-up repeats an unanswered one
 
 Message = dict[str, Any]
 
 
 def encode(verb: str, tag: str, rc: int | None = None, blob: str | None = None, **opts: Any) -> bytes:
+    """One message of the platform's protocol, as a line of JSON."""
     record: Message = {"verb": verb, "tag": tag, "opts": opts}
     record.update({} if rc is None else {"rc": rc})
     record.update({} if blob is None else {"blob": blob})
@@ -28,261 +32,277 @@
 
 
 @dataclass
-class Books:
-    """What all parties saw; `now` in seconds of the loop's clock."""
+class Observations:
+    """What all servers and clients of one test observe, with checks across them.
 
-    held: dict[str, dict[str, str]] = field(default_factory=dict)  # at each server: out, lost, stands
-    unsure: set[str] = field(default_factory=set)  # its client's connection broke before an answer came
-    over_first: set[str] = field(default_factory=set)  # their end was heard before any answer
-    stands: set[str] = field(default_factory=set)  # calls that their clients know to stand
+    A call at a server is "out" while the server prepares its answer, "stands" once the answer is written, and
+    "lost" if the connection broke before the client can be assumed to have the answer.
+    """
+
+    calls_by_server: dict[str, dict[str, str]] = field(default_factory=dict)  # state by call, by server name
+    uncertain: set[str] = field(default_factory=set)  # calls whose client lost its connection unanswered
+    ended_before_answer: set[str] = field(default_factory=set)  # calls whose end came before any answer
+    established: set[str] = field(default_factory=set)  # calls that stand as far as their clients know
     answers: int = 0
     refused: int = 0
     ended: int = 0  # calls that servers ended
-    waits_ms: list[float] = field(default_factory=list)  # from set-up to answer, where it stands
-    faults: list[str] = field(default_factory=list)
+    answer_times_ms: list[float] = field(default_factory=list)  # from set-up to answer, of established calls
+    faults: list[str] = field(default_factory=list)  # violations of the protocol
     set_ups: list[tuple[float, str, str]] = field(default_factory=list)  # Unix ms, server, call
-    apart: set[str] = field(default_factory=set)  # servers that were cut off: given up there, not heard of
+    partitioned: set[str] = field(default_factory=set)  # servers that a test cut off; they miss releases
 
-    def fault(self, text: str) -> None:
+    def report_fault(self, text: str) -> None:
         self.faults.append(text)
 
-    def set_up(self, server: str, call: str) -> None:
+    def record_set_up(self, server: str, call: str) -> None:
         self.set_ups.append((time.time() * 1000.0, server, call))
-        for other, calls in self.held.items():
-            if calls.get(call, "lost") != "lost" and other not in self.apart:
-                self.fault(f"{call}: set up at {server} while {calls[call]} at {other}")
-        self.held[server][call] = "out"
-
-    def answered(self, call: str, asked: bool, stands: bool, wait_ms: float) -> None:
-        if not asked:
-            self.fault(f"{call}: an answer to nothing asked")
+        for other, calls in self.calls_by_server.items():
+            if calls.get(call, "lost") != "lost" and other not in self.partitioned:
+                self.report_fault(f"{call}: set up at {server} while {calls[call]} at {other}")
+        self.calls_by_server[server][call] = "out"
+
+    def record_answer(self, call: str, requested: bool, established: bool, wait_ms: float) -> None:
+        if not requested:
+            self.report_fault(f"{call}: answered without an open set-up")
         self.answers += 1
-        self.unsure.discard(call)
-        if stands:
-            self.stands.add(call)
-            self.waits_ms.append(wait_ms)
+        self.uncertain.discard(call)
+        if established:
+            self.established.add(call)
+            self.answer_times_ms.append(wait_ms)
         else:
             self.refused += 1
 
 
-class Lobby:
-    """One lobby server: answers after a while, tells lost answers again on the next connection."""
+class LobbyServer:
+    """One lobby server. It answers each set-up after a random delay, and resends answers that may be lost and
+    ends that are not confirmed on each new connection."""
 
     def __init__(
         self,
         name: str,
-        books: Books,
-        chance: random.Random,
-        longest_ms: float = 10.0,
-        busy: float = 0.1,
-        ends: float = 0.0,
-        stands_ms: float = 60.0,
+        observed: Observations,
+        rng: random.Random,
+        max_answer_ms: float = 10.0,
+        refusal_probability: float = 0.1,
+        end_probability: float = 0.0,
+        max_call_ms: float = 60.0,
     ) -> None:
-        self.name, self.books, self.chance = name, books, chance
-        self.longest_ms, self.busy = longest_ms, busy
-        self.ends, self.stands_ms = ends, stands_ms  # the share it ends itself, and how late
-        self.ended: set[str] = set()  # by itself, and not confirmed: told again on each new connection
-        self.held = books.held.setdefault(name, {})
+        self.name, self.observed, self.rng = name, observed, rng
+        self.max_answer_ms, self.refusal_probability = max_answer_ms, refusal_probability
+        # The share of established calls that it ends by itself, and after how long at most.
+        self.end_probability, self.max_call_ms = end_probability, max_call_ms
+        self.unconfirmed_ends: set[str] = set()  # sent again on each new connection
+        self.calls = observed.calls_by_server.setdefault(name, {})
         self.server: asyncio.Server | None = None
         self.writers: list[asyncio.StreamWriter] = []
-        self.answered: dict[asyncio.StreamWriter, list[tuple[float, str]]] = {}  # when, and which call
+        self.answers: dict[asyncio.StreamWriter, list[tuple[float, str]]] = {}  # loop time and call
 
     async def start(self) -> int:
+        """Listens, and returns the port."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         return int(self.server.sockets[0].getsockname()[1])
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
-        for call in [call for call, how in self.held.items() if how == "lost"]:
-            self.held[call] = "stands"
+        for call in [call for call, state in self.calls.items() if state == "lost"]:
+            self.calls[call] = "stands"
             writer.write(encode("STARTED", call, blob="told again"))
-        for call in sorted(self.ended):
+        for call in sorted(self.unconfirmed_ends):
             writer.write(encode("FINISH", call, rc=16))
-        out: set[str] = set()
+        pending: set[str] = set()
         loop = asyncio.get_running_loop()
         with contextlib.suppress(ConnectionError):
             while line := await reader.readline():
                 message = json.loads(line)
                 match message["verb"]:
                     case "START":
-                        self.began()
-                        self.books.set_up(self.name, message["tag"])
-                        out.add(message["tag"])
+                        self.on_set_up()
+                        self.observed.record_set_up(self.name, message["tag"])
+                        pending.add(message["tag"])
                         loop.call_later(
-                            self.chance.uniform(0.0, self.longest_ms) / 1000.0,
+                            self.rng.uniform(0.0, self.max_answer_ms) / 1000.0,
                             self.answer,
                             writer,
                             message["tag"],
-                            out,
+                            pending,
                         )
                     case "FINISHED":
-                        self.ended.discard(message["tag"])
+                        self.unconfirmed_ends.discard(message["tag"])
                     case "FINISH":
-                        self.held.pop(message["tag"], None)
+                        self.calls.pop(message["tag"], None)
                         writer.write(encode("FINISHED", message["tag"]))
                     case "ECHO":
                         writer.write(encode("ECHOED", message["tag"], rc=1))
         self.writers.remove(writer)
-        for call in out:
-            if self.held.get(call) == "out":
-                self.held[call] = "lost"
-        for when, call in self.answered.pop(writer, []):
-            # Written shortly before the connection broke: nobody may have read it.
-            if when > loop.time() - UNREAD_S and self.held.get(call) == "stands":
-                self.held[call] = "lost"
+        for call in pending:
+            if self.calls.get(call) == "out":
+                self.calls[call] = "lost"
+        for when, call in self.answers.pop(writer, []):
+            # The agent may not have read an answer that was written shortly before the connection broke.
+            if when > loop.time() - RESEND_WINDOW_S and self.calls.get(call) == "stands":
+                self.calls[call] = "lost"
         writer.close()
 
-    def began(self) -> None:
-        """A set-up has come: for stand-ins that count what it costs them."""
+    def on_set_up(self) -> None:
+        """Called for each set-up; subclasses account for its cost."""
 
-    def answer(self, writer: asyncio.StreamWriter, call: str, out: set[str]) -> None:
-        if self.held.get(call) != "out" or call not in out or writer.is_closing():
+    def answer(self, writer: asyncio.StreamWriter, call: str, pending: set[str]) -> None:
+        """Refuses the call or establishes it, unless its connection broke or it was given up meanwhile."""
+        if self.calls.get(call) != "out" or call not in pending or writer.is_closing():
             return
-        out.discard(call)
-        if self.chance.random() < self.busy:
-            del self.held[call]
+        pending.discard(call)
+        if self.rng.random() < self.refusal_probability:
+            del self.calls[call]
             writer.write(encode("FINISH", call, rc=34))
         else:
-            self.held[call] = "stands"
+            self.calls[call] = "stands"
             writer.write(encode("STARTED", call, blob="a table"))
-            self.answered.setdefault(writer, []).append((asyncio.get_running_loop().time(), call))
-            if self.chance.random() < self.ends:
+            self.answers.setdefault(writer, []).append((asyncio.get_running_loop().time(), call))
+            if self.rng.random() < self.end_probability:
                 asyncio.get_running_loop().call_later(
-                    self.chance.uniform(0.0, self.stands_ms) / 1000.0, self.end, call
+                    self.rng.uniform(0.0, self.max_call_ms) / 1000.0, self.end, call
                 )
 
     def end(self, call: str) -> None:
-        """Ends a call that stands: on the newest connection, and on each later one until it is confirmed."""
-        if self.held.get(call) == "stands":
-            del self.held[call]
-            self.ended.add(call)
-            self.books.ended += 1
+        """Ends an established call on the newest connection, and on each later one until it is confirmed."""
+        if self.calls.get(call) == "stands":
+            del self.calls[call]
+            self.unconfirmed_ends.add(call)
+            self.observed.ended += 1
             if self.writers:
                 self.writers[-1].write(encode("FINISH", call, rc=16))
 
     def end_all(self) -> None:
-        """Ends by itself whatever it still holds."""
-        for call in list(self.held):
-            del self.held[call]
-            self.ended.add(call)
+        """Ends all calls that it still holds, in whatever state."""
+        for call in list(self.calls):
+            del self.calls[call]
+            self.unconfirmed_ends.add(call)
             if self.writers:
                 self.writers[-1].write(encode("FINISH", call, rc=16))
 
 
 class Caller:
-    """One client: sets calls up, releases them, and after a broken connection repeats some and forgets
-    others."""
+    """One client. It sets calls up and releases them; after a broken connection it repeats some of the
+    unanswered set-ups and forgets the others."""
 
     def __init__(
         self,
         name: int,
-        books: Books,
-        chance: random.Random,
+        observed: Observations,
+        rng: random.Random,
         port: Callable[[], int],
-        gap_ms: float = 10.0,
-        hold_ms: float = 100.0,
-        repeat: float = 0.5,
+        mean_gap_ms: float = 10.0,
+        max_hold_ms: float = 100.0,
+        repeat_probability: float = 0.5,
         address: str = "127.0.0.1",
     ) -> None:
-        self.address = address  # that it connects from
-        self.connects = 0
-        self.name, self.books, self.chance, self.port = name, books, chance, port
-        self.gap_ms, self.hold_ms, self.repeat = gap_ms, hold_ms, repeat
-        self.count = 0
-        self.asked: dict[str, float] = {}  # without an answer: when it was asked
-        self.mine: set[str] = set()  # stands, as far as this client knows
-        self.releasing: set[str] = set()  # released, and not confirmed
-        self.again: list[str] = []
-        self.asking = True
-        self.elsewhere = False  # a balancer sends it to other agents: it begins nothing here
-        self.heeds = True  # such a balancer
+        self.address = address  # the local address of its connections
+        self.connection_count = 0
+        self.name, self.observed, self.rng, self.port = name, observed, rng, port
+        self.mean_gap_ms, self.max_hold_ms, self.repeat_probability = (
+            mean_gap_ms,
+            max_hold_ms,
+            repeat_probability,
+        )
+        self.set_up_count = 0
+        self.pending: dict[str, float] = {}  # unanswered set-ups, with the loop time at which each was sent
+        self.established: set[str] = set()  # calls that stand as far as this client knows
+        self.releasing: set[str] = set()  # released, not yet confirmed
+        self.to_repeat: list[str] = []  # unanswered set-ups of earlier connections
+        self.active = True  # sends set-ups
+        self.avoids_agent = False  # set by the balancer: it sends no new set-ups to this agent
+        self.follows_balancer = True  # whether the balancer may set `avoids_agent`
         self.writer: asyncio.StreamWriter | None = None
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Connects again and again, until cancelled."""
         while True:
-            if self.elsewhere and not (self.mine or self.releasing or self.again):
+            if self.avoids_agent and not (self.established or self.releasing or self.to_repeat):
                 await asyncio.sleep(0.01)
                 continue
             try:
                 reader, self.writer = await asyncio.open_connection(
                     "127.0.0.1", self.port(), local_addr=(self.address, 0)
                 )
-                self.connects += 1
+                self.connection_count += 1
             except ConnectionError:
                 await asyncio.sleep(0.01)
                 continue
-            asking = asyncio.create_task(self.ask(self.writer))
+            sending = asyncio.create_task(self.send_set_ups(self.writer))
             try:
                 for call in sorted(self.releasing):
                     self.release(call)
                 while line := await reader.readline():
-                    self.heard(json.loads(line))
+                    self.handle(json.loads(line))
             except ConnectionError:
                 pass
             finally:
-                asking.cancel()
+                sending.cancel()
                 self.writer.close()
                 self.writer = None
-            for call in self.asked:
-                self.books.unsure.add(call)
-                if self.chance.random() < self.repeat:
-                    self.again.append(call)
-            self.asked.clear()
-
-    async def ask(self, writer: asyncio.StreamWriter) -> None:
-        while self.asking:
-            if self.elsewhere:
+            for call in self.pending:
+                self.observed.uncertain.add(call)
+                if self.rng.random() < self.repeat_probability:
+                    self.to_repeat.append(call)
+            self.pending.clear()
+
+    async def send_set_ups(self, writer: asyncio.StreamWriter) -> None:
+        while self.active:
+            if self.avoids_agent:
                 await asyncio.sleep(0.01)
                 continue
-            if self.again and self.chance.random() < AGAIN:
-                call = self.again.pop()
+            if self.to_repeat and self.rng.random() < REPEAT_PROBABILITY:
+                call = self.to_repeat.pop()
             else:
-                self.count += 1
-                call = f"{self.name:08x}{self.count:08x}"
-            self.asked[call] = asyncio.get_running_loop().time()
-            asking: Message = {"class": "race", "left": 8000}
-            writer.write(encode("START", call, blob=f"description {call}", **asking))
-            await asyncio.sleep(self.chance.expovariate(1000.0 / self.gap_ms))
-
-    def heard(self, message: Message) -> None:
+                self.set_up_count += 1
+                call = f"{self.name:08x}{self.set_up_count:08x}"
+            self.pending[call] = asyncio.get_running_loop().time()
+            options: Message = {"class": "race", "left": 8000}
+            writer.write(encode("START", call, blob=f"description {call}", **options))
+            await asyncio.sleep(self.rng.expovariate(1000.0 / self.mean_gap_ms))
+
+    def handle(self, message: Message) -> None:
         call, verb = message["tag"], message["verb"]
         loop = asyncio.get_running_loop()
         if verb == "STARTED":
-            if call in self.books.over_first:
-                self.books.fault(f"{call}: answered after its end")
-            asked_at = self.asked.pop(call, None)
-            wait_ms = (loop.time() - asked_at) * 1000.0 if asked_at is not None else 0.0
-            self.books.answered(call, asked_at is not None, True, wait_ms)
-            self.mine.add(call)
-            loop.call_later(self.chance.uniform(0.0, self.hold_ms) / 1000.0, self.release, call)
-        elif verb == "FINISH" and call in self.asked:
-            del self.asked[call]
-            self.books.answered(call, True, False, 0.0)
+            if call in self.observed.ended_before_answer:
+                self.observed.report_fault(f"{call}: answered after its end")
+            sent_at = self.pending.pop(call, None)
+            wait_ms = (loop.time() - sent_at) * 1000.0 if sent_at is not None else 0.0
+            self.observed.record_answer(call, sent_at is not None, True, wait_ms)
+            self.established.add(call)
+            loop.call_later(self.rng.uniform(0.0, self.max_hold_ms) / 1000.0, self.release, call)
+        elif verb == "FINISH" and call in self.pending:
+            del self.pending[call]
+            self.observed.record_answer(call, True, False, 0.0)
         elif verb == "FINISH":
-            if call in self.books.unsure:
-                # Clients pass a release on: to the one that waits it has failed, its repetition on its way.
-                self.books.over_first.add(call)
-            self.mine.discard(call)
-            self.books.stands.discard(call)
-            self.books.unsure.discard(call)
+            if call in self.observed.uncertain:
+                # The client reports the call as failed to its own caller, so that a later answer to a
+                # repetition that is already on its way is a fault.
+                self.observed.ended_before_answer.add(call)
+            self.established.discard(call)
+            self.observed.established.discard(call)
+            self.observed.uncertain.discard(call)
             if self.writer is not None:
                 self.writer.write(encode("FINISHED", call))
         elif verb == "FINISHED":
             self.releasing.discard(call)
 
     def release(self, call: str) -> None:
-        """Says that a call is over; said again on the next connection until it is confirmed."""
-        if call in self.mine or call in self.releasing:
-            self.mine.discard(call)
-            self.books.stands.discard(call)
+        """Releases a call; the release is sent again on each new connection until it is confirmed."""
+        if call in self.established or call in self.releasing:
+            self.established.discard(call)
+            self.observed.established.discard(call)
             self.releasing.add(call)
             if self.writer is not None:
                 self.writer.write(encode("FINISH", call, rc=16))
 
 
 def configuration(listen: int, ports: list[int], **more: Any) -> dict[str, Any]:
-    """The agent's: one class of calls, these lobby servers, no event bus."""
+    """An agent's configuration: one class of calls, lobby servers at these ports, no event bus.
+
+    `more` adds or replaces top-level fields.
+    """
     hosts = [
         {
             "host": f"h{number}",
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -13,7 +13,7 @@
 import pytest
 
 from standins.faults import FORWARD
-from standins.fleet import Outside, Rig
+from standins.fleet import Environment, Rig
 from standins.ports import free_ports
 from tests.test_sigkill import ended_by_servers, quiet
 
@@ -26,53 +26,53 @@
 
 
 async def a_leader_killed(rig: Rig) -> None:
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     await some(rig, rig.names)
     await rig.kill(leader)
     others = [name for name in rig.names if name != leader]
-    await rig.leader(others)
+    await rig.wait_for_leader(others)
     await some(rig, others)
     await rig.start(leader)
 
 
 async def a_leader_that_stalls_and_goes_on(rig: Rig) -> None:
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     rig.freeze(leader)
     others = [name for name in rig.names if name != leader]
-    await rig.leader(others)
+    await rig.wait_for_leader(others)
     await some(rig, others)
-    rig.wake(leader)
+    rig.unfreeze(leader)
     await some(rig, [leader])
 
 
 async def a_link_cut_one_way(rig: Rig) -> None:
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     other = next(name for name in rig.voters if name != leader)
     rig.cut(leader, other)  # messages from the leader are lost, those to the leader are not
     await some(rig, rig.names, 10)
-    await rig.leader()
+    await rig.wait_for_leader()
     await asyncio.sleep(4.0)
-    assert rig.injected("cut")
+    assert rig.fault_count("cut")
     rig.heal()
 
 
 async def a_majority_lost_and_back(rig: Rig) -> None:
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     lost = [name for name in rig.voters if name != leader]
     for name in lost:
         await rig.kill(name)
     await some(rig, [leader])
 
     async def steps_down() -> bool:
-        return (await rig.agreed(leader)).get("role") != "leader"
+        return (await rig.log_status(leader)).get("role") != "leader"
 
-    await rig.until("a leader without a majority steps down", steps_down)
+    await rig.wait_until("a leader without a majority steps down", steps_down)
     for name in lost:
         await rig.start(name)
 
 
 async def all_killed_at_once(rig: Rig) -> None:
-    await rig.leader()
+    await rig.wait_for_leader()
     await some(rig, rig.names, 10)
     for name in rig.names:
         await rig.kill(name)
@@ -81,44 +81,44 @@
 
 
 async def three_datagrams_in_ten_lost(rig: Rig) -> None:
-    await rig.leader()
-    rig.every("lost 0.3, doubled 0.1, reordered", loss=0.3, double=0.1, jitter_ms=50.0)
+    await rig.wait_for_leader()
+    rig.set_datagram_faults("lost 0.3, doubled 0.1, reordered", loss=0.3, double=0.1, jitter_ms=50.0)
     await some(rig, rig.names, 10)
     await asyncio.sleep(6.0)
-    assert rig.injected("lost") and rig.injected("doubled") and rig.injected("delayed")
+    assert rig.fault_count("lost") and rig.fault_count("doubled") and rig.fault_count("delayed")
     rig.heal()
 
 
 async def a_voter_without_its_disk(rig: Rig) -> None:
     """A voter that lost its disk may not vote until it has been added again."""
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     lost = next(name for name in rig.voters if name != leader)
     await some(rig, rig.names)
     await rig.kill(lost, disk=False)
     await rig.start(lost)
 
     async def fed() -> bool:
-        status = await rig.agreed(lost)
+        status = await rig.log_status(lost)
         return status.get("voter") == "no" and int(status.get("count", "0")) >= 1
 
-    await rig.until("it is fed, and has no vote", fed)
-    leader_now = await rig.leader([name for name in rig.voters if name != lost])
+    await rig.wait_until("it is fed, and has no vote", fed)
+    leader_now = await rig.wait_for_leader([name for name in rig.voters if name != lost])
     await rig.ask(leader_now, f"remove-voter {lost}")
 
     async def removed() -> bool:
-        return lost not in (await rig.agreed(leader_now)).get("voters", lost)
+        return lost not in (await rig.log_status(leader_now)).get("voters", lost)
 
-    await rig.until("it is removed", removed)
+    await rig.wait_until("it is removed", removed)
     await rig.ask(leader_now, f"add-voter {lost}")
 
     async def votes() -> bool:
-        return (await rig.agreed(lost)).get("voter") == "yes"
+        return (await rig.log_status(lost)).get("voter") == "yes"
 
-    await rig.until("it votes again", votes)
+    await rig.wait_until("it votes again", votes)
 
 
 async def links_reset_and_stalled(rig: Rig) -> None:
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     for _ in range(5):
         for _, link in rig.relays.values():
             link.reset()
@@ -129,52 +129,52 @@
     await some(rig, rig.names)
 
     async def stalled() -> bool:
-        return rig.injected("stalled") > 0
+        return rig.fault_count("stalled") > 0
 
-    await rig.until("a link is stalled", stalled)
+    await rig.wait_until("a link is stalled", stalled)
     await asyncio.sleep(3.0)
-    assert rig.injected("reset")
+    assert rig.fault_count("reset")
     rig.heal()
 
 
 async def voters_changed_while_some_are_cut_off(rig: Rig) -> None:
     """A voter is removed while it is partitioned. When it campaigns afterwards, it disrupts nobody."""
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     removed = next(name for name in rig.voters if name != leader)
     isolated = [removed, rig.names[-1]]
-    rig.apart(isolated)
+    rig.partition(isolated)
     others = [name for name in rig.names if name not in isolated]
     await rig.ask(leader, f"remove-voter {removed}")
     await rig.ask(leader, f"add-voter {others[-1]}")
 
     async def changed() -> bool:
-        voters = (await rig.agreed(leader)).get("voters", "").split(",")
+        voters = (await rig.log_status(leader)).get("voters", "").split(",")
         return removed not in voters and others[-1] in voters
 
-    await rig.until("the voters are changed", changed)
+    await rig.wait_until("the voters are changed", changed)
     await some(rig, others)
-    term = (await rig.agreed(leader))["term"]
+    term = (await rig.log_status(leader))["term"]
     for name in others:  # messages from the removed voter arrive again, those to it do not
-        for relay_way in rig.way(removed, name):
+        for relay_way in rig.path_faults(removed, name):
             relay_way.cut = False
     await asyncio.sleep(4.0)
-    status = await rig.agreed(leader)
+    status = await rig.log_status(leader)
     assert status["term"] == term and status["role"] == "leader", status
     rig.heal()
 
 
 async def a_log_with_a_byte_flipped(rig: Rig) -> None:
     """A damaged log file is named and refused at the start; with a new folder the agent is a learner."""
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     await some(rig, rig.names, 10)
-    await rig.together(10)
+    await rig.wait_for_convergence(10)
     damaged = next(name for name in rig.voters if name != leader)
     await rig.kill(damaged)
     log = sorted((rig.folder / f"{damaged}.fleet").glob("log-*"))[0]
     data = bytearray(log.read_bytes())
     data[len(data) // 2] ^= 4
     log.write_bytes(data)
-    rig.say(f"flip a byte of {log.name} of {damaged}")
+    rig.add_history(f"flip a byte of {log.name} of {damaged}")
     await rig.start(damaged)
     assert await asyncio.wait_for(rig.programs[damaged].wait(), 60) == 2
     assert f"{log.name}:" in (rig.folder / "log").read_text(encoding="utf-8")
@@ -184,17 +184,17 @@
 
 async def a_second_process_of_one_name(rig: Rig) -> None:
     """The second process is refused with an error in the log; the first goes on."""
-    await rig.leader()
+    await rig.wait_for_leader()
     await some(rig, rig.names)
     first, ports = rig.programs["n1"], rig.ports["n1"]
     for pair in [pair for pair in rig.relays if "n1" in pair]:
-        rig.say(f"the second process is reached without the relays {pair}")
+        rig.add_history(f"the second process is reached without the relays {pair}")
     rig.ports["n1"] = dict(zip(ports, free_ports(len(ports)), strict=True))
-    rig.more["path"], rig.more["record"] = "second.fleet", "second.jsonl"
+    rig.fleet_options["path"], rig.fleet_options["record"] = "second.fleet", "second.jsonl"
     await rig.start("n1")
     second = rig.programs["n1"]
     rig.programs["n1"], rig.ports["n1"] = first, ports
-    rig.more.clear()
+    rig.fleet_options.clear()
     assert await asyncio.wait_for(second.wait(), 60) == 1
     assert "refused by the fleet: another n1 answers at" in (rig.folder / "log").read_text(encoding="utf-8")
 
@@ -202,44 +202,44 @@
 async def a_disk_full_at_each_voter_in_turn(rig: Rig) -> None:
     """A voter with a full disk acknowledges nothing that is not on disk, and takes part again once there is
     room."""
-    rig.with_disks()
+    rig.make_disks_fillable()
     for name in rig.names:
         await rig.kill(name)
     for name in rig.names:
         await rig.start(name)
-    await rig.leader()
+    await rig.wait_for_leader()
     await some(rig, rig.names)
-    await rig.together(5)
+    await rig.wait_for_convergence(5)
     for number, name in enumerate(rig.voters):
         others = [other for other in rig.voters if other != name]
-        rig.fill(name)
+        rig.fill_disk(name)
 
         async def noticed(name: str = name) -> bool:
             await rig.note(name)
             return any(line["event"] == "store" and line["state"] == "failed" for line in rig.records(name))
 
-        await rig.until(f"{name} notices that its disk is full", noticed)
-        await rig.leader(others)
+        await rig.wait_until(f"{name} notices that its disk is full", noticed)
+        await rig.wait_for_leader(others)
         await some(rig, others)
-        assert rig.refused(name) > 0
+        assert rig.refused_writes(name) > 0
         if number == 0:  # restarted with a full disk, it exits with an error or waits; nothing is lost
             await rig.kill(name)
             await rig.start(name)
             await some(rig, others)
-        rig.room(name)
+        rig.free_disk(name)
         if rig.programs[name].returncode is not None:
             await rig.start(name)
-        await rig.together(0)
+        await rig.wait_for_convergence(0)
 
 
 async def a_lone_voter_with_a_full_disk(rig: Rig) -> None:
     """A command is acknowledged only once the disk of the only voter holds it."""
-    rig.with_disks()
-    await rig.leader()
+    rig.make_disks_fillable()
+    await rig.wait_for_leader()
     await rig.kill("n0")
     await rig.start("n0")
-    await rig.leader()
-    rig.fill("n0")
+    await rig.wait_for_leader()
+    rig.fill_disk("n0")
     id = (await rig.ask("n0", "note never lost"))[0].split()[1]
 
     def recorded(event: str, **fields: str) -> bool:
@@ -251,33 +251,33 @@
     async def acknowledged() -> bool:
         return recorded("acknowledged", id=id)
 
-    await rig.until("the store has failed", failed)
+    await rig.wait_until("the store has failed", failed)
     await rig.ask("n0", "agreed")
     assert not any(id in line.get("ids", {}).values() for line in rig.records("n0"))  # not applied
-    assert not await acknowledged() and rig.refused("n0")
-    rig.room("n0")
-    await rig.until("it is acknowledged", acknowledged)
+    assert not await acknowledged() and rig.refused_writes("n0")
+    rig.free_disk("n0")
+    await rig.wait_until("it is acknowledged", acknowledged)
 
 
 async def a_follower_back_after_100000_entries(rig: Rig) -> None:
     """The follower catches up by snapshot and log, and answers operators meanwhile."""
-    await rig.leader()
+    await rig.wait_for_leader()
     await some(rig, rig.names)
-    await rig.together(5)
+    await rig.wait_for_convergence(5)
     for name in rig.names:
         await rig.kill(name)
-    rig.grow(100_000)
+    rig.append_entries(100_000)
     for name in rig.voters:
         await rig.start(name)
-    await rig.leader(rig.voters)
+    await rig.wait_for_leader(rig.voters)
     await some(rig, rig.voters)
     late = rig.names[-1]
     await rig.start(late)
 
     async def complete() -> bool:
-        return int((await rig.agreed(late)).get("count", "0")) >= 100_005
+        return int((await rig.log_status(late)).get("count", "0")) >= 100_005
 
-    await rig.until("the follower has all", complete)
+    await rig.wait_until("the follower has all", complete)
     assert any(line["event"] == "installed" for line in rig.records(late))
 
     async def recorded() -> bool:
@@ -285,7 +285,7 @@
             sum(len(line.get("ids", ())) for line in rig.records(name)) >= 100_000 for name in rig.voters
         )
 
-    await rig.until("the voters' records have each entry", recorded)
+    await rig.wait_until("the voters' records have each entry", recorded)
 
 
 async def clocks_apart_and_one_set_back(rig: Rig) -> None:
@@ -293,17 +293,17 @@
     for number, name in enumerate(rig.names):
         await rig.kill(name)
         rig.machines[name] = {"skew_ms": 5000.0 * number, "drift": 0.02 * number}
-        rig.say(f"the clock of {name}: {rig.machines[name]}")
+        rig.add_history(f"the clock of {name}: {rig.machines[name]}")
         await rig.start(name)
-    await rig.together(0)
+    await rig.wait_for_convergence(0)
     await some(rig, rig.names, 10)
-    await rig.together(10)
+    await rig.wait_for_convergence(10)
     restarted = rig.names[1]
     await rig.kill(restarted)
     rig.machines[restarted] = {"skew_ms": -3600_000.0}
-    rig.say(f"the clock of {restarted} is set back")
+    rig.add_history(f"the clock of {restarted} is set back")
     await rig.start(restarted)
-    await rig.together(10)
+    await rig.wait_for_convergence(10)
     last_records = {name: rig.records(name)[-1] for name in rig.names}
     assert last_records[restarted]["unix_ms"] < last_records[rig.names[0]]["unix_ms"] - 3000_000.0
     assert last_records[rig.names[2]]["unix_ms"] > last_records[rig.names[0]]["unix_ms"] + 5000.0
@@ -312,65 +312,65 @@
 async def calls_while_all_around_fails(rig: Rig) -> None:
     """Slow, stalled, cut and refused connections to servers, lists and clients, and a killed agent: each call
     ends exactly once."""
-    outside = rig.outside
-    assert outside is not None
-    books, rng = outside.books, random.Random(rig.seed)
-    outside.call()
-    await rig.leader()
+    environment = rig.environment
+    assert environment is not None
+    observed, rng = environment.observed, random.Random(rig.seed)
+    environment.start_callers()
+    await rig.wait_for_leader()
     await some(rig, rig.names)
 
     async def more(count: int = 30) -> None:
-        before = books.answers
+        before = observed.answers
 
         async def answered() -> bool:
-            return books.answers >= before + count
+            return observed.answers >= before + count
 
-        await rig.until(f"{count} answers more", answered)
+        await rig.wait_until(f"{count} answers more", answered)
 
     async def shown(name: str, where: str, what: str) -> None:
         async def recorded() -> bool:
-            return relays[name, where].record[what] > 0
+            return relays[name, where].counts[what] > 0
 
-        await rig.until(f"{name}/{where} {what}", recorded)
+        await rig.wait_until(f"{name}/{where} {what}", recorded)
 
-    relays = outside.relays
+    relays = environment.relays
     await more()
     for what, change in (("throttled", {"rate": 4000.0}), ("delayed", {"delay_ms": 30.0, "jitter_ms": 40.0})):
         name = rng.choice(rig.names)
-        rig.say(f"{name}/h0 {what}")
-        for way in relays[name, "h0"].ways.values():
+        rig.add_history(f"{name}/h0 {what}")
+        for way in relays[name, "h0"].faults.values():
             for field, value in change.items():
                 setattr(way, field, value)
         await more()
         await shown(name, "h0", what)
         rig.heal()
     for name in rig.names:
-        rig.say(f"reset all at {name}")
+        rig.add_history(f"reset all at {name}")
         for what in ("clients", "h0", "h1", "list"):
             relays[name, what].reset()
         await more(10)
         for what in ("clients", "h0", "h1", "list"):
             await shown(name, what, "reset")
     name = rng.choice(rig.names)
-    rig.say(f"{name}/list refuses, and another server is drained")
+    rig.add_history(f"{name}/list refuses, and another server is drained")
     relays[name, "list"].refusing = True
     relays[name, "list"].reset()
-    outside.list.tell([{**outside.hosts[1], "health": "draining"}])
+    environment.list_service.publish([{**environment.hosts[1], "health": "draining"}])
     await more()
     await shown(name, "list", "refused")
     rig.heal()
     name = rng.choice(rig.names)
-    rig.say(f"{name}/h0 and its list hear nothing")
+    rig.add_history(f"{name}/h0 and its list hear nothing")
     for what in ("h0", "list"):
-        relays[name, what].ways[FORWARD].cut = True
-    outside.books.apart.add(f"{name}.h0")
+        relays[name, what].faults[FORWARD].cut = True
+    environment.observed.partitioned.add(f"{name}.h0")
     await more()
     await shown(name, "h0", "cut")
     await shown(name, "list", "cut")
     rig.heal()
     name = rng.choice(rig.names)
-    rig.say(f"{name}/h1 reads nothing")
-    outside.books.apart.add(f"{name}.h1")
+    rig.add_history(f"{name}/h1 reads nothing")
+    environment.observed.partitioned.add(f"{name}.h1")
     relays[name, "h1"].stalled = True
     await more()
     await shown(name, "h1", "stalled")
@@ -383,16 +383,16 @@
         text = (rig.folder / "log").read_text(encoding="utf-8")
         return text.count("h1 draining") >= len(rig.names)
 
-    await rig.until("all hear of the drain", drained)
-    await quiet(outside.callers)
-    await ended_by_servers(outside.lobbies, books)
-    assert books.faults == []
-    assert books.answers > 150 and books.ended > 10
+    await rig.wait_until("all hear of the drain", drained)
+    await quiet(environment.callers)
+    await ended_by_servers(environment.lobbies, observed)
+    assert observed.faults == []
+    assert observed.answers > 150 and observed.ended > 10
 
 
 async def drawn(rig: Rig) -> None:
     """A random history, determined by the rig's seed."""
-    await rig.leader()
+    await rig.wait_for_leader()
     rng, down, frozen = random.Random(rig.seed), set[str](), set[str]()
     for _ in range(12):
         name = rng.choice(rig.names)
@@ -406,19 +406,19 @@
         elif action == "cut":
             rig.cut(name, rng.choice([other for other in rig.names if other != name]))
         elif action == "apart":
-            rig.apart([name])
+            rig.partition([name])
         elif action == "heal":
             rig.heal()
         elif action == "back":
             for other_name in frozen:
-                rig.wake(other_name)
+                rig.unfreeze(other_name)
             for other_name in down:
                 await rig.start(other_name)
             down, frozen = set(), set()
         await some(rig, [other_name for other_name in rig.names if other_name not in down | frozen], 2)
         await asyncio.sleep(rng.uniform(0.0, 1.5))
     for other_name in frozen:
-        rig.wake(other_name)
+        rig.unfreeze(other_name)
     for other_name in down:
         await rig.start(other_name)
     rig.heal()
@@ -451,15 +451,15 @@
 async def played(folder: pathlib.Path, name: str, seed: int) -> None:
     history, count = HISTORIES[name]
     (folder / name).mkdir()
-    outside = Outside() if name.startswith("calls") else None
-    async with Rig(folder / name, count, min(3, count), seed, outside=outside) as rig:
+    environment = Environment() if name.startswith("calls") else None
+    async with Rig(folder / name, count, min(3, count), seed, environment=environment) as rig:
         try:
-            await rig.together(0)
+            await rig.wait_for_convergence(0)
             await history(rig)
-            await rig.together(1)
+            await rig.wait_for_convergence(1)
             await some(rig, rig.names)  # after the repairs each agent's commands are applied
-            await rig.together(6)
-            await rig.check()
+            await rig.wait_for_convergence(6)
+            await rig.check_records()
         except AssertionError as problem:
             raise AssertionError(f"{name}, seed {seed}: {problem}; history: {rig.history}") from None
 
--- a/tests/fleet/test_work.py
+++ b/tests/fleet/test_work.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from standins.fleet import Outside, Rig
+from standins.fleet import Environment, Rig
 from tests.test_sigkill import ended_by_servers, quiet
 
 Scenario = Callable[[Rig], Awaitable[None]]
@@ -38,7 +38,7 @@
                 return False
         return True
 
-    await rig.until(f"{machine} {state} {text}", shown)
+    await rig.wait_until(f"{machine} {state} {text}", shown)
 
 
 async def finish(rig: Rig, machine: str) -> None:
@@ -50,7 +50,7 @@
     async def known() -> bool:
         return any(f"out unasked: {machine}" in line for line in await status(rig, agent))
 
-    await rig.until(f"the log has the death of {machine}", known)
+    await rig.wait_until(f"the log has the death of {machine}", known)
 
 
 async def request(rig: Rig, agent: str, names: str, fields: str = REQUEST_FIELDS) -> None:
@@ -74,16 +74,16 @@
     await rig.start("n1")
     await wait_for_state(rig, "n1", "out")
     await finish(rig, "n1")
-    await rig.until("n1 serves", lambda: serves(rig, "n1"))
+    await rig.wait_until("n1 serves", lambda: serves(rig, "n1"))
 
 
 async def leader_taken_out(rig: Rig) -> None:
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     await request(rig, leader, leader)
     await wait_for_state(rig, leader, "out")
     await rig.kill(leader)
     others = [name for name in rig.names if name != leader]
-    await rig.leader(others)
+    await rig.wait_for_leader(others)
     await rig.start(leader)
     await rig.ask(others[0], f"work-ready {leader}")
     await wait_for_state(rig, leader, "done")
@@ -91,10 +91,10 @@
 
 async def start_drain_with_a_partitioned_agent(rig: Rig) -> tuple[str, list[str]]:
     """Starts draining a server while an agent is cut off; returns the leader and the connected agents."""
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     partitioned = next(name for name in rig.names if name != leader)
     others = [name for name in rig.names if name != partitioned]
-    rig.apart([partitioned])
+    rig.partition([partitioned])
     await request(rig, leader, "h0")
     await wait_for_state(rig, "h0", "going", others, f"not heard: {partitioned}")
     return leader, others
@@ -103,7 +103,7 @@
 async def partitioned_agent_delays_a_drain(rig: Rig) -> None:
     await start_drain_with_a_partitioned_agent(rig)
     await wait_for_answers(rig)
-    assert rig.injected("cut")
+    assert rig.fault_count("cut")
     rig.heal()
     await wait_for_state(rig, "h0", "out")
     await finish(rig, "h0")
@@ -161,13 +161,13 @@
                 await rig.ask("n0", f"work-ready {line.split()[1]}")
         return sum(" done: " in line for line in lines) == 2
 
-    await rig.until("both machines are done", all_done)
+    await rig.wait_until("both machines are done", all_done)
 
 
 async def majority_lost_with_a_server_out(rig: Rig) -> None:
     await request(rig, "n0", "h0")
     await wait_for_state(rig, "h0", "out")
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     lost = [name for name in rig.names if name != leader]
     for name in lost:
         await rig.kill(name)
@@ -175,7 +175,7 @@
     async def says_so() -> bool:
         return any("no leader is heard" in line for line in await status(rig, leader))
 
-    await rig.until("it says that nothing goes on", says_so)
+    await rig.wait_until("it says that nothing goes on", says_so)
     for name in lost:
         await rig.start(name)
     await wait_for_state(rig, "h0", "out")
@@ -183,13 +183,13 @@
 
 
 async def agent_stalls_while_a_server_drains(rig: Rig) -> None:
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     stalled = next(name for name in rig.names if name != leader)
     rig.freeze(stalled)
     await request(rig, leader, "h0")
     others = [name for name in rig.names if name != stalled]
     await wait_for_state(rig, "h0", "going", others, f"waits for {stalled}")
-    rig.wake(stalled)
+    rig.unfreeze(stalled)
     await wait_for_state(rig, "h0", "out")
     await finish(rig, "h0")
 
@@ -202,7 +202,7 @@
         await report_ready(rig)
         return sum(" done: " in line for line in await status(rig, "n0")) == 3
 
-    await rig.until("all three are done", all_done)
+    await rig.wait_until("all three are done", all_done)
     zones = {name: number % 2 for number, name in enumerate(rig.names)}
     away: dict[str, str] = {}
     for _, _, machine, state in check_tickets(rig, 3):
@@ -223,22 +223,22 @@
 
 async def lobby_server_fails_while_another_is_out(rig: Rig) -> None:
     """The next ticket waits, and its status names the failed server."""
-    assert rig.outside is not None
+    assert rig.environment is not None
     await request(rig, "n0", "h0")
     await wait_for_state(rig, "h0", "out")
-    rig.say("h1 is dead")
-    dead = [rig.outside.relays[name, "h1"] for name in rig.names]
+    rig.add_history("h1 is dead")
+    dead = [rig.environment.relays[name, "h1"] for name in rig.names]
     for relay in dead:
-        relay.die()
+        relay.stop_listening()
 
     await wait_until_out_unplanned(rig, "n0", "h1")  # the agents report it some seconds later
     await request(rig, "n1", "n1")
     await rig.ask("n0", "work-ready h0")
     await wait_for_state(rig, "h0", "done")
     await wait_for_state(rig, "n1", "waiting", text="h1 of zone east is out")
-    assert all(relay.record["dead"] for relay in dead)
+    assert all(relay.counts["dead"] for relay in dead)
     for relay in dead:
-        await relay.live()
+        await relay.listen_again()
     await wait_for_state(rig, "n1", "out")
     await finish(rig, "n1")
 
@@ -247,7 +247,7 @@
     async def measured() -> bool:
         return float((await status(rig, "n0"))[-2].split()[1]) > 1.0
 
-    await rig.until("the load is in the log", measured)
+    await rig.wait_until("the load is in the log", measured)
     await rig.ask("n0", "work-limits share_calls=0.001")
     await request(rig, "n1", "h0")
     await wait_for_state(rig, "h0", "waiting", text="what is left carries")
@@ -259,18 +259,18 @@
 
 async def client_that_never_pauses(rig: Rig) -> None:
     """The client is served for `drain_ms` and then refused, so that the machine goes out all the same."""
-    assert rig.outside is not None
+    assert rig.environment is not None
     await rig.ask("n0", "work-limits drain_ms=1000")
-    rig.outside.callers[1].heeds = False
+    rig.environment.callers[1].follows_balancer = False
     await request(rig, "n0", "n1")
     await wait_for_state(rig, "n1", "out")
-    refused = rig.outside.books.refused
+    refused = rig.environment.observed.refused
 
     async def still_refused() -> bool:
-        assert rig.outside is not None
-        return rig.outside.books.refused >= refused + 20
+        assert rig.environment is not None
+        return rig.environment.observed.refused >= refused + 20
 
-    await rig.until("it asks on, and is refused", still_refused)
+    await rig.wait_until("it asks on, and is refused", still_refused)
     assert (await rig.ask("n1", "ready"))[0] == "ERR no: turning away"
     await finish(rig, "n1")
 
@@ -280,21 +280,21 @@
     With its machine back the zone has the majority, but the machines it can't reach count as out."""
     await rig.ask("n0", "work-request zone=z0 takes=1h who=ann why=a move")
     await wait_for_state(rig, "n0", "out")
-    rig.apart(["n0", "n2"])
+    rig.partition(["n0", "n2"])
     await rig.kill("n0")
 
     async def nobody_leads() -> bool:
         said = [await status(rig, name) for name in ("n1", "n2")]
         return all(lines and "no leader is heard" in lines[0] for lines in said)
 
-    await rig.until("both sides say that nothing goes on", nobody_leads)
+    await rig.wait_until("both sides say that nothing goes on", nobody_leads)
     await wait_for_answers(rig)
     await rig.start("n0")
-    await rig.leader(["n0", "n2"])
+    await rig.wait_for_leader(["n0", "n2"])
     await wait_until_out_unplanned(rig, "n2", "n1")
     await rig.ask("n2", "work-ready n0")
     await wait_for_state(rig, "n2", "waiting", ["n0", "n2"], "n1 of zone z1 is out")
-    assert rig.injected("cut")
+    assert rig.fault_count("cut")
     rig.heal()
     await wait_for_state(rig, "n0", "done")
     await wait_for_state(rig, "n2", "out")
@@ -303,7 +303,7 @@
 
 async def one_way_partition_hides_a_drain(rig: Rig) -> None:
     """An agent can send but not receive: it doesn't learn of the drain, and goes on calling the server."""
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     receives_nothing = next(name for name in rig.names if name != leader)
     for other in rig.names:
         if other != receives_nothing:
@@ -312,18 +312,18 @@
     others = [name for name in rig.names if name != receives_nothing]
     await wait_for_state(rig, "h0", "going", others, f"waits for {receives_nothing}")
     await wait_for_answers(rig)
-    assert rig.injected("cut")
+    assert rig.fault_count("cut")
     rig.heal()
     await wait_for_state(rig, "h0", "out")
     await finish(rig, "h0")
 
 
 async def concurrent_requests_and_the_leader_killed(rig: Rig) -> None:
-    leader = await rig.leader()
+    leader = await rig.wait_for_leader()
     first, second = (name for name in rig.names if name != leader)
     await asyncio.gather(request(rig, leader, "h0"), request(rig, first, "h0,h1"), request(rig, second, "h0"))
     await rig.kill(leader)
-    await rig.leader([first, second])
+    await rig.wait_for_leader([first, second])
     await rig.start(leader)
     await request(rig, first, "h0")  # so that at least one is in the log
     await wait_for_state(rig, "h0", "refused")
@@ -340,7 +340,7 @@
         lines = [line.split(None, 3) for line in await status(rig, "n0") if line[:1].isdigit()]
         return all(line[3].startswith(("done", "refused")) for line in lines)
 
-    await rig.until("one ticket is done, the others are refused", all_done)
+    await rig.wait_until("one ticket is done, the others are refused", all_done)
 
 
 async def agent_confirms_and_restarts_without_its_disk(rig: Rig) -> None:
@@ -352,14 +352,14 @@
     async def only_it() -> bool:
         return any("waits for n2" in line and "n3" not in line for line in await status(rig, "n0"))
 
-    await rig.until("the others have confirmed", only_it)
+    await rig.wait_until("the others have confirmed", only_it)
     await rig.kill("n3", disk=False)
-    rig.links_cut("n3")  # known as a new process, it can neither read the log nor propose
+    rig.cut_links("n3")  # known as a new process, it can neither read the log nor propose
     await rig.start("n3")
     await wait_for_state(rig, "h0", "going", ["n0", "n1"], "waits for n2, n3")
-    rig.wake("n2")
+    rig.unfreeze("n2")
     await wait_for_state(rig, "h0", "going", ["n0", "n1", "n2"], "waits for n3")
-    assert rig.injected("cut")
+    assert rig.fault_count("cut")
     rig.heal()
     await wait_for_state(rig, "h0", "out")
     await finish(rig, "h0")
@@ -376,11 +376,11 @@
                 await rig.kill(name)
                 down.add(name)
             case "apart":
-                rig.apart([name])
+                rig.partition([name])
             case "freeze" if name not in down:
                 rig.freeze(name)
                 await asyncio.sleep(chance.uniform(0.0, 2.0))
-                rig.wake(name)
+                rig.unfreeze(name)
             case _:
                 rig.heal()
                 for each in down:
@@ -393,14 +393,14 @@
         await rig.start(each)
 
     async def all_done() -> bool:
-        assert rig.outside is not None
-        for lobby in rig.outside.lobbies:  # end calls that their clients no longer know of
-            for call in [call for call, how in lobby.held.items() if how == "stands"]:
+        assert rig.environment is not None
+        for lobby in rig.environment.lobbies:  # end calls that their clients no longer know of
+            for call in [call for call, how in lobby.calls.items() if how == "stands"]:
                 lobby.end(call)
         await report_ready(rig)
         return sum(" done: " in line for line in await status(rig, "n0")) == 4
 
-    await rig.until("all four are done", all_done)
+    await rig.wait_until("all four are done", all_done)
 
 
 async def report_ready(rig: Rig) -> None:
@@ -414,13 +414,13 @@
 
 
 async def wait_for_answers(rig: Rig, count: int = 20) -> None:
-    assert rig.outside is not None
-    books, before = rig.outside.books, rig.outside.books.answers
+    assert rig.environment is not None
+    observed, before = rig.environment.observed, rig.environment.observed.answers
 
     async def answered() -> bool:
-        return books.answers >= before + count
+        return observed.answers >= before + count
 
-    await rig.until(f"{count} answers more", answered)
+    await rig.wait_until(f"{count} answers more", answered)
 
 
 def check_tickets(rig: Rig, most: int) -> list[tuple[int, int, str, str]]:
@@ -447,7 +447,7 @@
 
 def check_no_calls_while_out(rig: Rig) -> None:
     """Checks that no set-up reached a server from the first record of its ticket as out until its return."""
-    assert rig.outside is not None
+    assert rig.environment is not None
     first: dict[tuple[int, str, str], float] = {}
     forced = set[int]()
     for name in rig.names:
@@ -461,7 +461,7 @@
             until = min(first.get((number, machine, later), 1e18) for later in ("back", "warming", "done"))
             came = [
                 call
-                for at, server, call in rig.outside.books.set_ups
+                for at, server, call in rig.environment.observed.set_ups
                 if server.endswith(f".{machine}") and since < at < until
             ]
             assert not came, f"{machine} received calls while out: {came}; {rig.history}"
@@ -497,33 +497,33 @@
 
 async def run_scenario(folder: pathlib.Path, name: str, seed: int) -> None:
     (folder / name).mkdir()
-    outside = Outside(1)
+    environment = Environment(1)
     async with Rig(
-        folder / name, AGENTS.get(name, 3), 3, seed, outside=outside, work={"warm_ms": 500.0}
+        folder / name, AGENTS.get(name, 3), 3, seed, environment=environment, work={"warm_ms": 500.0}
     ) as rig:
         try:
-            await rig.leader()
+            await rig.wait_for_leader()
             for each in rig.names:
-                await rig.until(f"{each} serves", lambda each=each: serves(rig, each))  # type: ignore[misc]
-            outside.call()
-            outside.balance(rig)
+                await rig.wait_until(f"{each} serves", lambda each=each: serves(rig, each))  # type: ignore[misc]
+            environment.start_callers()
+            environment.start_balancer(rig)
 
             async def all_known() -> bool:
                 lines = await status(rig, "n0")
                 return bool(lines) and not any("out unasked" in line for line in lines)
 
-            await rig.until("the log has all up", all_known)
+            await rig.wait_until("the log has all up", all_known)
             await wait_for_answers(rig)
             await SCENARIOS[name](rig)
             await wait_for_answers(rig)
             for each in rig.names:
-                await rig.until(f"{each} serves", lambda each=each: serves(rig, each))  # type: ignore[misc]
-            await quiet(outside.callers)
-            await ended_by_servers(outside.lobbies, outside.books)
-            assert outside.books.faults == []
+                await rig.wait_until(f"{each} serves", lambda each=each: serves(rig, each))  # type: ignore[misc]
+            await quiet(environment.callers)
+            await ended_by_servers(environment.lobbies, environment.observed)
+            assert environment.observed.faults == []
             await rig.note("n0")
-            await rig.together(1)
-            await rig.check()
+            await rig.wait_for_convergence(1)
+            await rig.check_records()
             order = check_tickets(rig, 3 if name == "never_two_zones_at_a_time" else 1)
             assert any(state == "out" for _, _, _, state in order)
             check_no_calls_while_out(rig)
--- a/tests/restart.py
+++ b/tests/restart.py
@@ -61,7 +61,7 @@
 
     def __init__(self, record: dict[str, Any]) -> None:
         self.chance = random.Random(record.get("chance", 1))
-        self.folder = MemoryFolder(chance=self.chance)
+        self.folder = MemoryFolder(rng=self.chance)
         self.running = True
         super().__init__({"store": STORE, **record})  # type: ignore[call-arg]
 
@@ -75,7 +75,7 @@
     def kill(self: Any, power: bool) -> None:
         """Nothing of the agent runs on; its connections break at the other ends."""
         self.running = False
-        self.folder = self.folder.crash(self.chance) if power else self.folder.killed()
+        self.folder = self.folder.after_power_loss(self.chance) if power else self.folder.after_kill()
         self.later.clear()
         self.agent.deadlines._heap.clear()
         self.reactor.factory = None
@@ -99,10 +99,10 @@
                 self.clock.at += float(ms)
                 return
             case ["send", "disk", "full"]:
-                self.folder.fail(1, lambda: OSError(28, "No space left on device"), lasting=True)
+                self.folder.fail(1, lambda: OSError(28, "No space left on device"), persistent=True)
                 return
             case ["send", "disk", "roomy"]:
-                self.folder.fails_at, self.folder.lasting = -1, False
+                self.folder.fails_at_operation, self.folder.persistent = -1, False
             case ["send", "disk", how]:
                 self.disk.state = how
                 self.disk.turn()
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -14,7 +14,7 @@
 import signal
 import sys
 
-from standins.lobby import Books, Caller, Lobby, configuration
+from standins.lobby import Caller, LobbyServer, Observations, configuration
 from standins.ports import free_ports
 from tests.test_sigkill import PATIENCE_S, cancelled, ended, quiet, settled, up
 
@@ -43,9 +43,12 @@
     return refused
 
 
-async def flooded(folder: pathlib.Path) -> tuple[Books, list[int], dict[str, object], int]:
-    books = Books()
-    lobbies = [Lobby(f"h{number}", books, random.Random(number), busy=0.0) for number in (0, 1)]
+async def flooded(folder: pathlib.Path) -> tuple[Observations, list[int], dict[str, object], int]:
+    observed = Observations()
+    lobbies = [
+        LobbyServer(f"h{number}", observed, random.Random(number), refusal_probability=0.0)
+        for number in (0, 1)
+    ]
     ports = [await lobby.start() for lobby in lobbies]
     port = free_ports(1)[0]
     path = folder / "config.json"
@@ -53,7 +56,11 @@
     path.write_text(json.dumps(configuration(port, ports, admission=admission)), encoding="utf-8")
     known = [
         Caller(
-            number, books, random.Random(number), lambda: port, address=f"127.{8 + number % 2}.0.{number + 1}"
+            number,
+            observed,
+            random.Random(number),
+            lambda: port,
+            address=f"127.{8 + number % 2}.0.{number + 1}",
         )
         for number in range(4)
     ]
@@ -71,10 +78,10 @@
         try:
             await up(port)
             tasks = [asyncio.create_task(caller.run()) for caller in known]
-            while books.answers < 20:
+            while observed.answers < 20:
                 await asyncio.sleep(0.02)
             await flood(port, random.Random(1))
-            await settled(lambda: books.answers > CALLS)
+            await settled(lambda: observed.answers > CALLS)
             await quiet(known)
             await asyncio.sleep(2.5)  # longer than a silent connection is kept
             open_now = len(os.listdir(f"/proc/{program.pid}/fd"))
@@ -85,14 +92,19 @@
     await cancelled(tasks)
     lines = (folder / "log").read_text(encoding="utf-8").splitlines()
     logged = next(line for line in lines if "admission: {" in line)
-    return books, [caller.connects for caller in known], json.loads(logged[logged.index("{") :]), open_now
+    return (
+        observed,
+        [caller.connection_count for caller in known],
+        json.loads(logged[logged.index("{") :]),
+        open_now,
+    )
 
 
 def test_known_clients_are_served_throughout_a_flood(tmp_path: pathlib.Path) -> None:
-    books, connects, logged, open_now = asyncio.run(flooded(tmp_path))
+    observed, connects, logged, open_now = asyncio.run(flooded(tmp_path))
     log = (tmp_path / "log").read_text(encoding="utf-8")
     print(logged, open_now)
-    assert books.faults == [] and not books.unsure and books.refused == 0
+    assert observed.faults == [] and not observed.uncertain and observed.refused == 0
     assert connects == [1, 1, 1, 1], "a known client lost its connection"
     assert "Traceback" not in log and "these count" in log
     refused = logged["refused"]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,7 +26,7 @@
 from frostport.store.files import DiskFolder
 from frostport.store.follower import Follower
 from standins.files import MemoryFolder
-from standins.lobby import Books, Caller, Lobby, configuration
+from standins.lobby import Caller, LobbyServer, Observations, configuration
 from standins.ports import free_ports
 from tests.restart import Disk
 from tests.scenario import World, platform, play
@@ -264,27 +264,29 @@
         raise TimeoutError(f"never said: {words}")
 
 
-async def upgraded(folder: pathlib.Path, step: str, seed: int) -> Books:
+async def upgraded(folder: pathlib.Path, step: str, seed: int) -> Observations:
     """An old process and a new one under calls; one of them is killed at a step, and all go on."""
-    chance, books = random.Random(f"{step} {seed}"), Books()
-    lobbies = [Lobby(f"h{number}", books, random.Random(number), ends=0.3) for number in (0, 1)]
+    chance, observed = random.Random(f"{step} {seed}"), Observations()
+    lobbies = [
+        LobbyServer(f"h{number}", observed, random.Random(number), end_probability=0.3) for number in (0, 1)
+    ]
     ports = [await lobby.start() for lobby in lobbies]
     with socket.socket() as held:
         held.bind(("127.0.0.1", 0))
         held.listen(64)
         stage = Stage(folder, ports, held)
         callers = [
-            Caller(number, books, random.Random(100 + number), lambda: stage.port) for number in range(4)
+            Caller(number, observed, random.Random(100 + number), lambda: stage.port) for number in range(4)
         ]
         tasks = [asyncio.create_task(caller.run()) for caller in callers]
         try:
             old = await stage.start()
             await stage.ready(stage.doors[0])
-            await until(lambda: books.answers > 20)
+            await until(lambda: observed.answers > 20)
             new = await stage.start()
             if "ready" not in step:
                 await stage.ready(stage.doors[1])
-                await until(lambda: books.answers > 40)
+                await until(lambda: observed.answers > 40)
                 third = await stage.start()  # while two share the store, a third is refused
                 assert await asyncio.wait_for(third.wait(), 60) == 2
             if "drain" in step or step in ("new, taking over", "nobody"):
@@ -308,10 +310,10 @@
                 await old.wait()
                 await stage.start()
                 await stage.ready(stage.doors[-1])
-            before = books.answers
-            await until(lambda: books.answers > before + 20)
+            before = observed.answers
+            await until(lambda: observed.answers > before + 20)
             await quiet(callers)
-            await ended_by_servers(lobbies, books)
+            await ended_by_servers(lobbies, observed)
             last = stage.programs[-1] if victim is new else new
             last.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(last.wait(), 60) == 0
@@ -320,7 +322,7 @@
                 await ended(program)
             await cancelled(tasks)
             stage.log.close()
-    return books
+    return observed
 
 
 async def until(done: object) -> None:
@@ -334,9 +336,9 @@
 
 @pytest.mark.parametrize("step", STEPS)
 def test_either_process_killed_at_each_step_of_a_handover(step: str, tmp_path: pathlib.Path) -> None:
-    books = asyncio.run(upgraded(tmp_path, step, 1))
+    observed = asyncio.run(upgraded(tmp_path, step, 1))
     log = (tmp_path / "log").read_text(encoding="utf-8")
-    assert books.faults == []
+    assert observed.faults == []
     assert "Traceback" not in log and "stopped:" not in log, log[-2000:]
     found = tools.contents(tmp_path / "s.store")
     assert found.torn_bytes == 0
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,7 +15,7 @@
 from frostport.membership.messages import Info, State, Update
 from frostport.membership.settings import Settings
 from frostport.membership.swim import Swim
-from standins.simulated import World
+from standins.membership_simulation import SimulatedNetwork
 from tests.test_agreement import CopyableRandom
 
 # Breadth-first exploration of three agents
@@ -244,38 +244,40 @@
 # Simulations of many agents
 
 
-def converged(count: int, seed: int, loss: float = 0.0) -> World:
-    world = World(count, seed, loss=loss)
+def converged(count: int, seed: int, loss: float = 0.0) -> SimulatedNetwork:
+    world = SimulatedNetwork(count, seed, loss=loss)
     for _ in range(20):
         world.run(10_000.0)
-        if not world.unagreed():
+        if not world.disagreements():
             return world
-    raise AssertionError(world.unagreed())
+    raise AssertionError(world.disagreements())
 
 
 @pytest.mark.parametrize(("count", "loss"), [(100, 0.0), (40, 0.3)])
 def test_deaths_are_detected_and_no_running_agent_is_declared_dead(count: int, loss: float) -> None:
     world = converged(count, 1, loss)
-    killed = [f"a{number}" for number in world.chance.sample(range(3, count), 8)]
+    killed = [f"a{number}" for number in world.rng.sample(range(3, count), 8)]
     began = world.now
     for address in killed:
         world.stop(address)
     world.run(120_000.0 if loss else 40_000.0)
     for address in world.agents:
         for name in killed:
-            assert world.sees(address, name) in (State.DEAD, None), (
+            assert world.state_of(address, name) in (State.DEAD, None), (
                 f"{address} has not detected the death of {name}"
             )
     if not loss:  # with 30 % loss an agent may be declared dead and refute it
-        assert world.buried(began, {agent.name for agent in world.agents.values()}) == []
-    assert world.unagreed() == []
-    assert world.longest <= 220
+        assert world.reported_deaths(began, {agent.name for agent in world.agents.values()}) == []
+    assert world.disagreements() == []
+    assert world.longest_datagram <= 220
     world.run(100_000.0)
-    assert {world.sees(address, name) for address in world.agents for name in killed} == {None}  # forgotten
+    assert {world.state_of(address, name) for address in world.agents for name in killed} == {
+        None
+    }  # forgotten
     for address in killed:
         world.start(address)
     world.run(25_000.0)
-    assert world.unagreed() == []
+    assert world.disagreements() == []
 
 
 def test_after_a_pause_of_the_whole_fleet_no_agent_is_declared_dead() -> None:
@@ -284,12 +286,12 @@
     world.freeze(*world.agents)
     world.run(600_000.0)
     woken = list(world.agents)
-    world.chance.shuffle(woken)
+    world.rng.shuffle(woken)
     for number, address in enumerate(woken):  # one after the other
-        world.at(world.now + number * 10.0, lambda address=address: world.wake(address))  # type: ignore[misc]
+        world.call_at(world.now + number * 10.0, lambda address=address: world.unfreeze(address))  # type: ignore[misc]
     world.run(120_000.0)
-    assert world.buried(began, {agent.name for agent in world.agents.values()}) == []
-    assert world.unagreed() == []
+    assert world.reported_deaths(began, {agent.name for agent in world.agents.values()}) == []
+    assert world.disagreements() == []
 
 
 def test_a_paused_agent_is_declared_dead_and_rejoins_without_declaring_others_dead() -> None:
@@ -297,11 +299,11 @@
     began = world.now
     world.freeze("a7")
     world.run(60_000.0)
-    assert world.sees("a5", "a7") in (State.DEAD, None)
-    world.wake("a7")
+    assert world.state_of("a5", "a7") in (State.DEAD, None)
+    world.unfreeze("a7")
     world.run(30_000.0)
-    assert world.unagreed() == []
-    assert not [found for found in world.buried(began, set(world.agents) - {"a7"})]
+    assert world.disagreements() == []
+    assert not [found for found in world.reported_deaths(began, set(world.agents) - {"a7"})]
 
 
 @pytest.mark.parametrize("one_way", [True, False])
@@ -313,29 +315,29 @@
     world.run(200_000.0)
     world.cut = lambda sender, to: False
     world.run(60_000.0)
-    assert world.unagreed() == []
+    assert world.disagreements() == []
 
 
 def test_clock_skew_and_drift_cause_no_false_deaths() -> None:
-    world = World(30, 8)
+    world = SimulatedNetwork(30, 8)
     for number in range(30):
-        world.clocks[f"a{number}"] = (world.chance.uniform(-5000.0, 5000.0), world.chance.uniform(0.98, 1.02))
+        world.clocks[f"a{number}"] = (world.rng.uniform(-5000.0, 5000.0), world.rng.uniform(0.98, 1.02))
     world.run(40_000.0)
-    assert world.unagreed() == []
+    assert world.disagreements() == []
     world.stop("a11")
     world.run(120_000.0)
-    assert {world.sees(address, "a11") for address in world.agents} <= {State.DEAD, None}
-    assert world.buried(0.0, set(world.agents)) == []
+    assert {world.state_of(address, "a11") for address in world.agents} <= {State.DEAD, None}
+    assert world.reported_deaths(0.0, set(world.agents)) == []
 
 
 def test_an_agent_that_leaves_is_not_declared_dead_and_can_rejoin() -> None:
     world = converged(30, 6)
     world.leave("a9")
     world.run(20_000.0)
-    assert {world.sees(address, "a9") for address in world.agents} == {State.LEFT}
+    assert {world.state_of(address, "a9") for address in world.agents} == {State.LEFT}
     world.start("a9", skew=-600_000.0)  # its clock was set back
     world.run(20_000.0)
-    assert world.unagreed() == [] and world.sees("a1", "a9") is State.ALIVE
+    assert world.disagreements() == [] and world.state_of("a1", "a9") is State.ALIVE
 
 
 def test_two_processes_of_one_name() -> None:
@@ -343,10 +345,10 @@
     world.start("a5", "b5")  # a configuration error: the name is used twice
     world.run(20_000.0)
     assert world.agents["b5"].phase is Phase.REFUSED
-    assert "answers at a5" in next(moved.why for _, by, moved in world.moved if by == "b5")
-    assert world.unagreed() == []
+    assert "answers at a5" in next(moved.why for _, by, moved in world.phase_changes if by == "b5")
+    assert world.disagreements() == []
     world.stop("b5")
-    world.start("a5", "b5", follows=True)  # an upgrade
+    world.start("a5", "b5", takes_over=True)  # an upgrade
     world.run(20_000.0)
     assert [world.agents[address].phase.value for address in ("a5", "b5")] == ["followed", "member"]
     assert world.agents["a1"].table.members["a5"].info.address == "b5"
@@ -354,7 +356,7 @@
     world.stop("b5")
     world.start("a5", "c5")  # no process of the name is left: another address may take it
     world.run(20_000.0)
-    assert world.agents["c5"].phase is Phase.MEMBER and world.unagreed() == []
+    assert world.agents["c5"].phase is Phase.MEMBER and world.disagreements() == []
 
 
 def test_a_view_over_the_link_has_the_precedence_of_any_update() -> None:
--- a/tests/test_sigkill.py
+++ b/tests/test_sigkill.py
@@ -13,7 +13,7 @@
 
 from frostport.state import records
 from frostport.store import tools
-from standins.lobby import Books, Caller, Lobby, configuration
+from standins.lobby import Caller, LobbyServer, Observations, configuration
 from standins.ports import free_ports
 
 KILLS, CLIENTS = 50, 6
@@ -35,14 +35,18 @@
     raise TimeoutError("the program does not listen")
 
 
-async def killed_often(folder: pathlib.Path, seed: int) -> Books:
-    chance, books = random.Random(seed), Books()
-    lobbies = [Lobby(f"h{number}", books, random.Random(number), ends=0.5) for number in (0, 1)]
+async def killed_often(folder: pathlib.Path, seed: int) -> Observations:
+    chance, observed = random.Random(seed), Observations()
+    lobbies = [
+        LobbyServer(f"h{number}", observed, random.Random(number), end_probability=0.5) for number in (0, 1)
+    ]
     ports = [await lobby.start() for lobby in lobbies]
     port = free_ports(1)[0]
     path = folder / "config.json"
     path.write_text(json.dumps(configuration(port, ports, store=STORE)), encoding="utf-8")
-    callers = [Caller(number, books, random.Random(100 + number), lambda: port) for number in range(CLIENTS)]
+    callers = [
+        Caller(number, observed, random.Random(100 + number), lambda: port) for number in range(CLIENTS)
+    ]
     tasks = [asyncio.create_task(caller.run()) for caller in callers]
     with (folder / "log").open("wb") as log:
         for kill in range(KILLS + 1):
@@ -57,35 +61,37 @@
                     continue
                 # The last life: clients release all they know of, servers end what nobody knows of.
                 await quiet(callers)
-                await ended_by_servers(lobbies, books)
+                await ended_by_servers(lobbies, observed)
                 program.send_signal(signal.SIGTERM)
                 assert await asyncio.wait_for(program.wait(), PATIENCE_S) == 0
             finally:
                 await ended(program)
     await cancelled(tasks)
-    return books
+    return observed
 
 
-async def ended_by_servers(lobbies: Sequence[Lobby], books: Books) -> None:
+async def ended_by_servers(lobbies: Sequence[LobbyServer], observed: Observations) -> None:
     """Servers hold only what nobody knows of; they end it, and each end is confirmed, after its record."""
 
     def left() -> set[str]:
-        return {call for lobby in lobbies for call in lobby.held} - books.unsure
+        return {call for lobby in lobbies for call in lobby.calls} - observed.uncertain
 
     with contextlib.suppress(TimeoutError):  # the guard, and what servers tell again
         await settled(lambda: not left())
     for call in left():
-        books.fault(f"{call}: left at a server, and its client knows nothing of it")
+        observed.report_fault(f"{call}: left at a server, and its client knows nothing of it")
     for lobby in lobbies:
         lobby.end_all()
-    await settled(lambda: not any(lobby.ended for lobby in lobbies))
+    await settled(lambda: not any(lobby.unconfirmed_ends for lobby in lobbies))
 
 
 async def quiet(callers: Sequence[Caller]) -> None:
     """Clients ask no more, and release all they know to stand."""
     for caller in callers:
-        caller.asking = False
-    await settled(lambda: not any(caller.asked or caller.mine or caller.releasing for caller in callers))
+        caller.active = False
+    await settled(
+        lambda: not any(caller.pending or caller.established or caller.releasing for caller in callers)
+    )
 
 
 async def ended(program: asyncio.subprocess.Process) -> None:
@@ -111,10 +117,10 @@
 
 
 def test_fifty_sigkills_under_load(tmp_path: pathlib.Path) -> None:
-    books = asyncio.run(killed_often(tmp_path, 4))
-    print(f"{books.answers} answers, {books.refused} refused, {len(books.unsure)} never known")
-    assert books.faults == []
-    assert books.answers - books.refused > 5 * KILLS and books.ended > KILLS
+    observed = asyncio.run(killed_often(tmp_path, 4))
+    print(f"{observed.answers} answers, {observed.refused} refused, {len(observed.uncertain)} never known")
+    assert observed.faults == []
+    assert observed.answers - observed.refused > 5 * KILLS and observed.ended > KILLS
     log = (tmp_path / "log").read_text(encoding="utf-8")
     assert "Traceback" not in log and "stopped:" not in log
     found = tools.contents(tmp_path / "s.store")
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -27,16 +27,16 @@
 from frostport.startup.settings import Settings
 from frostport.startup.turns import Turns
 from frostport.startup.waves import Local, Waves
-from standins.starts import Site, busiest
+from standins.cold_start_simulation import SimulatedSite, max_in_window
 
 COUNT = 200
 DRAIN_MS = 2000.0  # nothing new goes to a draining server after that
 
 
-def all_serve(site: Site, within_ms: float) -> None:
+def all_serve(site: SimulatedSite, within_ms: float) -> None:
     for _ in range(int(within_ms / 1000.0)):
         site.run(1000.0)
-        if site.serving() == len(site.agents) == site.count:
+        if site.serving_count() == len(site.agents) == site.count:
             return
     left = [
         (name, agent.waves.why, agent.feed.role.value)
@@ -46,56 +46,58 @@
     raise AssertionError(f"{len(left)} do not serve: {left[:5]}; collapsed: {site.collapsed()}")
 
 
-def spared(site: Site, since: float = 0.0) -> None:
+def spared(site: SimulatedSite, since: float = 0.0) -> None:
     """Nothing collapsed, and nobody was rushed."""
     assert site.collapsed() == []
-    for name, party in site.parties.items():
+    for name, party in site.endpoints.items():
         most = 10 if name == LIST_SERVICE else 25
-        assert busiest([at for at in party.accepted if at >= since]) <= most, name
+        assert max_in_window([at for at in party.accepted_at if at >= since]) <= most, name
 
 
-def heard(site: Site, within_ms: float = DRAIN_MS) -> None:
+def heard(site: SimulatedSite, within_ms: float = DRAIN_MS) -> None:
     offset = site.publish()
     site.run(3000.0)
-    assert site.latest(offset) <= within_ms, f"an agent heard of it after {site.latest(offset):.0f} ms"
+    assert site.max_delay_ms(offset) <= within_ms, (
+        f"an agent heard of it after {site.max_delay_ms(offset):.0f} ms"
+    )
 
 
 # Hard cases
 
 
-def all_at_once(site: Site) -> None:
+def all_at_once(site: SimulatedSite) -> None:
     all_serve(site, 20_000.0)
     heard(site)
 
 
-def service_away_and_back(site: Site) -> None:
+def service_away_and_back(site: SimulatedSite) -> None:
     all_serve(site, 20_000.0)
-    for party in site.parties.values():
-        party.away()
+    for party in site.endpoints.values():
+        party.go_down()
     site.run(10_000.0)
     began = site.now
-    for party in site.parties.values():
-        party.back()
+    for party in site.endpoints.values():
+        party.come_up()
     site.run(max(20_000.0, 100.0 * site.count))  # at 80 a second, with gaps that have grown
     spared(site, began)
     assert all(set(site.servers) <= agent.connected.keys() for agent in site.agents.values())
-    assert sum(at >= began for at in site.parties[LIST_SERVICE].accepted) <= 20
+    assert sum(at >= began for at in site.endpoints[LIST_SERVICE].accepted_at) <= 20
     heard(site)
 
 
-def away_again_from_the_rush(site: Site) -> None:
+def away_again_from_the_rush(site: SimulatedSite) -> None:
     """It returns, and dies again; its first return brings few enough."""
     all_serve(site, 20_000.0)
     for _ in range(3):
-        site.parties[LIST_SERVICE].away()
+        site.endpoints[LIST_SERVICE].go_down()
         site.run(5000.0)
-        site.parties[LIST_SERVICE].back()
+        site.endpoints[LIST_SERVICE].come_up()
         site.run(1000.0)
     site.run(15_000.0)
     heard(site)
 
 
-def feeders_die_in_the_first_second(site: Site) -> None:
+def feeders_die_in_the_first_second(site: SimulatedSite) -> None:
     site.run(2000.0)
     for _ in range(3):
         site.kill(
@@ -112,7 +114,7 @@
     heard(site)
 
 
-def feeders_stall(site: Site) -> None:
+def feeders_stall(site: SimulatedSite) -> None:
     """They are alive as far as anyone knows, and say nothing: others feed within the drain's grace."""
     all_serve(site, 20_000.0)
     site.run(3000.0)
@@ -125,7 +127,7 @@
     offset = site.publish()
     site.run(3000.0)
     late = {
-        name: agent.heard_at.get(offset, site.now) - site.told_at[offset]
+        name: agent.event_received_at.get(offset, site.now) - site.published_at[offset]
         for name, agent in site.agents.items()
         if name not in stalled
     }
@@ -134,30 +136,30 @@
     heard(site)
 
 
-def half_hold_an_old_list(site: Site) -> None:
-    assert site.last == 100
+def half_hold_an_old_list(site: SimulatedSite) -> None:
+    assert site.last_event == 100
     all_serve(site, 20_000.0)
     site.run(3000.0)
-    assert all(agent.offset == site.last for agent in site.agents.values())
+    assert all(agent.offset == site.last_event for agent in site.agents.values())
     assert site.whole_lists <= 20
     heard(site)
 
 
-def a_zone_cut_off_during_the_start(site: Site) -> None:
+def a_zone_cut_off_during_the_start(site: SimulatedSite) -> None:
     site.run(1500.0)
-    site.apart("z1", 15_000.0)
+    site.isolate_zone("z1", 15_000.0)
     all_serve(site, 30_000.0)
     heard(site)  # each zone has feeders of its own
     site.run(15_000.0)
     heard(site)
 
 
-def three_of_all_are_seen(site: Site) -> None:
+def three_of_all_are_seen(site: SimulatedSite) -> None:
     """Nobody sees more than three: each takes its turn at the service as if all did."""
     all_serve(site, 90_000.0)
 
 
-def a_rolling_restart_in_the_middle(site: Site) -> None:
+def a_rolling_restart_in_the_middle(site: SimulatedSite) -> None:
     site.run(3000.0)
     for tenth in range(10):
         names = [name for name in site.agents if int(name[1:]) % 10 == tenth]
@@ -171,13 +173,13 @@
     heard(site)
 
 
-def one_that_accepts_and_never_speaks(site: Site) -> None:
-    site.parties["h1"].mute = True
+def one_that_accepts_and_never_speaks(site: SimulatedSite) -> None:
+    site.endpoints["h1"].silent = True
     all_serve(site, 20_000.0)
     heard(site)
 
 
-CASES: dict[str, tuple[Callable[[Site], None], dict[str, object]]] = {
+CASES: dict[str, tuple[Callable[[SimulatedSite], None], dict[str, object]]] = {
     "all at once": (all_at_once, {}),
     "list service and lobby servers away for 10 s": (service_away_and_back, {}),
     "it dies again and again": (away_again_from_the_rush, {}),
@@ -195,11 +197,11 @@
 }
 
 
-def made(case: str, count: int, seed: int, eager: bool = False) -> Site:
+def made(case: str, count: int, seed: int, eager: bool = False) -> SimulatedSite:
     more = CASES[case][1]
-    site = Site(count, seed, eager=eager, **more)  # type: ignore[arg-type]
+    site = SimulatedSite(count, seed, eager=eager, **more)  # type: ignore[arg-type]
     if case == "half hold a list 100 events old":
-        site.last = site.kept_from = 100
+        site.last_event = site.oldest_kept_event = 100
     if case == "three of all are seen":
 
         def hidden(viewer: str, other: str) -> bool:
@@ -239,9 +241,9 @@
     at = Settings(agents=200)
     agents = [Turns(at, random.Random(number), 0.0) for number in range(200)]
     first = sorted(turns.first("h0", 0.0) for turns in agents)
-    assert first[-1] <= 2500.0 and busiest(first) <= 20
+    assert first[-1] <= 2500.0 and max_in_window(first) <= 20
     again = sorted(turns.again("h1", 50_000.0) for turns in agents)
-    assert busiest(again) <= 20  # also the first redial after a loss that all have seen at once
+    assert max_in_window(again) <= 20  # also the first redial after a loss that all have seen at once
     one, now, dials = agents[0], 100_000.0, 0
     while now < 400_000.0:
         now += one.again("h2", now) + 1.0
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -80,7 +80,7 @@
     last: list[frames.Change] = [("call/x", b"never acknowledged"), ("call/1", None)]
     engine.append(last)
     assert len(engine.segments) >= 3 and engine.checkpoints
-    return folder.killed(), model, applied(model, last)
+    return folder.after_kill(), model, applied(model, last)
 
 
 def reopened(folder: Folder) -> Model:
@@ -198,15 +198,15 @@
     whole = MemoryFolder()
     run_store(whole, seed, {}, [{}])
     assert {"replace manifest", "remove log-0000000001", "image index.db"} <= set(whole.log)
-    for step in range(1, whole.steps + 1):
-        folder = MemoryFolder(chance=random.Random(step))
+    for step in range(1, whole.operations + 1):
+        folder = MemoryFolder(rng=random.Random(step))
         folder.fail(step, PowerLostError)
         progress, models = {"acknowledged": 0}, [Model()]
         with pytest.raises(PowerLostError):
             run_store(folder, seed, progress, models)
         for restart in range(4):
             chance = random.Random(f"{seed} {step} {restart}")
-            found = folder.crash(chance)
+            found = folder.after_power_loss(chance)
             if restart < 3:
                 found.fail(chance.randint(1, 6), PowerLostError)
             try:
@@ -232,7 +232,7 @@
     @initialize(seed=st.integers(0, 2**32))
     def begin(self, seed: int) -> None:
         self.chance = random.Random(seed)
-        self.folder = MemoryFolder(chance=self.chance)
+        self.folder = MemoryFolder(rng=self.chance)
         self.models: list[Model] = [{}]
         self.acknowledged = 0  # the oldest model that a restart may bring back
         self.engine = Engine.open(self.folder, SMALL, store_id=9)
@@ -285,7 +285,7 @@
 
     @rule(power=st.booleans())
     def crash(self, power: bool) -> None:
-        self.folder = self.folder.crash(self.chance) if power else self.folder.killed()
+        self.folder = self.folder.after_power_loss(self.chance) if power else self.folder.after_kill()
         self.come_back()
 
     @rule()
@@ -294,7 +294,7 @@
         self.engine.close()
         if clean and self.engine.failure is None and self.engine.synced == self.engine.sequence:
             self.acknowledged = len(self.models) - 1
-        self.folder = self.folder.killed()
+        self.folder = self.folder.after_kill()
         self.come_back()
 
     def come_back(self) -> None:
@@ -383,7 +383,7 @@
     restart after power loss brings back all that was written before the last acknowledgement, and nothing
     older."""
     chance = random.Random(seed)
-    folder, worker, revived = MemoryFolder(chance=chance), ManualWorker(), 0
+    folder, worker, revived = MemoryFolder(rng=chance), ManualWorker(), 0
     limits = Limits(segment_bytes=2048, record_bytes=256, store_bytes=64 * 1024, checkpoint_records=20)
     clock, deadlines = ManualClock(), Deadlines()
     store_committer = committer.Committer(Engine.open(folder, limits), worker, clock, deadlines, how)
@@ -392,7 +392,7 @@
         if chance.random() < 0.03:
             folder.fail(chance.randint(1, 12), lambda: OSError(28, "no space"), chance.random() < 0.5)
         if store_committer.state is committer.State.FAILED and chance.random() < 0.2:
-            folder.fails_at, folder.lasting = -1, False
+            folder.fails_at_operation, folder.persistent = -1, False
         changes: list[frames.Change] = [
             (f"k{chance.randrange(9)}", None if chance.random() < 0.3 else chance.randbytes(20))
             for _ in range(chance.randint(1, 4))
@@ -413,15 +413,15 @@
         ):
             promised = current
             if store_committer.engine.synced == store_committer.engine.sequence:
-                assert reopened(folder.crash(chance)) == promised
+                assert reopened(folder.after_power_loss(chance)) == promised
     assert revived > 1
-    folder.fails_at, folder.lasting = -1, False
+    folder.fails_at_operation, folder.persistent = -1, False
     while store_committer.state is committer.State.FAILED:
         clock.at += 31_000.0
         deadlines.run(clock.at)
         worker.run()
     store_committer.close()
-    assert reopened(folder.killed()) == model
+    assert reopened(folder.after_kill()) == model
 
 
 def test_past_its_limit_a_failed_store_says_that_a_restart_is_needed(
@@ -430,13 +430,13 @@
     monkeypatch.setattr(committer, "MAX_UNWRITTEN_KEYS", 5)
     folder, worker, clock, deadlines = MemoryFolder(), ManualWorker(), ManualClock(), Deadlines()
     store_committer = committer.Committer(Engine.open(folder, SMALL), worker, clock, deadlines)
-    folder.fail(1, lambda: OSError(28, "no space"), lasting=True)
+    folder.fail(1, lambda: OSError(28, "no space"), persistent=True)
     for number in range(8):
         store_committer.write([(f"k{number}", b"x")])
         clock.at += 100.0
         deadlines.run(clock.at)
         worker.run()
-    folder.fails_at, folder.lasting = -1, False
+    folder.fails_at_operation, folder.persistent = -1, False
     clock.at += 60_000.0
     deadlines.run(clock.at)
     worker.run()
