--- a/benchmarks/acceptance.py
+++ b/benchmarks/acceptance.py
@@ -1,7 +1,8 @@
-"""Plays of the operators' bench over days and seeds, and a table of what they gave.
+"""Runs the operators' bench over scenarios ("days") and seeds, and prints a table of the results.
 
-The bench is no part of this repository: `--bench` names it, and without it this says so and ends with 2. Each
-play leaves the bench's own report as JSON in `--out`; `--table` reads such reports and plays nothing.
+The bench is not part of this repository. `--bench` names its program; without it, this prints an error and
+exits with status 2. Each run writes the bench's report as JSON to `--out`. `--table` only prints the table of
+existing reports.
 
     python -m benchmarks.acceptance --bench BENCH SITE --days roll+mass split+mass --seeds 1 2 3 --out DIR
     python -m benchmarks.acceptance --table --out DIR
@@ -17,66 +18,67 @@
 import sys
 from typing import Any
 
-SLOW_S = 10.0  # a restarted process that is ready later than this counts as slow
+SLOW_RESTART_S = 10.0  # a restarted process that is ready later than this counts as slow
 
 
-def play(options: argparse.Namespace, day: str, seed: int) -> int:
-    """One play; its report goes to `--out`, what the bench printed beside it."""
-    at = options.out / f"{day}-{seed}"
+def run_bench(options: argparse.Namespace, scenario: str, seed: int) -> int:
+    """Runs the bench once, with its report and its output in `--out`; returns its exit status."""
+    path = options.out / f"{scenario}-{seed}"
     command = [
         options.bench,
         options.site,
         "--rough",
-        day,
+        scenario,
         "--seed",
         str(seed),
         "--nodes",
         str(options.nodes),
         "--no-build",
         "--json",
-        f"{at}.json",
+        f"{path}.json",
         "--why",
         options.why,
     ]
-    with at.with_suffix(".txt").open("w") as said:
-        return subprocess.run(command, stdout=said, stderr=subprocess.STDOUT, check=False).returncode
+    with path.with_suffix(".txt").open("w") as output:
+        return subprocess.run(command, stdout=output, stderr=subprocess.STDOUT, check=False).returncode
 
 
-def row(name: str, report: dict[str, Any]) -> str:
-    """One line of the table: what was asked, and each thing that could fail it."""
-    said, seen = report["row"], report["real"]["seen"]
-    broken = ", ".join(f"{rule} {count}" for rule, count in said["rules"].items() if count)
+def table_row(name: str, report: dict[str, Any]) -> str:
+    """One line of the table: the run, its score, and each requirement that could fail."""
+    row, seen = report["row"], report["real"]["seen"]
+    broken = ", ".join(f"{rule} {count}" for rule, count in row["rules"].items() if count)
     restarts = seen["restart_s"]
-    slow = sum(took > SLOW_S for took in restarts)
-    wanted = [
-        (said["served"], said["served_least"]),
-        *((part[1], part[2]) for part in said["by_class"]),
-        *((part[1], part[2]) for part in said["by_tenant"] if len(part) > 2),
+    slow = sum(seconds > SLOW_RESTART_S for seconds in restarts)
+    required = [
+        (row["served"], row["served_least"]),
+        *((part[1], part[2]) for part in row["by_class"]),
+        *((part[1], part[2]) for part in row["by_tenant"] if len(part) > 2),
     ]
-    gate = "held" if all(served >= least for served, least in wanted) else "FAILED"
+    gate = "held" if all(served >= minimum for served, minimum in required) else "FAILED"
     cells = [
         name.rpartition("-")[0],
-        str(said["seed"]),
-        f"{said['score']:.2f}",
-        f"{said['served']:.3f} of {said['served_least']:.3f}, {gate}",
-        broken or said["fault"] or "none",
+        str(row["seed"]),
+        f"{row['score']:.2f}",
+        f"{row['served']:.3f} of {row['served_least']:.3f}, {gate}",
+        broken or row["fault"] or "none",
         f"{slow} of {len(restarts)}" if restarts else "none restarted",
         "yes" if report["real"]["sound"] else "NO, machine too slow",
     ]
     return "| " + " | ".join(cells) + " |"
 
 
-def table(folder: pathlib.Path) -> list[str]:
+def format_table(folder: pathlib.Path) -> list[str]:
     lines = [
-        "| day | seed | score | served, and what the gate wants | rule broken or crash "
+        "| day | seed | score | served, and the required share | rule broken or crash "
         "| slow to be ready | sound |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
     reports = sorted(
-        folder.glob("*.json"), key=lambda at: (at.stem.rpartition("-")[0], int(at.stem.rpartition("-")[2]))
+        folder.glob("*.json"),
+        key=lambda path: (path.stem.rpartition("-")[0], int(path.stem.rpartition("-")[2])),
     )
-    lines += [row(at.stem, json.loads(at.read_text())) for at in reports]
-    missing = sorted(at.stem for at in folder.glob("*.txt") if not at.with_suffix(".json").exists())
+    lines += [table_row(path.stem, json.loads(path.read_text())) for path in reports]
+    missing = sorted(path.stem for path in folder.glob("*.txt") if not path.with_suffix(".json").exists())
     return lines + [f"| {name} | | no report | | | | |" for name in missing]
 
 
@@ -89,7 +91,7 @@
     parser.add_argument("--days", nargs="+", default=["roll+mass", "split+mass", "join+mass"])
     parser.add_argument("--seeds", nargs="+", type=int, default=list(range(1, 11)))
     parser.add_argument("--nodes", type=int, default=30)
-    parser.add_argument("--jobs", type=int, default=6, help="plays side by side")
+    parser.add_argument("--jobs", type=int, default=6, help="runs at a time")
     parser.add_argument("--why", default="Acceptance plays over days and seeds")
     parser.add_argument("--out", type=pathlib.Path, required=True, help="folder for the reports")
     parser.add_argument("--table", action="store_true", help="only print the table of what is in --out")
@@ -98,17 +100,21 @@
     if not options.table:
         if not options.bench or not options.site or not pathlib.Path(options.bench).is_file():
             print(
-                f"the bench is missing: {options.bench or '--bench not given'}; nothing was played",
+                f"the bench is missing: {options.bench or '--bench not given'}; nothing was run",
                 file=sys.stderr,
             )
             return 2
         options.out.mkdir(parents=True, exist_ok=True)
         with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-            plays = [pool.submit(play, options, day, seed) for seed in options.seeds for day in options.days]
-            failed = sum(done.result() != 0 for done in plays)
-    print("\n".join(table(options.out)))
+            runs = [
+                pool.submit(run_bench, options, scenario, seed)
+                for seed in options.seeds
+                for scenario in options.days
+            ]
+            failed = sum(run.result() != 0 for run in runs)
+    print("\n".join(format_table(options.out)))
     if failed:
-        print(f"{failed} plays ended with an error", file=sys.stderr)
+        print(f"{failed} runs ended with an error", file=sys.stderr)
     return 1 if failed else 0
 
 
--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -1,7 +1,8 @@
-"""Calls through real decision modules on one simulated clock, while their machines are taken out for work.
+"""Simulates calls through call agents on one clock, while machines are taken out of service for maintenance.
 
-Lobby servers are stand-ins: one processor each, work in turn, refusing past a bounded queue, slow while cold.
-A balancer gives each call to an agent that serves. Agents' decisions are `decide.Controller`'s, unchanged.
+Agents decide by the real `decide.Controller`. Lobby servers are modelled as one processor each with a bounded
+queue: a full queue refuses set-ups, and a cold server is slow. A load balancer gives each call to a random
+agent that serves.
 """
 
 from __future__ import annotations
@@ -16,81 +17,83 @@
 from frostport.decide import Controller
 
 AIM_MS, DEADLINE_MS, COLD_MS, COLD_FROM = 1500.0, 9000.0, 15_000.0, 0.34
-WAY_MS, QUEUE_MS, CONNECT_MS = 10.0, 1200.0, 5.0  # there and back; the longest wait; until a dead one refuses
-HOLD_MS = (500.0, 3000.0)  # how long a call stands
-GUARD_MS = 500.0
-BEGAN_MS = 100_000.0  # guards against servers of a time before it that would be cold at the beginning
+# The network's round trip, the longest wait in a server's queue, the time until a stopped server refuses.
+ROUND_TRIP_MS, MAX_QUEUE_MS, CONNECT_REFUSAL_MS = 10.0, 1200.0, 5.0
+CALL_DURATION_MS = (500.0, 3000.0)
+RELEASE_GUARD_MS = 500.0
+START_MS = 100_000.0  # large enough that servers started before it are not cold at the beginning
 
 
-class Clock:
-    """Simulated ms, and what is due."""
+class SimulatedClock:
+    """The simulated time in ms, and the callbacks that are due."""
 
     def __init__(self) -> None:
-        self.now, self.order = BEGAN_MS, 0
+        self.now, self.sequence = START_MS, 0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
 
-    def at(self, after: float, do: Callable[[], None]) -> None:
-        self.order += 1
-        heapq.heappush(self.events, (self.now + after, self.order, do))
+    def call_after(self, delay_ms: float, callback: Callable[[], None]) -> None:
+        self.sequence += 1
+        heapq.heappush(self.events, (self.now + delay_ms, self.sequence, callback))
 
     def run(self, until: Callable[[], bool]) -> None:
         while not until():
-            self.now, _, do = heapq.heappop(self.events)
-            do()
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
 
 
-class LobbyServer:
-    """One processor of `rate` set-ups a second."""
+class SimulatedLobbyServer:
+    """One processor that handles `rate` set-ups per second when it is warm."""
 
-    def __init__(self, clock: Clock, name: str, number: int, rate: float) -> None:
+    def __init__(self, clock: SimulatedClock, name: str, number: int, rate: float) -> None:
         self.clock, self.name, self.number, self.rate = clock, name, number, rate
         self.up, self.started, self.free_at = True, -math.inf, 0.0
-        self.life = 0
+        self.incarnation = 0
 
-    def set_up(self, then: Callable[[api.Outcome, float], None]) -> None:
-        """`then` hears how it ended, and the wait that was stated, if any."""
-        now, life = self.clock.now, self.life
+    def set_up(self, on_end: Callable[[api.Outcome, float], None]) -> None:
+        """Sends a set-up; calls `on_end` with its outcome and a stated wait in ms, which is always 0."""
+        now, incarnation = self.clock.now, self.incarnation
         if not self.up:
-            self.clock.at(CONNECT_MS, lambda: then(api.Outcome.CONNECT_FAILED, 0.0))
+            self.clock.call_after(CONNECT_REFUSAL_MS, lambda: on_end(api.Outcome.CONNECT_FAILED, 0.0))
             return
-        if self.free_at - now > QUEUE_MS:
-            self.clock.at(WAY_MS, lambda: then(api.Outcome.FULL, 0.0))
+        if self.free_at - now > MAX_QUEUE_MS:
+            self.clock.call_after(ROUND_TRIP_MS, lambda: on_end(api.Outcome.FULL, 0.0))
             return
         warm = min(1.0, max(0.0, now - self.started) / COLD_MS)
         rate = self.rate * (COLD_FROM + (1.0 - COLD_FROM) * warm)
         self.free_at = max(self.free_at, now) + 1000.0 / rate
-        self.clock.at(
-            self.free_at - now + WAY_MS,
-            lambda: then(api.Outcome.OK if self.life == life else api.Outcome.RESET, 0.0),
+        self.clock.call_after(
+            self.free_at - now + ROUND_TRIP_MS,
+            lambda: on_end(api.Outcome.OK if self.incarnation == incarnation else api.Outcome.RESET, 0.0),
         )
 
-    def down(self) -> None:
-        self.up, self.life = False, self.life + 1
+    def go_down(self) -> None:
+        self.up, self.incarnation = False, self.incarnation + 1
 
-    def back(self) -> None:
+    def come_up(self) -> None:
         self.up, self.started, self.free_at = True, self.clock.now, self.clock.now
 
 
-class Agent:
-    """One call agent: its module, its calls, the servers that it holds out."""
+class SimulatedAgent:
+    """One call agent: its controller, its calls and the servers that are disabled at it."""
 
-    def __init__(self, world: World, name: str, number: int) -> None:
-        self.world, self.name, self.number = world, name, number
+    def __init__(self, simulation: CallSimulation, name: str, number: int) -> None:
+        self.simulation, self.name, self.number = simulation, name, number
         self.phase = "serving"
-        self.held: set[str] = set()
-        self.calls: dict[str, tuple[float, int]] = {}  # without a final answer: since when, attempts so far
-        self.there: dict[str, int] = dict.fromkeys(world.servers, 0)  # out or standing, by server
+        self.disabled: set[str] = set()
+        self.calls: dict[str, tuple[float, int]] = {}  # unanswered: arrival time, attempts so far
+        self.calls_by_server: dict[str, int] = dict.fromkeys(simulation.servers, 0)  # open ones
         self.boot()
 
     def boot(self) -> None:
-        self.life = getattr(self, "life", 0) + 1
+        """Starts a new incarnation, without any of the calls."""
+        self.incarnation = getattr(self, "incarnation", 0) + 1
         self.calls.clear()
-        self.there = dict.fromkeys(self.world.servers, 0)
+        self.calls_by_server = dict.fromkeys(self.simulation.servers, 0)
         settings = api.Settings(
             (api.CallClass("race", AIM_MS, DEADLINE_MS, holding_ms=1000.0),),
             me=self.number,
-            siblings=len(self.world.names),
-            release_guard_ms=GUARD_MS,
+            siblings=len(self.simulation.names),
+            release_guard_ms=RELEASE_GUARD_MS,
             retransmit_ms=400.0,
             cold_from=COLD_FROM,
             cold_ms=COLD_MS,
@@ -99,14 +102,15 @@
             try_limit=4,
             may_cancel=True,
         )
-        self.module = Controller(settings, self.world.chance.getrandbits(32))
-        self.listed(api.ListKind.PERSISTED)
+        self.controller = Controller(settings, self.simulation.rng.getrandbits(32))
+        self.send_server_list(api.ListKind.PERSISTED)
 
     def busy(self) -> bool:
-        return bool(self.calls) or any(self.there.values())
+        return bool(self.calls) or any(self.calls_by_server.values())
 
-    def listed(self, kind: api.ListKind = api.ListKind.COMPLETE) -> None:
-        now = self.world.clock.now
+    def send_server_list(self, kind: api.ListKind = api.ListKind.COMPLETE) -> None:
+        """Gives the controller the current server list, with disabled servers as draining."""
+        now = self.simulation.clock.now
         self.handle(
             api.ListUpdate(
                 kind,
@@ -115,105 +119,117 @@
                     api.Server(
                         server.name,
                         server.number,
-                        api.Lifecycle.DRAINING if server.name in self.held else api.Lifecycle.READY,
+                        api.Lifecycle.DRAINING if server.name in self.disabled else api.Lifecycle.READY,
                         "",
                         max(0.0, server.started),
                         server.rate,
                     )
-                    for server in self.world.servers.values()
+                    for server in self.simulation.servers.values()
                 ),
             ),
             now,
         )
 
     def handle(self, event: api.Event, now: float) -> None:
-        life = self.life
-        for action in self.module.handle(event, now):
+        incarnation = self.incarnation
+        for action in self.controller.handle(event, now):
             match action:
                 case api.SendAttempt(call, server):
                     self.send(call, server)
                 case api.RefuseCall(call) | api.FailCall(call):
                     if self.calls.pop(call, None) is not None:
-                        self.world.ended(call, False)
-                case api.SetTimer(name, after):
-                    self.world.clock.at(max(0.0, after), functools.partial(self.rang, life, name))
+                        self.simulation.ended(call, False)
+                case api.SetTimer(name, delay_ms):
+                    self.simulation.clock.call_after(
+                        max(0.0, delay_ms), functools.partial(self.timer_fired, incarnation, name)
+                    )
 
-    def rang(self, life: int, name: str) -> None:
-        if life == self.life:
-            self.handle(api.TimerFired(name), self.world.clock.now)
+    def timer_fired(self, incarnation: int, name: str) -> None:
+        if incarnation == self.incarnation:
+            self.handle(api.TimerFired(name), self.simulation.clock.now)
 
     def arrive(self, call: str) -> None:
-        self.calls[call] = (self.world.clock.now, 0)
-        self.handle(api.CallArrived(call, "race", "", DEADLINE_MS, -1), self.world.clock.now)
+        self.calls[call] = (self.simulation.clock.now, 0)
+        self.handle(api.CallArrived(call, "race", "", DEADLINE_MS, -1), self.simulation.clock.now)
 
     def send(self, call: str, server: str) -> None:
-        sent, life = self.world.clock.now, self.life
+        sent, incarnation = self.simulation.clock.now, self.incarnation
         since, number = self.calls[call]
         self.calls[call] = (since, number + 1)
-        self.there[server] += 1
+        self.calls_by_server[server] += 1
 
         def ended(outcome: api.Outcome, _: float) -> None:
-            if self.life != life:
+            if self.incarnation != incarnation:
                 return
-            now = self.world.clock.now
+            now = self.simulation.clock.now
             if outcome is api.Outcome.OK:
-                self.world.clock.at(self.world.chance.uniform(*HOLD_MS), lambda: self.over(life, server))
+                self.simulation.clock.call_after(
+                    self.simulation.rng.uniform(*CALL_DURATION_MS),
+                    lambda: self.call_over(incarnation, server),
+                )
                 if self.calls.pop(call, None) is not None:
-                    self.world.ended(call, now - since <= AIM_MS)
+                    self.simulation.ended(call, now - since <= AIM_MS)
                 self.handle(api.CallStands(call, number, server, now - sent), now)
             else:
-                self.over(life, server)
+                self.call_over(incarnation, server)
                 late = call not in self.calls
                 self.handle(api.AttemptEnded(call, number, server, outcome, now - sent, late), now)
 
-        self.world.servers[server].set_up(ended)
+        self.simulation.servers[server].set_up(ended)
 
-    def over(self, life: int, server: str) -> None:
-        if self.life == life:
-            self.there[server] -= 1
+    def call_over(self, incarnation: int, server: str) -> None:
+        if self.incarnation == incarnation:
+            self.calls_by_server[server] -= 1
 
 
-class World:
-    """Agents, servers, a balancer, and calls at a rate."""
+class CallSimulation:
+    """Agents, lobby servers, a load balancer, and calls that arrive at a rate."""
 
     def __init__(
-        self, clock: Clock, agents: int, servers: int, rate: float, a_second: float, seed: int
+        self,
+        clock: SimulatedClock,
+        agents: int,
+        servers: int,
+        rate: float,
+        calls_per_second: float,
+        seed: int,
     ) -> None:
-        """`rate`: set-ups a second that each server bears; `a_second`: calls."""
-        self.clock, self.chance, self.rate = clock, random.Random(seed), a_second
+        """`rate` is each server's capacity in set-ups per second."""
+        self.clock, self.rng, self.rate = clock, random.Random(seed), calls_per_second
         self.servers = {
-            f"h{number}": LobbyServer(clock, f"h{number}", number, rate) for number in range(servers)
+            f"h{number}": SimulatedLobbyServer(clock, f"h{number}", number, rate) for number in range(servers)
         }
         self.names = [f"a{number}" for number in range(agents)]
-        self.agents = {name: Agent(self, name, number) for number, name in enumerate(self.names)}
-        self.count = 0
-        self.arrived: list[int] = []  # calls by second
-        self.good: list[int] = []  # of these, in time
-        self.since: dict[str, int] = {}
+        self.agents = {name: SimulatedAgent(self, name, number) for number, name in enumerate(self.names)}
+        self.call_count = 0
+        self.arrived_by_second: list[int] = []
+        self.in_time_by_second: list[int] = []  # calls of each second that were answered within their aim
+        self.arrival_second: dict[str, int] = {}
         self.arrive()
 
     def arrive(self) -> None:
-        self.clock.at(self.chance.expovariate(self.rate) * 1000.0, self.arrive)
-        self.count += 1
-        call, second = f"c{self.count}", int(self.clock.now / 1000.0)
-        while len(self.arrived) <= second:
-            self.arrived.append(0)
-            self.good.append(0)
-        self.arrived[second] += 1
-        self.since[call] = second
+        self.clock.call_after(self.rng.expovariate(self.rate) * 1000.0, self.arrive)
+        self.call_count += 1
+        call, second = f"c{self.call_count}", int(self.clock.now / 1000.0)
+        while len(self.arrived_by_second) <= second:
+            self.arrived_by_second.append(0)
+            self.in_time_by_second.append(0)
+        self.arrived_by_second[second] += 1
+        self.arrival_second[call] = second
         serving = [agent for agent in self.agents.values() if agent.phase == "serving"]
         if serving:
-            self.chance.choice(serving).arrive(call)
+            self.rng.choice(serving).arrive(call)
 
     def ended(self, call: str, in_time: bool) -> None:
-        self.good[self.since.pop(call)] += in_time
+        self.in_time_by_second[self.arrival_second.pop(call)] += in_time
 
-    def share(self, first: float, last: float) -> tuple[float, int, float]:
-        """Of the calls between two times: the share in time, how many were not, and the worst 10 s."""
-        a, b = int(first / 1000.0), max(int(first / 1000.0) + 10, int(last / 1000.0))
-        arrived, good = self.arrived[a:b], self.good[a:b]
+    def in_time_share(self, first: float, last: float) -> tuple[float, int, float]:
+        """Of the calls that arrived in a span (extended to at least 10 s): the share answered in time, the
+        number of the others, and the share in the worst 10 s."""
+        start, end = int(first / 1000.0), max(int(first / 1000.0) + 10, int(last / 1000.0))
+        arrived, answered = self.arrived_by_second[start:end], self.in_time_by_second[start:end]
         worst = min(
-            sum(good[at : at + 10]) / max(1, sum(arrived[at : at + 10]))
-            for at in range(max(1, len(good) - 9))
+            sum(answered[at : at + 10]) / max(1, sum(arrived[at : at + 10]))
+            for at in range(max(1, len(answered) - 9))
         )
-        return sum(good) / sum(arrived), sum(arrived) - sum(good), worst
+        return sum(answered) / sum(arrived), sum(arrived) - sum(answered), worst
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -1,8 +1,9 @@
 """Measures cold starts of real processes: `python -m benchmarks.cold_start [COUNT ...]`. Not a test.
 
-Each count is played without the part and with it, one after the other: all processes at once, one list
-service (50 ms an ask) and three lobby servers as stand-ins that count and do not collapse; then calls, and
-calm; then all of them away for 10 s and back. `simulated` plays the tests' hard cases with 1,000 agents.
+Each count of agents is measured without the configuration section `startup` and with it. All processes start
+at once, with a list service (50 ms of work for each request) and three lobby servers that count connections
+and do not collapse. Calls follow, then a steady phase, then list service and servers go down for 10 s and
+come up again. `simulated` runs the hard cases of tests/test_startup.py with 1,000 agents instead.
 """
 
 from __future__ import annotations
@@ -16,127 +17,141 @@
 import time
 from typing import Any
 
-from standins.dark_site import Costly, DarkSite, busiest
+from standins.cold_site import ColdSite, LimitedServer, max_in_window
 from standins.fleet import Rig
 from tests import test_startup
 
-COUNTS = (50, 100, 200)
-AWAY_S, CALM_S = 10.0, 15.0
-TICKS = os.sysconf("SC_CLK_TCK")
+AGENT_COUNTS = (50, 100, 200)
+DOWN_S, STEADY_S = 10.0, 15.0
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
-class Behind(Rig):
-    """Agents give way to the stand-ins, which would else tell when they were scheduled, not who came."""
+class LowPriorityRig(Rig):
+    """Runs agents at a lower priority than the scripted servers. Otherwise the servers' times of connections
+    would show when the servers were scheduled rather than when agents connected."""
 
     async def start(self, name: str) -> None:
         await super().start(name)
         os.setpriority(os.PRIO_PROCESS, self.programs[name].pid, 10)
 
 
-async def ready(rig: Rig) -> None:
-    """Until the last agent says that it serves; a few are asked at a time."""
-    began, left = time.monotonic(), list(rig.names)
-    while left:
-        if (await rig.ask(left[0], "ready"))[:1] == ["OK yes"]:
-            left.pop(0)
+async def wait_until_all_serve(rig: Rig) -> None:
+    """Waits until every agent, asked one after the other, has reported that it is ready."""
+    started, waiting = time.monotonic(), list(rig.names)
+    while waiting:
+        if (await rig.ask(waiting[0], "ready"))[:1] == ["OK yes"]:
+            waiting.pop(0)
         else:
             await asyncio.sleep(0.2)
-        if time.monotonic() - began > 180.0:
-            raise TimeoutError(f"{len(left)} never serve")
+        if time.monotonic() - started > 180.0:
+            raise TimeoutError(f"{len(waiting)} agents do not serve within 180 s")
 
 
-def seen(parties: dict[str, Costly], since: float) -> str:
-    said = []
-    for name, party in parties.items():
-        accepted = [at for at in party.accepted if at >= since]
-        said.append(f"{name} {len(accepted)} ({busiest(accepted)} in 100 ms)")
-    return ", ".join(said)
+def describe_accepted(servers: dict[str, LimitedServer], since: float) -> str:
+    """The connections that each server accepted since a time (Unix s), and the most within 100 ms."""
+    descriptions = []
+    for name, server in servers.items():
+        accepted = [at for at in server.accepted_at if at >= since]
+        descriptions.append(f"{name} {len(accepted)} ({max_in_window(accepted)} in 100 ms)")
+    return ", ".join(descriptions)
 
 
-def cost(rig: Rig) -> tuple[float, float]:
+def cpu_and_memory(rig: Rig) -> tuple[float, float]:
     """CPU seconds of all agents so far, and their mean resident MB."""
     cpu = memory = 0.0
     for program in rig.programs.values():
         stat = pathlib.Path(f"/proc/{program.pid}/stat").read_text(encoding="utf-8")
         fields = stat.rpartition(")")[2].split()
-        cpu += (int(fields[11]) + int(fields[12])) / TICKS
+        cpu += (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
         memory += int(fields[21]) * os.sysconf("SC_PAGE_SIZE") / 1e6
     return cpu, memory / len(rig.programs)
 
 
-async def measured(count: int, part: bool) -> None:
-    site = DarkSite(1, 3, gap_ms=1000.0)
-    parties = site.parties()
-    for party in parties.values():
-        party.processor.most_ms = float("inf")
-    top: dict[str, Any] = {"startup": {"agents": count}} if part else {}
+async def measure(count: int, paced: bool) -> None:
+    site = ColdSite(1, 3, mean_gap_ms=1000.0)
+    servers = site.endpoints()
+    for server in servers.values():
+        server.processor.max_queue_ms = float("inf")
+    extra_config: dict[str, Any] = {"startup": {"agents": count}} if paced else {}
     with tempfile.TemporaryDirectory() as folder:
-        rig = Behind(pathlib.Path(folder), count, 3, 1, relays=False, outside=site, top=top)
-        began, wall = time.monotonic(), time.time()
+        rig = LowPriorityRig(
+            pathlib.Path(folder), count, 3, 1, relays=False, environment=site, extra_config=extra_config
+        )
+        started, started_unix_s = time.monotonic(), time.time()
         async with rig:
-            await ready(rig)
-            all_ready = time.monotonic() - began
-            label = f"{count} {'with' if part else 'without'}"
+            await wait_until_all_serve(rig)
+            all_ready = time.monotonic() - started
+            label = f"{count} {'with' if paced else 'without'}"
             print(
-                f"{label}: all serve after {all_ready:.1f} s; {seen(parties, wall)}; "
-                f"longest line at the list service {parties['list'].processor.longest_ms / 1000.0:.1f} s; "
-                f"whole lists {site.costly.whole_lists}",
+                f"{label}: all serve after {all_ready:.1f} s; {describe_accepted(servers, started_unix_s)}; "
+                f"longest queue at the list service "
+                f"{servers['list'].processor.longest_queue_ms / 1000.0:.1f} s; "
+                f"whole lists sent {site.limited_list.whole_lists}",
                 flush=True,
             )
-            site.call()
+            site.start_callers()
             await asyncio.sleep(10.0)
-            asked, stand = sum(caller.count for caller in site.callers), len(site.books.waits_ms)
-            out = sum(len(caller.asked) for caller in site.callers)
-            print(f"{label}: of {asked - out} calls {stand / max(1, asked - out):.4f} stand", flush=True)
-            before, _ = cost(rig)
-            answers = site.books.answers
-            await asyncio.sleep(CALM_S)
-            after, memory = cost(rig)
-            rate = (site.books.answers - answers) / CALM_S
+            set_ups, established = (
+                sum(caller.set_up_count for caller in site.callers),
+                len(site.observed.answer_times_ms),
+            )
+            pending = sum(len(caller.pending) for caller in site.callers)
+            print(
+                f"{label}: of {set_ups - pending} calls {established / max(1, set_ups - pending):.4f} stand",
+                flush=True,
+            )
+            cpu_before, _ = cpu_and_memory(rig)
+            answers = site.observed.answers
+            await asyncio.sleep(STEADY_S)
+            cpu_after, memory = cpu_and_memory(rig)
+            rate = (site.observed.answers - answers) / STEADY_S
             print(
-                f"{label}: calm {(after - before) / CALM_S / count * 1000.0:.2f} ms CPU a second and "
-                f"agent, at {rate:.0f} calls a second in all; {memory:.1f} MB",
+                f"{label}: steady state {(cpu_after - cpu_before) / STEADY_S / count * 1000.0:.2f} ms CPU "
+                f"per second and agent, at {rate:.0f} calls per second in total; {memory:.1f} MB",
                 flush=True,
             )
-            for party in parties.values():
-                party.away()
-            await asyncio.sleep(AWAY_S)
-            parties["list"].processor.longest_ms = 0.0
-            back = time.time()
-            for party in parties.values():
-                await party.open()
+            for server in servers.values():
+                server.go_down()
+            await asyncio.sleep(DOWN_S)
+            servers["list"].processor.longest_queue_ms = 0.0
+            up_again_at = time.time()
+            for server in servers.values():
+                await server.open()
             await asyncio.sleep(25.0)
             last = {
-                name: max((at - back for at in party.accepted if at >= back), default=0.0)
-                for name, party in parties.items()
+                name: max((at - up_again_at for at in server.accepted_at if at >= up_again_at), default=0.0)
+                for name, server in servers.items()
             }
             print(
-                f"{label}: after {AWAY_S:.0f} s away {seen(parties, back)}; last at the servers after "
-                f"{max(last[name] for name in last if name != 'list'):.1f} s; longest line at the list "
-                f"service {parties['list'].processor.longest_ms / 1000.0:.1f} s; "
-                f"whole lists {site.costly.whole_lists}; stand-ins' faults {len(site.books.faults)}",
+                f"{label}: after {DOWN_S:.0f} s down {describe_accepted(servers, up_again_at)}; "
+                f"last connection at the lobby servers after "
+                f"{max(last[name] for name in last if name != 'list'):.1f} s; longest queue at the list "
+                f"service {servers['list'].processor.longest_queue_ms / 1000.0:.1f} s; "
+                f"whole lists sent {site.limited_list.whole_lists}; "
+                f"protocol violations {len(site.observed.faults)}",
                 flush=True,
             )
 
 
-def played(job: tuple[str, int]) -> str:
+def run_case(job: tuple[str, int]) -> str:
+    """Runs one case with one seed; returns the failure, or "" if there is none."""
     case, seed = job
     try:
         test_startup.played(case, 1000, seed)
-    except AssertionError as problem:
-        return f"{case}, seed {seed}: {str(problem)[:300]}"
+    except AssertionError as error:
+        return f"{case}, seed {seed}: {str(error)[:300]}"
     return ""
 
 
 def simulated() -> None:
-    """Every hard case of the tests with 1,000 agents on one simulated clock."""
+    """Runs every hard case of the tests with 1,000 agents on one simulated clock."""
     jobs = [(case, seed) for case in test_startup.CASES for seed in range(3)]
     with concurrent.futures.ProcessPoolExecutor() as pool:
-        bad = [said for said in pool.map(played, jobs) if said]
+        failures = [failure for failure in pool.map(run_case, jobs) if failure]
     print(
-        f"1,000 agents, {len(jobs)} plays of {len(test_startup.CASES)} hard cases: {len(jobs) - len(bad)} "
-        f"without a collapse, all serve, no drain heard late",
-        *bad,
+        f"1,000 agents, {len(jobs)} runs of {len(test_startup.CASES)} hard cases: "
+        f"{len(jobs) - len(failures)} without a collapse, with all agents serving and no late drain",
+        *failures,
         sep="\n",
     )
 
@@ -145,9 +160,9 @@
     if "simulated" in sys.argv[1:]:
         simulated()
         return
-    for count in [int(word) for word in sys.argv[1:]] or COUNTS:
-        for part in (False, True):
-            asyncio.run(measured(count, part))
+    for count in [int(argument) for argument in sys.argv[1:]] or AGENT_COUNTS:
+        for paced in (False, True):
+            asyncio.run(measure(count, paced))
 
 
 if __name__ == "__main__":
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -1,8 +1,9 @@
-"""Measures work on machines: `python -m benchmarks.maintenance [plans] [calls] [faults]`, or all three.
+"""Measures maintenance: `python -m benchmarks.maintenance [plans] [calls] [faults]`, all three by default.
 
-Plans: the real plan and keepers on one simulated clock, a log that all read in one order after 50 ms. Agents
-empty within 10 s of a drain, servers within 30 s of being held out, staff need 60 s for each machine. Calls:
-the same with real decision modules and calls. Faults: real processes. No part of the tests.
+"plans" runs the real plan and reconcilers on one simulated clock, with a log whose commands all agents apply
+in one order after 50 ms. Agents are empty within 10 s of a drain, servers within 30 s of being held out, and
+staff need 60 s for each machine. "calls" adds calls and the real `decide.Controller`. "faults" uses real
+processes. Not part of the tests.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 import msgspec
 
-from benchmarks.calls import BEGAN_MS, COLD_MS, Clock, World
+from benchmarks.calls import COLD_MS, START_MS, CallSimulation, SimulatedClock
 from frostport.maintenance.commands import Command, Limits, MaintenanceRequest, Ready, ServerStatus
 from frostport.maintenance.plan import Plan, TicketState
 from frostport.maintenance.reconciler import (
@@ -33,21 +34,22 @@
     Resume,
     TurnAway,
 )
-from standins.fleet import Outside, Rig
+from standins.fleet import Environment, Rig
 
-LOG_MS, LOOK_MS, SLOW_LOOK_MS = 50.0, 1000.0, 10_000.0
-WORK_MS, AGENT_MS, SERVER_MS = 60_000.0, 10_000.0, 30_000.0
+LOG_DELAY_MS, RECONCILE_MS, SLOW_RECONCILE_MS = 50.0, 1000.0, 10_000.0
+REPAIR_MS, MAX_AGENT_DRAIN_MS, MAX_SERVER_DRAIN_MS = 60_000.0, 10_000.0, 30_000.0
 
 
-class Fleet(Clock):
-    """`agents` and `servers` in `zones`; all agents share one copy of the plan (W1)."""
+class MaintenanceSimulation(SimulatedClock):
+    """A fleet under maintenance. All agents share one copy of the plan, since the copies of all agents are
+    equal (W1)."""
 
     def __init__(self, agents: int, servers: int, limits: Limits, seed: int, zones: int = 10) -> None:
         super().__init__()
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.plan, self.index = Plan(), 0
-        self.words = self.bytes = 0
-        self.apply_s: list[float] = []
+        self.command_count = self.command_bytes = 0
+        self.apply_times_s: list[float] = []
         zones = min(zones, agents)
         self.members = {
             f"a{number}": MemberStatus(f"z{number % zones}", number + 1, True, False, number < 3)
@@ -57,44 +59,44 @@
             f"h{number}": ServerStatus(f"h{number}", f"z{number % zones}", 1.0, True)
             for number in range(servers)
         }
-        self.keepers = {
+        self.reconcilers = {
             name: Reconciler(name, member.life, 0.0, True, limits) for name, member in self.members.items()
         }
         self.phase = dict.fromkeys(self.members, "serving")
         self.empty_at: dict[tuple[str, str], float] = {}
         for name in self.members:
-            self.at(self.chance.uniform(0.0, LOOK_MS), lambda name=name: self.turn(name))  # type: ignore[misc]
+            self.call_after(self.rng.uniform(0.0, RECONCILE_MS), lambda name=name: self.reconcile(name))  # type: ignore[misc]
 
-    def say(self, word: Command) -> None:
-        self.words += 1
-        self.bytes += len(msgspec.msgpack.encode(word))
-        self.at(LOG_MS, lambda: self.read(word))
+    def propose(self, command: Command) -> None:
+        self.command_count += 1
+        self.command_bytes += len(msgspec.msgpack.encode(command))
+        self.call_after(LOG_DELAY_MS, lambda: self.apply(command))
 
-    def read(self, word: Command) -> None:
+    def apply(self, command: Command) -> None:
         self.index += 1
-        began = time.perf_counter()
-        self.plan.apply(self.index, 1, word)
-        self.apply_s.append(time.perf_counter() - began)
+        started = time.perf_counter()
+        self.plan.apply(self.index, 1, command)
+        self.apply_times_s.append(time.perf_counter() - started)
         for ticket in self.plan.tickets:
             if ticket.state is TicketState.OUT and not ticket.note:
                 ticket.note = "asked"
-                self.touched(ticket.name)
+                self.start_repair(ticket.name)
 
-    def touched(self, name: str) -> None:
-        """Staff work on a machine."""
-        self.at(WORK_MS, lambda: self.say(Ready(name)))
+    def start_repair(self, name: str) -> None:
+        """Called when a machine is out: staff repair it and report that it is ready."""
+        self.call_after(REPAIR_MS, lambda: self.propose(Ready(name)))
 
-    def turn(self, name: str) -> None:
-        # With hundreds, one that neither leads nor is concerned looks less often: the simulation's own time.
-        calm = len(self.members) > 50 and name != "a0" and not self.plan.held_out("agent").get(name)
-        self.at(SLOW_LOOK_MS if calm else LOOK_MS, lambda: self.turn(name))
-        for action in self.keepers[name].reconcile(self.plan, self.local(name), self.now):
+    def reconcile(self, name: str) -> None:
+        # To save simulation time in large fleets, agents that neither lead nor are held out reconcile rarely.
+        infrequent = len(self.members) > 50 and name != "a0" and not self.plan.held_out("agent").get(name)
+        self.call_after(SLOW_RECONCILE_MS if infrequent else RECONCILE_MS, lambda: self.reconcile(name))
+        for action in self.reconcilers[name].reconcile(self.plan, self.local(name), self.now):
             self.do(name, action)
 
     def local(self, name: str) -> LocalState:
         busy = {
             server: int(self.empty_at.get((name, server), 0.0) > self.now)
-            for server in self.keepers[name].held_out
+            for server in self.reconcilers[name].held_out
         }
         return LocalState(
             name == "a0",
@@ -106,27 +108,29 @@
             busy,
             frozenset(),
             frozenset(),
-            self.seen() if name == "a0" else {},
+            self.member_statuses() if name == "a0" else {},
             self.servers,
         )
 
     def do(self, name: str, action: object) -> None:
         match action:
-            case ProposeCommand(word):
-                self.say(word)
+            case ProposeCommand(command):
+                self.propose(command)
             case Drain():
                 self.phase[name] = "draining"
-                self.at(self.chance.uniform(0.0, AGENT_MS), lambda: self.phase.update({name: "drained"}))
+                self.call_after(
+                    self.rng.uniform(0.0, MAX_AGENT_DRAIN_MS), lambda: self.phase.update({name: "drained"})
+                )
             case TurnAway():
                 self.phase[name] = "turning away"
             case Resume():
                 self.phase[name] = "serving"
             case HoldOut(server):
-                self.empty_at[name, server] = self.now + self.chance.uniform(2000.0, SERVER_MS)
+                self.empty_at[name, server] = self.now + self.rng.uniform(2000.0, MAX_SERVER_DRAIN_MS)
             case PutBack(server):
                 self.empty_at.pop((name, server), None)
 
-    def seen(self) -> dict[str, MemberStatus]:
+    def member_statuses(self) -> dict[str, MemberStatus]:
         for name, phase in self.phase.items():
             if self.members[name].up is not (phase == "serving"):
                 member = self.members[name]
@@ -136,61 +140,73 @@
         return self.members
 
 
-def whole(agents: int, servers: int, limits: Limits, seed: int = 1) -> None:
-    fleet = Fleet(agents, servers, limits, seed)
-    fleet.run(lambda: fleet.now > BEGAN_MS + 10_000.0)
-    began, words, size = fleet.now, fleet.words, fleet.bytes
+def run_whole_plan(agents: int, servers: int, limits: Limits, seed: int = 1) -> None:
+    """Runs a plan over all machines; compares its duration with a lower bound and prints its cost."""
+    fleet = MaintenanceSimulation(agents, servers, limits, seed)
+    fleet.run(lambda: fleet.now > START_MS + 10_000.0)
+    started, count_before, bytes_before = fleet.now, fleet.command_count, fleet.command_bytes
     names = (*fleet.members, *fleet.servers)
-    fleet.say(MaintenanceRequest(names, "", "a new kernel", "ann", 600_000.0))
+    fleet.propose(MaintenanceRequest(names, "", "a new kernel", "ann", 600_000.0))
     fleet.run(
         lambda: sum(ticket.state is TicketState.DONE for ticket in fleet.plan.tickets) >= min(200, len(names))
         and not fleet.plan.has_open_tickets()
     )
-    took = fleet.now - began
-    # Nobody could be faster than this, were every drain over at once and every zone's places always full.
+    elapsed_ms = fleet.now - started
+    # A lower bound: it assumes that drains take no time and that each zone always uses its limits fully.
     zones: dict[str, list[int]] = {}
     for name, machine in fleet.plan.machines.items():
         zones.setdefault(machine.zone, [0, 0])[name not in fleet.members] += 1
     rounds = [
-        max(-(-(a + s) // min(limits.all, limits.zone)), -(-a // limits.agents), -(-s // limits.servers))
-        for a, s in zones.values()
+        max(
+            -(-(agent_count + server_count) // min(limits.all, limits.zone)),
+            -(-agent_count // limits.agents),
+            -(-server_count // limits.servers),
+        )
+        for agent_count, server_count in zones.values()
     ]
-    least = sum(rounds) * (WORK_MS + limits.warm_ms)
-    cost = sorted(fleet.apply_s)
+    least = sum(rounds) * (REPAIR_MS + limits.warm_ms)
+    cost = sorted(fleet.apply_times_s)
     print(
         f"{agents} agents, {servers} servers, {limits.all} at once (agents {limits.agents}, "
-        f"servers {limits.servers}): whole plan {took / 60_000:.0f} min, {took / least:.2f} times the "
-        f"least that limits, work and warm-up give; {(fleet.words - words) / len(names):.1f} words and "
-        f"{(fleet.bytes - size) / len(names):.0f} bytes a machine in the log; a word costs "
-        f"p50 {cost[len(cost) // 2] * 1e6:.0f}, longest {cost[-1] * 1e6:.0f} us at each agent"
+        f"servers {limits.servers}): whole plan {elapsed_ms / 60_000:.0f} min, "
+        f"{elapsed_ms / least:.2f} times the minimum by limits, repair and warm-up; "
+        f"{(fleet.command_count - count_before) / len(names):.1f} commands and "
+        f"{(fleet.command_bytes - bytes_before) / len(names):.0f} bytes per machine in the log; "
+        f"applying a command takes p50 {cost[len(cost) // 2] * 1e6:.0f}, "
+        f"longest {cost[-1] * 1e6:.0f} us at each agent"
     )
 
 
-# Calls served while machines go out: by the plan, by hand one after the other, all at once
+# Calls in time while machines are out: by the plan, by hand one after the other, or all at once
 
-AGENTS, SERVERS, RATE = 24, 3, 30.0  # a lobby server sets up so many a second
-SHORT_MS = 10_000.0  # the work on one machine, here
-DOOR_MS = 1000.0  # a person's call at one door
-LOOKS_MS = 10_000.0  # and how long one waits after taking a server out, who can't see what is open there
-CALM_MS = 180_000.0  # before it
-QUIET = 0.55  # the load of the quiet hour that servers may have to wait for
+AGENT_COUNT, SERVER_COUNT, SERVER_RATE = 24, 3, 30.0  # the rate is set-ups per second of one lobby server
+SHORT_REPAIR_MS = 10_000.0  # the repair of one machine in this part
+COMMAND_MS = 1000.0  # an operator's command at one agent's operator port
+# An operator cannot see which calls are open at a server, so after disabling it everywhere waits this long.
+MANUAL_DRAIN_MS = 10_000.0
+WARM_UP_MS = 180_000.0  # calls before maintenance begins
+QUIET_LOAD = 0.55  # the load at a quiet hour, which the maintenance of servers may have to wait for
 
 
-class Served(Fleet):
-    """The fleet with real modules and calls."""
+class CallsDuringMaintenance(MaintenanceSimulation):
+    """The fleet with real controllers and calls."""
 
     def __init__(self, load: float, seed: int) -> None:
-        limits = Limits(all=1, share_calls=RATE, agent_calls=10.0, margin=0.1, warm_ms=COLD_MS)
-        super().__init__(AGENTS, SERVERS, limits, seed, zones=1)
-        self.world = World(self, AGENTS, SERVERS, RATE, load * RATE * SERVERS, seed)
-        self.run(lambda: self.now >= BEGAN_MS + CALM_MS)
+        limits = Limits(all=1, share_calls=SERVER_RATE, agent_calls=10.0, margin=0.1, warm_ms=COLD_MS)
+        super().__init__(AGENT_COUNT, SERVER_COUNT, limits, seed, zones=1)
+        self.call_simulation = CallSimulation(
+            self, AGENT_COUNT, SERVER_COUNT, SERVER_RATE, load * SERVER_RATE * SERVER_COUNT, seed
+        )
+        self.run(lambda: self.now >= START_MS + WARM_UP_MS)
 
     def local(self, name: str) -> LocalState:
-        agent = self.world.agents[name]
+        agent = self.call_simulation.agents[name]
         if agent.phase == "draining" and not agent.busy():
             agent.phase = "drained"
         self.phase[name] = agent.phase
-        calls = self.world.rate / max(1, sum(each.phase == "serving" for each in self.world.agents.values()))
+        calls = self.call_simulation.rate / max(
+            1, sum(other.phase == "serving" for other in self.call_simulation.agents.values())
+        )
         return LocalState(
             name == "a0",
             1,
@@ -198,18 +214,18 @@
             agent.phase,
             not agent.busy(),
             calls,
-            dict(agent.there),
+            dict(agent.calls_by_server),
             frozenset(),
             frozenset(),
-            self.seen() if name == "a0" else {},
+            self.member_statuses() if name == "a0" else {},
             self.servers,
         )
 
     def do(self, name: str, action: object) -> None:
-        agent = self.world.agents[name]
+        agent = self.call_simulation.agents[name]
         match action:
-            case ProposeCommand(word):
-                self.say(word)
+            case ProposeCommand(command):
+                self.propose(command)
             case Drain():
                 agent.phase = "draining"
             case TurnAway():
@@ -217,194 +233,214 @@
             case Resume():
                 agent.phase = "serving"
             case HoldOut(server):
-                self.hold(name, server, True)
+                self.set_disabled(name, server, True)
             case PutBack(server):
-                self.hold(name, server, False)
-
-    def hold(self, name: str, server: str, out: bool) -> None:
-        agent = self.world.agents[name]
-        (agent.held.add if out else agent.held.discard)(server)
-        agent.listed()
-
-    def touched(self, name: str) -> None:
-        self.work(name, lambda: self.say(Ready(name)))
-
-    def work(self, name: str, then: Callable[[], None]) -> None:
-        """The machine is off, and on again."""
-        if name in self.world.servers:
-            server = self.world.servers[name]
-            server.down()
-
-            def back() -> None:
-                server.back()
-                for agent in self.world.agents.values():
-                    agent.listed()
+                self.set_disabled(name, server, False)
+
+    def set_disabled(self, name: str, server: str, out: bool) -> None:
+        agent = self.call_simulation.agents[name]
+        (agent.disabled.add if out else agent.disabled.discard)(server)
+        agent.send_server_list()
+
+    def start_repair(self, name: str) -> None:
+        self.repair(name, lambda: self.propose(Ready(name)))
+
+    def repair(self, name: str, then: Callable[[], None]) -> None:
+        """Switches the machine off, and on again after the repair; then calls `then`."""
+        if name in self.call_simulation.servers:
+            server = self.call_simulation.servers[name]
+            server.go_down()
+
+            def come_back() -> None:
+                server.come_up()
+                for agent in self.call_simulation.agents.values():
+                    agent.send_server_list()
                 then()
         else:
 
-            def back() -> None:
-                self.world.agents[name].boot()
+            def come_back() -> None:
+                self.call_simulation.agents[name].boot()
                 then()
 
-        self.at(SHORT_MS, back)
+        self.call_after(SHORT_REPAIR_MS, come_back)
 
     def by_plan(self) -> str:
+        """Maintains all machines by the plan; returns a note about servers that waited for a quiet hour."""
         names = (*self.members, *self.servers)
-        self.say(MaintenanceRequest(names, "", "a new kernel", "ann", 600_000.0))
+        self.propose(MaintenanceRequest(names, "", "a new kernel", "ann", 600_000.0))
         self.run(lambda: len(self.plan.tickets) == len(names))
 
-        def stuck() -> bool:
+        def only_servers_wait() -> bool:
             return all(
                 ticket.kind == "server" and ticket.state is TicketState.WAITING
                 for ticket in self.plan.tickets
                 if ticket.state is not TicketState.DONE
             )
 
-        self.run(stuck)
-        left = [
+        self.run(only_servers_wait)
+        still_waiting = [
             self.plan.explain(ticket) for ticket in self.plan.tickets if ticket.state is TicketState.WAITING
         ]
-        if left:
+        if still_waiting:
             self.at_load = self.now
-            self.world.rate = QUIET * RATE * SERVERS
+            self.call_simulation.rate = QUIET_LOAD * SERVER_RATE * SERVER_COUNT
             self.run(lambda: not self.plan.has_open_tickets())
-        return f"; {len(left)} servers waited for the quiet hour ({left[0]})" if left else ""
+        return (
+            f"; {len(still_waiting)} servers waited for the quiet hour ({still_waiting[0]})"
+            if still_waiting
+            else ""
+        )
 
     def by_hand(self) -> str:
-        todo = [*self.members, *self.servers]
+        """Maintains the machines one after the other, as an operator without the plan."""
+        remaining = [*self.members, *self.servers]
 
         def next_one() -> None:
-            if not todo:
+            if not remaining:
                 return
-            name = todo.pop(0)
+            name = remaining.pop(0)
             if name in self.members:
-                agent = self.world.agents[name]
+                agent = self.call_simulation.agents[name]
                 agent.phase = "draining"
 
-                def empty() -> None:
+                def wait_until_empty() -> None:
                     if agent.busy():
-                        self.at(250.0, empty)
+                        self.call_after(250.0, wait_until_empty)
                     else:
-                        self.work(name, serve)
+                        self.repair(name, resume)
 
-                def serve() -> None:
+                def resume() -> None:
                     agent.phase = "serving"
-                    self.at(DOOR_MS, next_one)
+                    self.call_after(COMMAND_MS, next_one)
 
-                empty()
+                wait_until_empty()
                 return
-            doors = list(self.members)
-            for number, door in enumerate(doors, start=1):
-                self.at(number * DOOR_MS, lambda door=door: self.hold(door, name, True))  # type: ignore[misc]
+            members = list(self.members)
+            for nth, peer in enumerate(members, start=1):
+                self.call_after(nth * COMMAND_MS, lambda peer=peer: self.set_disabled(peer, name, True))  # type: ignore[misc]
 
             def enable() -> None:
-                for number, door in enumerate(doors, start=1):
-                    self.at(number * DOOR_MS, lambda door=door: self.hold(door, name, False))  # type: ignore[misc]
-                self.at(len(doors) * DOOR_MS, next_one)
+                for nth, peer in enumerate(members, start=1):
+                    self.call_after(nth * COMMAND_MS, lambda peer=peer: self.set_disabled(peer, name, False))  # type: ignore[misc]
+                self.call_after(len(members) * COMMAND_MS, next_one)
 
-            self.at(len(doors) * DOOR_MS + LOOKS_MS, lambda: self.work(name, enable))
+            self.call_after(len(members) * COMMAND_MS + MANUAL_DRAIN_MS, lambda: self.repair(name, enable))
 
         next_one()
         self.run(
-            lambda: not todo
-            and all(agent.phase == "serving" and not agent.held for agent in self.world.agents.values())
+            lambda: not remaining
+            and all(
+                agent.phase == "serving" and not agent.disabled
+                for agent in self.call_simulation.agents.values()
+            )
         )
         return ""
 
     def at_once(self) -> str:
+        """Drains all agents and switches all machines off at the same time."""
         names = [*self.members, *self.servers]
-        for agent in self.world.agents.values():
+        for agent in self.call_simulation.agents.values():
             agent.phase = "draining"
-        back: list[str] = []
+        finished: list[str] = []
 
-        def one(name: str) -> None:
+        def mark_back(name: str) -> None:
             if name in self.members:
-                self.world.agents[name].phase = "serving"
-            back.append(name)
+                self.call_simulation.agents[name].phase = "serving"
+            finished.append(name)
 
         for name in names:
-            self.work(name, lambda name=name: one(name))  # type: ignore[misc]
-        self.run(lambda: len(back) == len(names))
+            self.repair(name, lambda name=name: mark_back(name))  # type: ignore[misc]
+        self.run(lambda: len(finished) == len(names))
         return ""
 
 
-def served(load: float, how: str, seed: int) -> tuple[float, str, float, int, float, float, str]:
-    fleet = Served(load, seed)
-    before = fleet.world.share(BEGAN_MS + CALM_MS / 3.0, fleet.now)[0]
-    began = fleet.now
-    note = {"plan": fleet.by_plan, "hand": fleet.by_hand, "all": fleet.at_once}[how]()
+def run_with_calls(load: float, method: str, seed: int) -> tuple[float, str, float, int, float, float, str]:
+    fleet = CallsDuringMaintenance(load, seed)
+    before = fleet.call_simulation.in_time_share(START_MS + WARM_UP_MS / 3.0, fleet.now)[0]
+    started = fleet.now
+    note = {"plan": fleet.by_plan, "hand": fleet.by_hand, "all": fleet.at_once}[method]()
     ended = fleet.now
     until = getattr(fleet, "at_load", ended)
-    fleet.run(lambda: fleet.now >= ended + 30_000.0)  # what it leaves behind counts too
-    share, lost, worst = fleet.world.share(began, ended + 20_000.0)
+    fleet.run(lambda: fleet.now >= ended + 30_000.0)  # after-effects count as well
+    share, lost, worst = fleet.call_simulation.in_time_share(started, ended + 20_000.0)
     if until < ended:
-        note += f", {fleet.world.share(began, until)[0]:.4f} in time until then"
-    return load, how, share, lost, worst, (ended - began) / 60_000.0, f"{note}; without work {before:.4f}"
+        note += f", {fleet.call_simulation.in_time_share(started, until)[0]:.4f} in time until then"
+    return (
+        load,
+        method,
+        share,
+        lost,
+        worst,
+        (ended - started) / 60_000.0,
+        f"{note}; without maintenance {before:.4f}",
+    )
 
 
 def calls(seed: int = 1) -> None:
-    """Shares of calls in time from the first word to 20 s after the last machine is back."""
-    jobs = [(load, how, seed) for load in (0.6, 0.95, 1.1) for how in ("plan", "hand", "all")]
+    """The share of calls in time, from the first command to 20 s after the last machine is back."""
+    jobs = [(load, method, seed) for load in (0.6, 0.95, 1.1) for method in ("plan", "hand", "all")]
     with concurrent.futures.ProcessPoolExecutor() as pool:
-        for load, how, share, lost, worst, took, note in pool.map(served, *zip(*jobs, strict=True)):
+        for load, method, share, lost, worst, minutes, note in pool.map(
+            run_with_calls, *zip(*jobs, strict=True)
+        ):
             print(
-                f"{AGENTS} agents, {SERVERS} servers at {load:.0%} load, {how}: {share:.4f} in time, "
-                f"{lost} calls not; worst 10 s {worst:.4f}; {took:.1f} min{note}"
+                f"{AGENT_COUNT} agents, {SERVER_COUNT} servers at {load:.0%} load, {method}: "
+                f"{share:.4f} in time, {lost} calls not; worst 10 s {worst:.4f}; {minutes:.1f} min{note}"
             )
 
 
-# From a fault to the plan's next step, or to the reason why it holds: real processes
+# Time from a fault to the plan's next step, or to the stated reason why it holds: real processes
 
 
-async def fault(kind: str, seed: int) -> float:
-    """Seconds until any agent's door shows a ticket's next state, or the plan's reason."""
+async def measure_fault(scenario: str, seed: int) -> float:
+    """Seconds until an agent's `work-status` shows a ticket's next state, or why the plan holds."""
     with tempfile.TemporaryDirectory() as folder:
-        outside = Outside(1)
+        environment = Environment(1)
         async with Rig(
-            pathlib.Path(folder), 5, 3, seed, outside=outside, work={"warm_ms": 500.0, "all": 1}
+            pathlib.Path(folder), 5, 3, seed, environment=environment, work={"warm_ms": 500.0, "all": 1}
         ) as rig:
-            leader = await rig.leader()
+            leader = await rig.wait_for_leader()
             follower = next(name for name in rig.voters if name != leader)
 
-            async def shows(words: str) -> None:
+            async def wait_for_status(words: str) -> None:
                 async def shown() -> bool:
-                    doors = [await rig.ask(name, "work-status") for name in rig.names if name != leader]
-                    return any(words in line for lines in doors for line in lines)
+                    answers = [await rig.ask(name, "work-status") for name in rig.names if name != leader]
+                    return any(words in line for lines in answers for line in lines)
 
-                await rig.until(words, shown)
+                await rig.wait_until(words, shown)
 
             async def all_up() -> bool:
                 lines = await rig.ask(leader, "work-status")
                 return bool(lines) and not any("out unasked" in line for line in lines)
 
             for name in rig.names:
-                await rig.until("ready", lambda name=name: ready(rig, name))  # type: ignore[misc]
-            await rig.until("all are known", all_up)
+                await rig.wait_until("ready", lambda name=name: ready(rig, name))  # type: ignore[misc]
+            await rig.wait_until("all are known", all_up)
             await rig.ask(leader, "work-request names=n4,n3 takes=1h who=ann why=disks")
-            await shows("n4 agent out")
-            leader = await rig.leader()  # it may have changed since
+            await wait_for_status("n4 agent out")
+            leader = await rig.wait_for_leader()  # it may have changed since
             follower = next(name for name in rig.voters if name != leader)
-            began = time.monotonic()
-            match kind:
+            started = time.monotonic()
+            match scenario:
                 case "leader killed, then work-ready":
                     await rig.kill(leader)
                 case "leader stalled, then work-ready":
                     rig.freeze(leader)
                 case "leader cut off, then work-ready":
-                    rig.apart([leader])
+                    rig.partition([leader])
                 case "a follower killed: the hold":
                     await rig.kill(follower)
-                    await shows(f"out unasked: {follower}")
-                    return time.monotonic() - began
+                    await wait_for_status(f"out unasked: {follower}")
+                    return time.monotonic() - started
             asked = rig.names[3]
-            while time.monotonic() - began < 60.0:
-                await rig.ask(asked, "work-ready n4")  # staff say it until it counts
+            while time.monotonic() - started < 60.0:
+                await rig.ask(asked, "work-ready n4")  # staff repeat it until it takes effect
                 lines = await rig.ask(asked, "work-status")
                 later = tuple(f"n4 agent {state}" for state in ("back", "warming", "done"))
                 if any(state in line for line in lines for state in later):
                     break
                 await asyncio.sleep(0.1)
-            return time.monotonic() - began
+            return time.monotonic() - started
 
 
 async def ready(rig: Rig, name: str) -> bool:
@@ -412,24 +448,24 @@
 
 
 def faults(rounds: int = 5) -> None:
-    for kind in (
+    for scenario in (
         "no fault, work-ready",
         "leader killed, then work-ready",
         "leader stalled, then work-ready",
         "leader cut off, then work-ready",
         "a follower killed: the hold",
     ):
-        took = sorted(asyncio.run(fault(kind, seed)) for seed in range(rounds))
+        times_s = sorted(asyncio.run(measure_fault(scenario, seed)) for seed in range(rounds))
         print(
-            f"{kind}: {took[0]:.1f}, {statistics.median(took):.1f}, {took[-1]:.1f} s "
+            f"{scenario}: {times_s[0]:.1f}, {statistics.median(times_s):.1f}, {times_s[-1]:.1f} s "
             f"(shortest, median, longest of {rounds})"
         )
 
 
 def plans() -> None:
-    whole(24, 3, Limits())
-    whole(24, 3, Limits(all=3, agents=2, servers=1, zone=3))
-    whole(200, 24, Limits(all=20, agents=20, servers=2, zone=20))
+    run_whole_plan(24, 3, Limits())
+    run_whole_plan(24, 3, Limits(all=3, agents=2, servers=1, zone=3))
+    run_whole_plan(200, 24, Limits(all=20, agents=20, servers=2, zone=20))
 
 
 PARTS: Mapping[str, Callable[[], None]] = {"plans": plans, "calls": calls, "faults": faults}
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,7 +1,7 @@
 """Measures the store: `python -m benchmarks.store [PART ...] [--against CHECKOUT]`, all parts by default.
 
-Each part measures its two sides in turns within one run, since machines are noisy. Nothing here is part of
-CI.
+Each part alternates between the variants that it compares within one run, because machines are noisy. Not
+part of CI.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 from frostport.store.committer import ThreadWorker
 from frostport.store.engine import Engine, Limits
 from frostport.store.files import DiskFolder
-from standins.lobby import Books, Caller, Lobby, configuration
+from standins.lobby import Caller, LobbyServer, Observations, configuration
 
 ROOT = pathlib.Path(__file__).parent.parent
 ROUNDS = 5
 
 
 def call_record(number: int) -> tuple[str, bytes]:
-    """A standing call as the platform's front keeps it."""
+    """The record of an established call as the platform's front stores it."""
     return f"call/{number:016x}", records.encode(
         records.Standing(
             f"10.0.0.{number % 9}:5060",
@@ -57,15 +57,15 @@
 
 
 def median_of(measures: list[Callable[[], float]]) -> list[float]:
-    """Each measure in turn, several rounds: the median of each."""
-    found: list[list[float]] = [[] for _ in measures]
+    """Runs the measures in turn for several rounds; returns the median of each."""
+    results: list[list[float]] = [[] for _ in measures]
     for _ in range(ROUNDS):
-        for measure, values in zip(measures, found, strict=True):
+        for measure, values in zip(measures, results, strict=True):
             values.append(measure())
-    return [statistics.median(values) for values in found]
+    return [statistics.median(values) for values in results]
 
 
-# Durable writes a second
+# Durable writes per second
 
 
 def engine_writes(batch: int, seconds: float = 1.0) -> float:
@@ -109,17 +109,18 @@
             ]
         )
         print(
-            f"writes, {batch} a commit: {ours:,.0f} records a second, SQLite FULL (WAL) {theirs:,.0f}: "
+            f"writes, {batch} per commit: {ours:,.0f} records per second, SQLite FULL (WAL) {theirs:,.0f}: "
             f"{ours / theirs:.2f} times"
         )
     grouped, single = median_of([lambda: engine_writes(64), lambda: sqlite_writes(1)])
-    print(f"writes, group commit of 64 against one transaction a record: {grouped / single:.1f} times")
+    print(f"writes, group commit of 64 against one transaction per record: {grouped / single:.1f} times")
 
 
 # Recovery
 
 
 def recovery() -> None:
+    """Time to open a store after a crash, with the index and from the log alone."""
     for history, live in ((10**4, 1000), (10**5, 1000), (10**6, 1000), (10**5, 10**5), (10**6, 10**6)):
         with tempfile.TemporaryDirectory(dir=ROOT) as folder:
             path = pathlib.Path(folder)
@@ -130,7 +131,7 @@
                     pass
             engine.sync()
             size = engine.total_bytes
-            # As after a SIGKILL: no close, the last checkpoint is what there is.
+            # The state after a SIGKILL: the store is not closed, so recovery starts at the last checkpoint.
             engine.folder.unlock()
             engine.index.close()
             times = []
@@ -139,22 +140,22 @@
                     if not keep_index:
                         name.unlink()
                 begin = time.perf_counter()
-                again = Engine.open(DiskFolder(path))
+                reopened = Engine.open(DiskFolder(path))
                 times.append((time.perf_counter() - begin) * 1000.0)
-                assert len(again.recovered) == live
-                again.folder.unlock()
-                again.index.close()
+                assert len(reopened.recovered) == live
+                reopened.folder.unlock()
+                reopened.index.close()
             print(
                 f"recovery, {history:,} records, {live:,} live, log {size / 1e6:.1f} MB: "
                 f"{times[0]:,.1f} ms, by the log alone {times[1]:,.1f} ms"
             )
 
 
-# The longest turn of the reactor's thread while the store's thread works
+# The longest turn of the reactor's thread while the store's thread is working
 
 
 def stall() -> None:
-    sys.setswitchinterval(ThreadWorker.SWITCH_INTERVAL_S)  # as where a store is set
+    sys.setswitchinterval(ThreadWorker.SWITCH_INTERVAL_S)  # as in an agent with a store
     for live in (1000, 100_000):
         with tempfile.TemporaryDirectory(dir=ROOT) as folder:
             engine = Engine.open(DiskFolder(pathlib.Path(folder)))
@@ -166,12 +167,12 @@
             stop = threading.Event()
 
             def churn(engine: Engine = engine, live: int = live, stop: threading.Event = stop) -> None:
-                """Half of the changes are of calls that are there, half are new ones for old ones."""
-                chance, oldest = random.Random(1), 0
+                """Rewrites existing calls, and replaces as many old calls by new ones."""
+                rng, oldest = random.Random(1), 0
                 while not stop.is_set():
                     engine.append(
                         [
-                            *(call_record(oldest + 16 + chance.randrange(live - 16)) for _ in range(16)),
+                            *(call_record(oldest + 16 + rng.randrange(live - 16)) for _ in range(16)),
                             *((call_record(oldest + at)[0], None) for at in range(16)),
                             *(call_record(oldest + live + at) for at in range(16)),
                         ]
@@ -181,22 +182,22 @@
                     for _ in range(3):
                         engine.run_background_step()
 
-            rest = longest_turns(3.0)
+            idle_turns = loop_turns_ms(3.0)
             before = engine.cleaned
             thread = threading.Thread(target=churn)
             thread.start()
-            busy = longest_turns(6.0)
+            busy_turns = loop_turns_ms(6.0)
             stop.set()
             thread.join()
             print(
-                f"stall, {live:,} live: longest turn {max(busy):.1f} ms while "
+                f"stall, {live:,} live: longest turn {max(busy_turns):.1f} ms while "
                 f"{engine.cleaned - before} segments were cleaned and {engine.checkpoints} checkpoints "
-                f"written, p99.9 {percentile(busy, 0.999):.2f} ms; at rest {max(rest):.1f} ms"
+                f"written, p99.9 {percentile(busy_turns, 0.999):.2f} ms; at rest {max(idle_turns):.1f} ms"
             )
 
 
-def longest_turns(seconds: float) -> list[float]:
-    """Turns of a loop that does a little work and yields, as the reactor's does; each in ms."""
+def loop_turns_ms(seconds: float) -> list[float]:
+    """The durations in ms of the turns of a loop that does a little work and yields, like the reactor's."""
     turns, end = [], time.perf_counter() + seconds
     last = time.perf_counter()
     while last < end:
@@ -208,29 +209,30 @@
     return turns
 
 
-# The whole program, at 200 calls a second
+# The whole program, at 200 calls per second
 
 
 def free_port() -> int:
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        return int(free.getsockname()[1])
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
 
 
-async def load(
-    checkout: pathlib.Path, store: dict[str, object] | None, calls_a_second: float, seconds: float
+async def measure_load(
+    checkout: pathlib.Path, store: dict[str, object] | None, calls_per_second: float, seconds: float
 ) -> tuple[list[float], float, float]:
-    """Waits for answers in ms, CPU ms a call, and the program's memory in MB."""
-    books = Books()
+    """Runs a checkout's program under calls. Returns answer times in ms, CPU ms per call and memory in MB."""
+    observed = Observations()
     lobbies = [
-        Lobby(f"h{number}", books, random.Random(number), longest_ms=0.1, busy=0.0) for number in (0, 1)
+        LobbyServer(f"h{number}", observed, random.Random(number), max_answer_ms=0.1, refusal_probability=0.0)
+        for number in (0, 1)
     ]
     ports = [await lobby.start() for lobby in lobbies]
     port = free_port()
     with tempfile.TemporaryDirectory(dir=ROOT) as folder:
         path = pathlib.Path(folder) / "config.json"
-        more = {} if store is None else {"store": {"path": "s", **store}}
-        path.write_text(json.dumps(configuration(port, ports, **more)), encoding="utf-8")
+        store_config = {} if store is None else {"store": {"path": "s", **store}}
+        path.write_text(json.dumps(configuration(port, ports, **store_config)), encoding="utf-8")
         program = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -242,16 +244,18 @@
             stderr=subprocess.DEVNULL,
         )
         callers = [
-            Caller(number, books, random.Random(number), lambda: port, gap_ms=4000.0 / calls_a_second)
+            Caller(
+                number, observed, random.Random(number), lambda: port, mean_gap_ms=4000.0 / calls_per_second
+            )
             for number in range(4)
         ]
         tasks = [asyncio.create_task(caller.run()) for caller in callers]
-        while books.answers < 50:
+        while observed.answers < 50:
             await asyncio.sleep(0.05)
-        books.waits_ms.clear()
-        cpu, count = cpu_ms(program.pid), books.answers
+        observed.answer_times_ms.clear()
+        cpu, count = cpu_ms(program.pid), observed.answers
         await asyncio.sleep(seconds)
-        cpu, count = cpu_ms(program.pid) - cpu, books.answers - count
+        cpu, count = cpu_ms(program.pid) - cpu, observed.answers - count
         memory = memory_mb(program.pid)
         program.terminate()
         await program.wait()
@@ -261,48 +265,48 @@
         for lobby in lobbies:
             assert lobby.server is not None
             lobby.server.close()
-        assert not books.faults, books.faults
-        return books.waits_ms, cpu / count, memory
+        assert not observed.faults, observed.faults
+        return observed.answer_times_ms, cpu / count, memory
 
 
-def cpu_ms(process: int) -> float:
-    fields = pathlib.Path(f"/proc/{process}/stat").read_text(encoding="utf-8").rpartition(") ")[2].split()
+def cpu_ms(pid: int) -> float:
+    fields = pathlib.Path(f"/proc/{pid}/stat").read_text(encoding="utf-8").rpartition(") ")[2].split()
     return (int(fields[11]) + int(fields[12])) * 1000.0 / os.sysconf("SC_CLK_TCK")
 
 
-def memory_mb(process: int) -> float:
-    pages = int(pathlib.Path(f"/proc/{process}/statm").read_text(encoding="utf-8").split()[1])
+def memory_mb(pid: int) -> float:
+    pages = int(pathlib.Path(f"/proc/{pid}/statm").read_text(encoding="utf-8").split()[1])
     return pages * resource.getpagesize() / 1e6
 
 
 def latency() -> None:
-    sides = {"without": None, "always": {"durability": "always"}, "interval": {"durability": "interval"}}
-    waits: dict[str, list[float]] = {name: [] for name in sides}
-    costs: dict[str, list[tuple[float, float]]] = {name: [] for name in sides}
+    variants = {"without": None, "always": {"durability": "always"}, "interval": {"durability": "interval"}}
+    waits: dict[str, list[float]] = {name: [] for name in variants}
+    costs: dict[str, list[tuple[float, float]]] = {name: [] for name in variants}
     for _ in range(3):
-        for name, store in sides.items():
-            found, cpu, memory = asyncio.run(load(ROOT, store, 200.0, 6.0))  # type: ignore[arg-type]
-            waits[name] += found
+        for name, store in variants.items():
+            times_ms, cpu, memory = asyncio.run(measure_load(ROOT, store, 200.0, 6.0))  # type: ignore[arg-type]
+            waits[name] += times_ms
             costs[name].append((cpu, memory))
     for name, values in waits.items():
         cpu, memory = (statistics.median(column) for column in zip(*costs[name], strict=True))
         print(
-            f"latency, 200 calls a second, {name}: p50 {percentile(values, 0.5):.2f} ms, "
-            f"p99 {percentile(values, 0.99):.2f} ms; {cpu:.2f} ms CPU a call, {memory:.1f} MB"
+            f"latency, 200 calls per second, {name}: p50 {percentile(values, 0.5):.2f} ms, "
+            f"p99 {percentile(values, 0.99):.2f} ms; {cpu:.2f} ms CPU per call, {memory:.1f} MB"
         )
 
 
-def beside(against: pathlib.Path) -> None:
-    """The program beside an earlier checkout's, without a store and with one that syncs each answer."""
+def compare_with(checkout_path: pathlib.Path) -> None:
+    """Compares the program with another checkout's, without a store and with one that syncs each answer."""
     starts: dict[str, list[float]] = {"ours": [], "theirs": []}
-    sides = {"ours": ROOT, "theirs": against}
+    variants = {"ours": ROOT, "theirs": checkout_path}
     for store in (None, {"durability": "always"}):
-        waits: dict[str, list[float]] = {name: [] for name in sides}
-        costs: dict[str, list[tuple[float, float]]] = {name: [] for name in sides}
+        waits: dict[str, list[float]] = {name: [] for name in variants}
+        costs: dict[str, list[tuple[float, float]]] = {name: [] for name in variants}
         for _ in range(ROUNDS):
-            for name, checkout in sides.items():
-                found, cpu, memory = asyncio.run(load(checkout, store, 200.0, 6.0))  # type: ignore[arg-type]
-                waits[name] += found
+            for name, checkout in variants.items():
+                times_ms, cpu, memory = asyncio.run(measure_load(checkout, store, 200.0, 6.0))  # type: ignore[arg-type]
+                waits[name] += times_ms
                 costs[name].append((cpu, memory))
                 if store is None:
                     begin = time.perf_counter()
@@ -313,12 +317,12 @@
                     )
                     starts[name].append((time.perf_counter() - begin) * 1000.0)
         print("with a store, always:" if store else "without a store:")
-        for name in sides:
+        for name in variants:
             cpu, memory = (statistics.median(column) for column in zip(*costs[name], strict=True))
             spread = ", ".join(f"{cost:.3f}" for cost, _ in costs[name])
             print(
                 f"  {name}: p50 {percentile(waits[name], 0.5):.2f}, p99 "
-                f"{percentile(waits[name], 0.99):.2f} ms; {cpu:.3f} ms CPU a call "
+                f"{percentile(waits[name], 0.99):.2f} ms; {cpu:.3f} ms CPU per call "
                 f"({spread}), {memory:.1f} MB"
             )
     print(
@@ -335,7 +339,7 @@
         engine.close()
         log = sum(file.stat().st_size for file in pathlib.Path(folder).glob("log-*"))
         index = (pathlib.Path(folder) / "index.db").stat().st_size
-        print(f"size: {log / 20_000:.0f} bytes of log and {index / 20_000:.0f} of index a live call")
+        print(f"size: {log / 20_000:.0f} bytes of log and {index / 20_000:.0f} of index per live call")
 
 
 PARTS: dict[str, Callable[[], None]] = {
@@ -356,16 +360,16 @@
         metavar="CHECKOUT",
         help="measure the program beside this checkout's, without a store and with one",
     )
-    given = parser.parse_args()
-    if given.against is not None:
-        beside(given.against.resolve())
+    options = parser.parse_args()
+    if options.against is not None:
+        compare_with(options.against.resolve())
         return
     with contextlib.suppress(KeyboardInterrupt):
-        for part in given.parts or PARTS:
+        for part in options.parts or PARTS:
             PARTS[part]()
             sys.stdout.flush()
 
 
 if __name__ == "__main__":
-    assert shutil.disk_usage(ROOT).free > 2e9, "not enough room to measure"
+    assert shutil.disk_usage(ROOT).free > 2e9, "less than 2 GB of disk space free"
     main()
