--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -90,10 +90,11 @@
         # To save simulation time in large fleets, agents that neither lead nor are held out reconcile rarely.
         infrequent = len(self.members) > 50 and name != "a0" and not self.plan.held_out("agent").get(name)
         self.call_after(SLOW_RECONCILE_MS if infrequent else RECONCILE_MS, lambda: self.reconcile(name))
-        for action in self.reconcilers[name].reconcile(self.plan, self.local(name), self.now):
-            self.do(name, action)
+        for action in self.reconcilers[name].reconcile(self.plan, self.local_state(name), self.now):
+            self.perform(name, action)
 
-    def local(self, name: str) -> LocalState:
+    def local_state(self, name: str) -> LocalState:
+        """What the agent's reconciler is told of its own state; `a0` is the leader."""
         busy = {
             server: int(self.empty_at.get((name, server), 0.0) > self.now)
             for server in self.reconcilers[name].held_out
@@ -112,7 +113,8 @@
             self.servers,
         )
 
-    def do(self, name: str, action: object) -> None:
+    def perform(self, name: str, action: object) -> None:
+        """Carries out an action of the agent's reconciler."""
         match action:
             case ProposeCommand(command):
                 self.propose(command)
@@ -165,15 +167,15 @@
         for agent_count, server_count in zones.values()
     ]
     least = sum(rounds) * (REPAIR_MS + limits.warm_ms)
-    cost = sorted(fleet.apply_times_s)
+    apply_times_s = sorted(fleet.apply_times_s)
     print(
         f"{agents} agents, {servers} servers, {limits.all} at once (agents {limits.agents}, "
         f"servers {limits.servers}): whole plan {elapsed_ms / 60_000:.0f} min, "
         f"{elapsed_ms / least:.2f} times the minimum by limits, repair and warm-up; "
         f"{(fleet.command_count - count_before) / len(names):.1f} commands and "
         f"{(fleet.command_bytes - bytes_before) / len(names):.0f} bytes per machine in the log; "
-        f"applying a command takes p50 {cost[len(cost) // 2] * 1e6:.0f}, "
-        f"longest {cost[-1] * 1e6:.0f} us at each agent"
+        f"applying a command takes p50 {apply_times_s[len(apply_times_s) // 2] * 1e6:.0f}, "
+        f"longest {apply_times_s[-1] * 1e6:.0f} us at each agent"
     )
 
 
@@ -199,7 +201,7 @@
         )
         self.run(lambda: self.now >= START_MS + WARM_UP_MS)
 
-    def local(self, name: str) -> LocalState:
+    def local_state(self, name: str) -> LocalState:
         agent = self.call_simulation.agents[name]
         if agent.phase == "draining" and not agent.busy():
             agent.phase = "drained"
@@ -221,7 +223,7 @@
             self.servers,
         )
 
-    def do(self, name: str, action: object) -> None:
+    def perform(self, name: str, action: object) -> None:
         agent = self.call_simulation.agents[name]
         match action:
             case ProposeCommand(command):
@@ -245,8 +247,8 @@
     def start_repair(self, name: str) -> None:
         self.repair(name, lambda: self.propose(Ready(name)))
 
-    def repair(self, name: str, then: Callable[[], None]) -> None:
-        """Switches the machine off, and on again after the repair; then calls `then`."""
+    def repair(self, name: str, on_ready: Callable[[], None]) -> None:
+        """Switches the machine off, and on again after the repair; then calls `on_ready`."""
         if name in self.call_simulation.servers:
             server = self.call_simulation.servers[name]
             server.go_down()
@@ -255,12 +257,12 @@
                 server.come_up()
                 for agent in self.call_simulation.agents.values():
                     agent.send_server_list()
-                then()
+                on_ready()
         else:
 
             def come_back() -> None:
                 self.call_simulation.agents[name].boot()
-                then()
+                on_ready()
 
         self.call_after(SHORT_REPAIR_MS, come_back)
 
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted stand-ins that tests, benchmarks and rigs share. The agent imports none of them."""
+"""Scripted parties and fault injection that tests, trials and benchmarks share; agents do not import them."""
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -72,7 +72,7 @@
             )
             self.lobbies.append(lobby)
             dials[host] = await self._relay(name, host, await lobby.start(), rng)
-        told = await self._relay(name, "list", await self.list_service.start(name, dials), rng)
+        list_address = await self._relay(name, "list", await self.list_service.start(name, dials), rng)
         address = await self._relay(name, "clients", listen, rng)
         port = int(address.rpartition(":")[2])
         first = len(self.callers)
@@ -80,7 +80,7 @@
             Caller(first + number, self.observed, random.Random(rng.random()), lambda: port)
             for number in range(self.callers_per_agent)
         ]
-        return dials, told
+        return dials, list_address
 
     def start_callers(self) -> None:
         """Starts all clients."""
@@ -270,6 +270,7 @@
         return len(pathlib.Path(self.machines[name]["full"]).read_text(encoding="utf-8").splitlines())
 
     def free_disk(self, name: str) -> None:
+        """Lets the agent's disk accept writes again."""
         self.add_history(f"there is room on the disk of {name}")
         pathlib.Path(self.machines[name]["full"]).unlink()
 
@@ -440,7 +441,7 @@
         ) from None
 
     async def wait_for_leader(self, among: list[str] | None = None) -> str:
-        """The name of the first agent, of these or of all, that reports that it is the leader."""
+        """Waits until an agent, of these or of all, reports that it is the leader, and returns its name."""
         found = ""
 
         async def led() -> bool:
