--- a/tests/fleet/test_startup.py
+++ b/tests/fleet/test_startup.py
@@ -9,7 +9,7 @@
 
 from frostport.startup.feed import PARTIAL_VIEW_FACTOR
 from frostport.startup.rendezvous import weight
-from standins.dark_site import DarkSite
+from standins.cold_site import ColdSite
 from standins.fleet import Rig
 
 AGENTS = 24
@@ -26,8 +26,8 @@
 class Scenario:
     """Takes one rig through the faults, one after the other."""
 
-    def __init__(self, rig: Rig, site: DarkSite) -> None:
-        self.rig, self.site, self.list = rig, site, site.costly
+    def __init__(self, rig: Rig, site: ColdSite) -> None:
+        self.rig, self.site, self.list = rig, site, site.limited_list
 
     async def startup_status(self, name: str) -> list[str]:
         return await self.rig.ask(name, "startup")
@@ -37,15 +37,15 @@
             answers = await asyncio.gather(*(self.rig.ask(name, command) for name in names or self.rig.names))
             return all(any(expected in line for line in lines) for lines in answers)
 
-        await self.rig.until(f"{command} shows {expected!r} at all agents", shown)
+        await self.rig.wait_until(f"{command} shows {expected!r} at all agents", shown)
 
     async def wait_for_feeders(self) -> None:
         """Waits until the feeders are connected to the list service, and no other agent is."""
 
         async def settled() -> bool:
-            return len(self.list.held_open) == 2 * FEEDERS
+            return len(self.list.connections) == 2 * FEEDERS
 
-        await self.rig.until(f"{2 * FEEDERS} agents are connected to the list service", settled)
+        await self.rig.wait_until(f"{2 * FEEDERS} agents are connected to the list service", settled)
 
     def feeders(self, zone: str) -> list[str]:
         feeders = []
@@ -59,7 +59,7 @@
         """Publishes an event, in which a server drains or is ready again; returns its number."""
         number = len(self.list.events) + 1
         state = "draining" if number % 2 == 0 else "ready"
-        self.list.tell([{**self.site.hosts[-1], "health": state}])
+        self.list.publish([{**self.site.hosts[-1], "health": state}])
         return number
 
     async def wait_for_event(self, number: int, names: list[str] | None = None) -> dict[str, dict[str, Any]]:
@@ -73,61 +73,61 @@
                         found[name] = line
             return set(names or self.rig.names) <= found.keys()
 
-        await self.rig.until(f"event {number} is in the list of all agents", all_have)
+        await self.rig.wait_until(f"event {number} is in the list of all agents", all_have)
         return found
 
     def assert_not_overloaded(self, since: int, max_connections: int) -> None:
         """Asserts that the list service accepted few connections after the first `since`, that it sent no
         whole list, and that nothing collapsed."""
-        assert len(self.list.accepted) - since <= max_connections, len(self.list.accepted) - since
+        assert len(self.list.accepted_at) - since <= max_connections, len(self.list.accepted_at) - since
         assert self.list.whole_lists == 0
-        assert [name for name, party in self.site.parties().items() if party.processor.collapsed] == []
+        assert [name for name, party in self.site.endpoints().items() if party.processor.collapsed] == []
 
     # Faults
 
     async def all_agents_start_at_once(self) -> None:
         await self.wait_until_all_show("ready", "OK yes")
-        handshakes = {lobby.name: len(lobby.accepted) for lobby in self.site.shared}
+        handshakes = {lobby.name: len(lobby.accepted_at) for lobby in self.site.shared_servers}
         assert sum(handshakes.values()) <= AGENTS * INITIAL_SERVERS, handshakes
         self.assert_not_overloaded(0, POSSIBLE_FEEDERS)
         await self.wait_for_feeders()
         await self.wait_for_event(self.publish_event())
 
     async def service_and_servers_fail(self) -> None:
-        for party in self.site.parties().values():
-            party.away()
+        for party in self.site.endpoints().values():
+            party.go_down()
 
         async def noticed() -> bool:
             answers = await asyncio.gather(*(self.startup_status(name) for name in self.rig.names))
             return all(float(lines[1].split("heard ")[1].split()[0]) > 4000.0 for lines in answers if lines)
 
-        await self.rig.until("all agents know that the service is down", noticed)
-        since, number = len(self.list.accepted), self.publish_event()
-        for party in self.site.parties().values():
+        await self.rig.wait_until("all agents know that the service is down", noticed)
+        since, number = len(self.list.accepted_at), self.publish_event()
+        for party in self.site.endpoints().values():
             await party.open()
         await self.wait_for_event(number)
         await self.wait_for_feeders()
         self.assert_not_overloaded(since, POSSIBLE_FEEDERS)
 
     async def feeders_stall(self) -> None:
-        stalled, since = self.feeders("z0"), len(self.list.accepted)
+        stalled, since = self.feeders("z0"), len(self.list.accepted_at)
         assert len(stalled) == FEEDERS
         for name in stalled:
-            await self.rig.frozen(name)
+            await self.rig.freeze_and_wait(name)
         number, others = self.publish_event(), [name for name in self.rig.names if name not in stalled]
         found = await self.wait_for_event(number, others)
         for name in stalled:
             assert not any(
                 line["event"] == "list" and line["offset"] == number for line in self.rig.records(name)
             )  # they were indeed stopped
-            self.rig.wake(name)
+            self.rig.unfreeze(name)
         assert not {line["source"] for line in found.values()} & set(stalled)
         await self.wait_for_event(number)
         await self.wait_for_feeders()
         self.assert_not_overloaded(since, POSSIBLE_FEEDERS)
 
     async def feeders_die(self) -> None:
-        dead, since = self.feeders("z0"), len(self.list.accepted)
+        dead, since = self.feeders("z0"), len(self.list.accepted_at)
         assert len(dead) == FEEDERS
         for name in dead:
             await self.rig.kill(name)
@@ -142,34 +142,34 @@
         self.assert_not_overloaded(since, 2 * POSSIBLE_FEEDERS)
 
     async def zone_is_partitioned(self) -> None:
-        since = len(self.list.accepted)
-        self.rig.apart([name for name in self.rig.names if self.rig.zone(name) == "z1"])
+        since = len(self.list.accepted_at)
+        self.rig.partition([name for name in self.rig.names if self.rig.zone(name) == "z1"])
         found = await self.wait_for_event(self.publish_event())
         assert all(
             not line["source"] or self.rig.zone(line["source"]) == self.rig.zone(name)
             for name, line in found.items()
         )
-        assert self.rig.injected("cut")
+        assert self.rig.fault_count("cut")
         self.rig.heal()
         await self.wait_for_event(self.publish_event())
         await self.wait_for_feeders()
         self.assert_not_overloaded(since, POSSIBLE_FEEDERS)
 
     async def all_agents_serve(self) -> None:
-        self.site.call()
+        self.site.start_callers()
         await self.wait_until_all_show("show-stat", "app.answered.race:1")
-        assert self.site.books.faults == []
+        assert self.site.observed.faults == []
 
 
 async def run_scenario(folder: pathlib.Path, **startup: Any) -> None:
-    site = DarkSite(1, SERVERS)
+    site = ColdSite(1, SERVERS)
     rig = Rig(
         folder,
         AGENTS,
         3,
         1,
-        outside=site,
-        top={
+        environment=site,
+        extra_config={
             "startup": {
                 "agents": AGENTS,
                 "servers": INITIAL_SERVERS,
@@ -179,7 +179,7 @@
             }
         },
     )
-    rig.across = True
+    rig.relays_between_zones_only = True
     async with rig:
         scenario = Scenario(rig, site)
         for step in (
@@ -190,7 +190,7 @@
             scenario.zone_is_partitioned,
             scenario.all_agents_serve,
         ):
-            rig.say(step.__name__)
+            rig.add_history(step.__name__)
             await step()
         assert "Traceback" not in (folder / "log").read_text(encoding="utf-8")
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -29,7 +29,7 @@
 from frostport.store.files import DiskFolder
 from frostport.store.follower import Follower
 from standins.files import MemoryFolder
-from standins.lobby import Books, Caller, Lobby, configuration
+from standins.lobby import Caller, LobbyServer, Observations, configuration
 from standins.ports import free_ports
 from tests.restart import ScriptedDisk
 from tests.scenario import World, platform, play
@@ -272,27 +272,29 @@
         raise TimeoutError(f"not in the log: {words}")
 
 
-async def run_upgrade(folder: pathlib.Path, step: str, seed: int) -> Books:
+async def run_upgrade(folder: pathlib.Path, step: str, seed: int) -> Observations:
     """Runs an old and a new process under load and kills one at the given step; the rest must go on."""
-    rng, books = random.Random(f"{step} {seed}"), Books()
-    lobbies = [Lobby(f"h{number}", books, random.Random(number), ends=0.3) for number in (0, 1)]
+    rng, observed = random.Random(f"{step} {seed}"), Observations()
+    lobbies = [
+        LobbyServer(f"h{number}", observed, random.Random(number), end_probability=0.3) for number in (0, 1)
+    ]
     ports = [await lobby.start() for lobby in lobbies]
     with socket.socket() as held:
         held.bind(("127.0.0.1", 0))
         held.listen(64)
         setup = UpgradeSetup(folder, ports, held)
         callers = [
-            Caller(number, books, random.Random(100 + number), lambda: setup.port) for number in range(4)
+            Caller(number, observed, random.Random(100 + number), lambda: setup.port) for number in range(4)
         ]
         tasks = [asyncio.create_task(caller.run()) for caller in callers]
         try:
             old = await setup.start()
             await setup.ready(setup.operator_ports[0])
-            await wait_for(lambda: books.answers > 20)
+            await wait_for(lambda: observed.answers > 20)
             new = await setup.start()
             if "ready" not in step:
                 await setup.ready(setup.operator_ports[1])
-                await wait_for(lambda: books.answers > 40)
+                await wait_for(lambda: observed.answers > 40)
                 third = await setup.start()  # a third process is refused while two share the store
                 assert await asyncio.wait_for(third.wait(), 60) == 2
             if "drain" in step or step in ("new, taking over", "nobody"):
@@ -316,10 +318,10 @@
                 await old.wait()
                 await setup.start()
                 await setup.ready(setup.operator_ports[-1])
-            before = books.answers
-            await wait_for(lambda: books.answers > before + 20)
+            before = observed.answers
+            await wait_for(lambda: observed.answers > before + 20)
             await stop_callers(callers)
-            await end_calls_at_servers(lobbies, books)
+            await end_calls_at_servers(lobbies, observed)
             last = setup.programs[-1] if victim is new else new
             last.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(last.wait(), 60) == 0
@@ -328,7 +330,7 @@
                 await kill_and_wait(program)
             await cancel_all(tasks)
             setup.log.close()
-    return books
+    return observed
 
 
 async def wait_for(condition: object) -> None:
@@ -342,9 +344,9 @@
 
 @pytest.mark.parametrize("step", STEPS)
 def test_either_process_killed_at_each_step_of_a_handover(step: str, tmp_path: pathlib.Path) -> None:
-    books = asyncio.run(run_upgrade(tmp_path, step, 1))
+    observed = asyncio.run(run_upgrade(tmp_path, step, 1))
     log = (tmp_path / "log").read_text(encoding="utf-8")
-    assert books.faults == []
+    assert observed.faults == []
     assert "Traceback" not in log and "stopped:" not in log, log[-2000:]
     found = tools.contents(tmp_path / "s.store")
     assert found.torn_bytes == 0
--- a/tests/test_sigkill.py
+++ b/tests/test_sigkill.py
@@ -13,7 +13,7 @@
 
 from frostport.state import records
 from frostport.store import tools
-from standins.lobby import Books, Caller, Lobby, configuration
+from standins.lobby import Caller, LobbyServer, Observations, configuration
 from standins.ports import free_ports
 
 KILLS, CLIENTS = 50, 6
@@ -36,15 +36,19 @@
     raise TimeoutError("the program does not listen")
 
 
-async def run_with_kills(folder: pathlib.Path, seed: int) -> Books:
+async def run_with_kills(folder: pathlib.Path, seed: int) -> Observations:
     """Runs and kills the program KILLS times under load, then once more to its regular end."""
-    rng, books = random.Random(seed), Books()
-    lobbies = [Lobby(f"h{number}", books, random.Random(number), ends=0.5) for number in (0, 1)]
+    rng, observed = random.Random(seed), Observations()
+    lobbies = [
+        LobbyServer(f"h{number}", observed, random.Random(number), end_probability=0.5) for number in (0, 1)
+    ]
     ports = [await lobby.start() for lobby in lobbies]
     port = free_ports(1)[0]
     path = folder / "config.json"
     path.write_text(json.dumps(configuration(port, ports, store=STORE)), encoding="utf-8")
-    callers = [Caller(number, books, random.Random(100 + number), lambda: port) for number in range(CLIENTS)]
+    callers = [
+        Caller(number, observed, random.Random(100 + number), lambda: port) for number in range(CLIENTS)
+    ]
     tasks = [asyncio.create_task(caller.run()) for caller in callers]
     with (folder / "log").open("wb") as log:
         for kill in range(KILLS + 1):
@@ -59,37 +63,39 @@
                     continue
                 # The last run: clients release the calls they know of, servers end the others.
                 await stop_callers(callers)
-                await end_calls_at_servers(lobbies, books)
+                await end_calls_at_servers(lobbies, observed)
                 program.send_signal(signal.SIGTERM)
                 assert await asyncio.wait_for(program.wait(), TIMEOUT_S) == 0
             finally:
                 await kill_and_wait(program)
     await cancel_all(tasks)
-    return books
+    return observed
 
 
-async def end_calls_at_servers(lobbies: Sequence[Lobby], books: Books) -> None:
+async def end_calls_at_servers(lobbies: Sequence[LobbyServer], observed: Observations) -> None:
     """Checks that servers hold only calls that no client knows of, then ends these.
 
     Each end is confirmed by the agent, after it is recorded."""
 
     def left() -> set[str]:
-        return {call for lobby in lobbies for call in lobby.held} - books.unsure
+        return {call for lobby in lobbies for call in lobby.calls} - observed.uncertain
 
     with contextlib.suppress(TimeoutError):  # for release guards, and messages that servers repeat
         await wait_until(lambda: not left())
     for call in left():
-        books.fault(f"{call}: left at a server, and its client knows nothing of it")
+        observed.report_fault(f"{call}: left at a server, and its client knows nothing of it")
     for lobby in lobbies:
         lobby.end_all()
-    await wait_until(lambda: not any(lobby.ended for lobby in lobbies))
+    await wait_until(lambda: not any(lobby.unconfirmed_ends for lobby in lobbies))
 
 
 async def stop_callers(callers: Sequence[Caller]) -> None:
     """Lets clients stop asking, and release all calls that they know to be established."""
     for caller in callers:
-        caller.asking = False
-    await wait_until(lambda: not any(caller.asked or caller.mine or caller.releasing for caller in callers))
+        caller.active = False
+    await wait_until(
+        lambda: not any(caller.pending or caller.established or caller.releasing for caller in callers)
+    )
 
 
 async def kill_and_wait(program: asyncio.subprocess.Process) -> None:
@@ -115,10 +121,10 @@
 
 
 def test_fifty_sigkills_under_load(tmp_path: pathlib.Path) -> None:
-    books = asyncio.run(run_with_kills(tmp_path, 4))
-    print(f"{books.answers} answers, {books.refused} refused, {len(books.unsure)} never known")
-    assert books.faults == []
-    assert books.answers - books.refused > 5 * KILLS and books.ended > KILLS
+    observed = asyncio.run(run_with_kills(tmp_path, 4))
+    print(f"{observed.answers} answers, {observed.refused} refused, {len(observed.uncertain)} never known")
+    assert observed.faults == []
+    assert observed.answers - observed.refused > 5 * KILLS and observed.ended > KILLS
     log = (tmp_path / "log").read_text(encoding="utf-8")
     assert "Traceback" not in log and "stopped:" not in log
     found = tools.contents(tmp_path / "s.store")
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -29,16 +29,16 @@
 from frostport.startup.rendezvous import initial_servers, ranked
 from frostport.startup.settings import Settings
 from frostport.startup_coordinator import StartupCoordinator
-from standins.starts import Site, busiest
+from standins.cold_start_simulation import SimulatedSite, max_in_window
 
 AGENT_COUNT = 200
 DRAIN_GRACE_MS = 2000.0  # after this a draining server must get no new calls
 
 
-def wait_until_all_serve(site: Site, within_ms: float) -> None:
+def wait_until_all_serve(site: SimulatedSite, within_ms: float) -> None:
     for _ in range(int(within_ms / 1000.0)):
         site.run(1000.0)
-        if site.serving() == len(site.agents) == site.count:
+        if site.serving_count() == len(site.agents) == site.count:
             return
     not_ready = [
         (name, agent.waves.waits_for, agent.feed.role.value)
@@ -50,58 +50,58 @@
     )
 
 
-def assert_not_overloaded(site: Site, since: float = 0.0) -> None:
+def assert_not_overloaded(site: SimulatedSite, since: float = 0.0) -> None:
     """Asserts that no target collapsed, and that none accepted too many connections within 100 ms."""
     assert site.collapsed() == []
-    for name, party in site.parties.items():
+    for name, party in site.endpoints.items():
         limit = 10 if name == LIST_SERVICE else 25
-        assert busiest([at for at in party.accepted if at >= since]) <= limit, name
+        assert max_in_window([at for at in party.accepted_at if at >= since]) <= limit, name
 
 
-def assert_event_reaches_all(site: Site, within_ms: float = DRAIN_GRACE_MS) -> None:
+def assert_event_reaches_all(site: SimulatedSite, within_ms: float = DRAIN_GRACE_MS) -> None:
     offset = site.publish()
     site.run(3000.0)
-    assert site.latest(offset) <= within_ms, (
-        f"an agent learned of the event after {site.latest(offset):.0f} ms"
+    assert site.max_delay_ms(offset) <= within_ms, (
+        f"an agent learned of the event after {site.max_delay_ms(offset):.0f} ms"
     )
 
 
 # Scenarios
 
 
-def start_all_at_once(site: Site) -> None:
+def start_all_at_once(site: SimulatedSite) -> None:
     wait_until_all_serve(site, 20_000.0)
     assert_event_reaches_all(site)
 
 
-def service_and_servers_return(site: Site) -> None:
+def service_and_servers_return(site: SimulatedSite) -> None:
     wait_until_all_serve(site, 20_000.0)
-    for party in site.parties.values():
-        party.away()
+    for party in site.endpoints.values():
+        party.go_down()
     site.run(10_000.0)
     began = site.now
-    for party in site.parties.values():
-        party.back()
+    for party in site.endpoints.values():
+        party.come_up()
     site.run(max(20_000.0, 100.0 * site.count))  # paced at 80 dials a second, after backoff has grown
     assert_not_overloaded(site, began)
     assert all(set(site.servers) <= agent.connected.keys() for agent in site.agents.values())
-    assert sum(at >= began for at in site.parties[LIST_SERVICE].accepted) <= 20
+    assert sum(at >= began for at in site.endpoints[LIST_SERVICE].accepted_at) <= 20
     assert_event_reaches_all(site)
 
 
-def service_fails_repeatedly(site: Site) -> None:
+def service_fails_repeatedly(site: SimulatedSite) -> None:
     """The list service is back for 1 s at a time: each return must draw few enough dials."""
     wait_until_all_serve(site, 20_000.0)
     for _ in range(3):
-        site.parties[LIST_SERVICE].away()
+        site.endpoints[LIST_SERVICE].go_down()
         site.run(5000.0)
-        site.parties[LIST_SERVICE].back()
+        site.endpoints[LIST_SERVICE].come_up()
         site.run(1000.0)
     site.run(15_000.0)
     assert_event_reaches_all(site)
 
 
-def feeders_fail_during_the_start(site: Site) -> None:
+def feeders_fail_during_the_start(site: SimulatedSite) -> None:
     site.run(2000.0)
     for _ in range(3):
         site.kill(
@@ -118,7 +118,7 @@
     assert_event_reaches_all(site)
 
 
-def feeders_stall(site: Site) -> None:
+def feeders_stall(site: SimulatedSite) -> None:
     """Silent feeders still count as alive: other feeders must take over within the drain's grace period."""
     wait_until_all_serve(site, 20_000.0)
     site.run(3000.0)
@@ -131,7 +131,7 @@
     offset = site.publish()
     site.run(3000.0)
     delays = {
-        name: agent.heard_at.get(offset, site.now) - site.told_at[offset]
+        name: agent.event_received_at.get(offset, site.now) - site.published_at[offset]
         for name, agent in site.agents.items()
         if name not in stalled
     }
@@ -140,30 +140,30 @@
     assert_event_reaches_all(site)
 
 
-def half_start_with_an_old_list(site: Site) -> None:
-    assert site.last == 100
+def half_start_with_an_old_list(site: SimulatedSite) -> None:
+    assert site.last_event == 100
     wait_until_all_serve(site, 20_000.0)
     site.run(3000.0)
-    assert all(agent.offset == site.last for agent in site.agents.values())
+    assert all(agent.offset == site.last_event for agent in site.agents.values())
     assert site.whole_lists <= 20
     assert_event_reaches_all(site)
 
 
-def zone_partitioned_during_the_start(site: Site) -> None:
+def zone_partitioned_during_the_start(site: SimulatedSite) -> None:
     site.run(1500.0)
-    site.apart("z1", 15_000.0)
+    site.isolate_zone("z1", 15_000.0)
     wait_until_all_serve(site, 30_000.0)
     assert_event_reaches_all(site)  # each zone has its own feeders
     site.run(15_000.0)
     assert_event_reaches_all(site)
 
 
-def only_three_agents_are_visible(site: Site) -> None:
+def only_three_agents_are_visible(site: SimulatedSite) -> None:
     """No agent sees more than three others: each must pace its dials to the service for the whole fleet."""
     wait_until_all_serve(site, 90_000.0)
 
 
-def rolling_restart_during_the_start(site: Site) -> None:
+def rolling_restart_during_the_start(site: SimulatedSite) -> None:
     site.run(3000.0)
     for tenth in range(10):
         names = [name for name in site.agents if int(name[1:]) % 10 == tenth]
@@ -177,13 +177,13 @@
     assert_event_reaches_all(site)
 
 
-def server_accepts_and_never_answers(site: Site) -> None:
-    site.parties["h1"].mute = True
+def server_accepts_and_never_answers(site: SimulatedSite) -> None:
+    site.endpoints["h1"].silent = True
     wait_until_all_serve(site, 20_000.0)
     assert_event_reaches_all(site)
 
 
-CASES: dict[str, tuple[Callable[[Site], None], dict[str, object]]] = {
+CASES: dict[str, tuple[Callable[[SimulatedSite], None], dict[str, object]]] = {
     "all at once": (start_all_at_once, {}),
     "list service and lobby servers away for 10 s": (service_and_servers_return, {}),
     "it dies again and again": (service_fails_repeatedly, {}),
@@ -201,11 +201,11 @@
 }
 
 
-def build_site(case: str, count: int, seed: int, eager: bool = False) -> Site:
+def build_site(case: str, count: int, seed: int, eager: bool = False) -> SimulatedSite:
     options = CASES[case][1]
-    site = Site(count, seed, eager=eager, **options)  # type: ignore[arg-type]
+    site = SimulatedSite(count, seed, eager=eager, **options)  # type: ignore[arg-type]
     if case == "half hold a list 100 events old":
-        site.last = site.kept_from = 100
+        site.last_event = site.oldest_kept_event = 100
     if case == "three of all are seen":
 
         def hidden(viewer: str, other: str) -> bool:
@@ -245,9 +245,9 @@
     pacing_settings = Settings(agents=200)
     pacers = [DialPacer(pacing_settings, random.Random(number), 0.0) for number in range(200)]
     first = sorted(pacer.schedule_first("h0", 0.0) for pacer in pacers)
-    assert first[-1] <= 2500.0 and busiest(first) <= 20
+    assert first[-1] <= 2500.0 and max_in_window(first) <= 20
     redials = sorted(pacer.schedule_redial("h1", 50_000.0) for pacer in pacers)
-    assert busiest(redials) <= 20  # all agents lose their connection at the same moment
+    assert max_in_window(redials) <= 20  # all agents lose their connection at the same moment
     single_pacer, now, dials = pacers[0], 100_000.0, 0
     while now < 400_000.0:
         now += single_pacer.schedule_redial("h2", now) + 1.0
