--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -281,8 +281,8 @@
 
     def _check_drained(self) -> None:
         """Checks whether no client connection and no request is left, which ends a drain or a handover."""
-        self.side.front.empty()  # guards against a connection whose last call ended without a message on it
-        phase, empty = self.lifecycle.phase, not self.side.front.held() and not self.broker.open_count
+        self.side.front.drain()  # guards against a connection whose last call ended without a message on it
+        phase, empty = self.lifecycle.phase, not self.side.front.unclosed() and not self.broker.open_count
         if phase is Phase.DRAINING and empty:
             self.lifecycle.enter(Phase.DRAINED)
         elif phase is Phase.HANDING_OVER and empty:
@@ -364,8 +364,8 @@
         A client may read its answer slowly, or not at all."""
         if self.lifecycle.phase is Phase.STOPPED:
             return
-        self.side.front.hang_up()
-        if not self.side.front.held() or self.clock.now() >= self._exit_at_ms:
+        self.side.front.close_all()
+        if not self.side.front.unclosed() or self.clock.now() >= self._exit_at_ms:
             self._exit()
         else:
             self.deadlines.set(
--- a/frostport/diameter/front.py
+++ b/frostport/diameter/front.py
@@ -78,7 +78,7 @@
     answer: tuple[int, list[Avp]] | None = None
     ended_by: int = -1  # End-to-End Identifier of the CCR-Termination that ended it
     answered_on: PeerConnection | None = None  # the connection on which the answer was sent last
-    end_held: bool = False  # the ASR is held back, so that a duplicate gets the answer first
+    release_held: bool = False  # the ASR is held back, so that a duplicate gets the answer first
 
 
 class DiameterFront(DiameterNode):
@@ -137,14 +137,15 @@
             if connection is not None:
                 connection.drop()
 
-    def empty(self) -> None:
+    def drain(self) -> None:
         """Does nothing: a peer learns of a drain by its watchdogs, not by a close."""
 
-    def hang_up(self) -> None:
-        """Does nothing: `disconnect` has told the peers. Buffered output is sent as the process ends."""
+    def close_all(self) -> None:
+        """Does nothing: `disconnect` has notified the peers. Buffered output is sent as the process ends."""
 
-    def held(self) -> int:
-        """The number of client connections that a drain waits for: 0, as peers stay connected."""
+    def unclosed(self) -> int:
+        """The number of client connections that a drain, a handover or the exit waits for: 0, as peers stay
+        connected."""
         return 0
 
     def _carries_calls(self, client: str) -> bool:
@@ -152,7 +153,7 @@
         return any(session.client == client for session in self.sessions.values())
 
     def busy(self) -> bool:
-        """Whether connections keep the agent from emptying: never, as peers stay connected."""
+        """Whether a connection that is in use delays a drain: never, as peers stay connected."""
         return False
 
     def on_close(self, connection: PeerConnection) -> None:
@@ -211,7 +212,7 @@
         if known is not None and known.answer is not None:
             known.answered_on = connection
             self._send_answer(connection, message, *known.answer)
-            if known.end_held:
+            if known.release_held:
                 self._end_hold(session_id, known)
             return
         context = next(found for found in message.avps if found.code == avp.SERVICE_CONTEXT_ID.code)
@@ -336,7 +337,7 @@
                 return
         for call, (client, outcome) in list(self.pending_releases.items()):
             session = self.sessions.get(call)
-            if client in ("", connection.host) and (session is None or not session.end_held):
+            if client in ("", connection.host) and (session is None or not session.release_held):
                 self._send_abort(call, client, outcome)
 
     def connection_lost(self, peer: Peer, connection: PeerConnection) -> None:
@@ -395,45 +396,46 @@
         self._send_final(request, avp.UNABLE_TO_COMPLY, [])
 
     def call_ended(
-        self, call: str, connection_id: int, outcome: Outcome, given: RecordedAnswer | None = None
+        self, call: str, connection_id: int, outcome: Outcome, recorded_answer: RecordedAnswer | None = None
     ) -> None:
         session, now = self.sessions.get(call), self.clock.now()
         client = session.client if session is not None else ""
         self._schedule_removal(call)
         self._add_release(call, client, outcome, now)
-        if session is None or not self._hold_release(call, session, given, now):
+        if session is None or not self._hold_release(call, session, recorded_answer, now):
             self._send_abort(call, client, outcome)
 
-    def _hold_release(self, call: str, session: Session, given: RecordedAnswer | None, now: float) -> bool:
+    def _hold_release(
+        self, call: str, session: Session, recorded_answer: RecordedAnswer | None, now: float
+    ) -> bool:
         """Delays a release whose client may have missed the answer, so that it doesn't get the release first.
 
         Returns False if the release may be sent now. Once a client that may have missed the answer gets the
         release, duplicates of its set-up are answered that the call has failed."""
         peer = self.peers.get(session.client)
-        if given is None or (
+        if recorded_answer is None or (
             session.answered_on is not None
             and peer is not None
             and peer.open_connection() is session.answered_on
         ):
             return False
-        until = held_until(given.recorded_at_ms, now, self.longest_deadline_ms)
-        if (
-            session.answered_on is not None or until <= now
-        ):  # no restart since the answer, or no client waits any more
+        until = held_until(recorded_answer.recorded_at_ms, now, self.longest_deadline_ms)
+        # No restart since the answer, or no client waits any more.
+        if session.answered_on is not None or until <= now:
             session.answer = (avp.UNABLE_TO_COMPLY, [])
             return False
-        session.end_held = True
+        session.release_held = True
         self.deadlines.set(until, lambda: self._on_hold_expired(call, session))
         return True
 
     def _on_hold_expired(self, call: str, session: Session) -> None:
-        if session.end_held:
+        if session.release_held:
             session.answer = (avp.UNABLE_TO_COMPLY, [])
             self._end_hold(call, session)
 
     def _end_hold(self, call: str, session: Session) -> None:
         """Sends the release that was held back."""
-        session.end_held = False
+        session.release_held = False
         if (release := self.pending_releases.get(call)) is not None:
             self._send_abort(call, *release)
 
@@ -444,17 +446,17 @@
     def resume(
         self,
         releases: Mapping[str, tuple[str, Outcome, float]],
-        given: Callable[[str], RecordedAnswer | None],
+        recorded_answer_of: Callable[[str], RecordedAnswer | None],
     ) -> None:
         """Takes over releases from before a restart or handover: call -> (client, outcome, since ms).
 
-        Each is sent when its client connects, or held back if the answer may have been missed; `given`
-        returns the recorded answer of a call. The sessions must have been restored."""
+        Each is sent when its client connects, or held back if its answer may have been missed.
+        `recorded_answer_of` returns the recorded answer of a call. The sessions must have been restored."""
         now = self.clock.now()
         for call, (client, outcome, since) in releases.items():
             self._add_release(call, client, outcome, since)
             if (session := self.sessions.get(call)) is not None:
-                self._hold_release(call, session, given(call), now)
+                self._hold_release(call, session, recorded_answer_of(call), now)
 
     def resume_session(
         self,
--- a/frostport/diameter/peer.py
+++ b/frostport/diameter/peer.py
@@ -35,7 +35,7 @@
 PARTIAL_MESSAGE_TIMEOUT_MS = 2_000.0  # for a message that has begun to be completed
 WRITE_STALL_TIMEOUT_MS = 2_000.0  # for a peer to read what was written to it
 CLOSE_TIMEOUT_MS = 1_000.0  # for buffered output to be sent before a connection is aborted
-MESSAGES_PER_TURN = 50
+MESSAGES_PER_ITERATION = 50  # handled on one connection per event-loop iteration
 MAX_UNANSWERED_REQUESTS = 1_000  # per connection; beyond that the oldest are forgotten
 RELAY_APPLICATION = 0xFFFFFFFF  # the Application Id of relay agents, which take any application
 DPA_TIMEOUT_MS = 1_000.0  # for the answer to a Disconnect-Peer-Request
@@ -143,7 +143,7 @@
         self._timeout: Deadline | None = None  # of the capabilities exchange, a disconnect or a close
         self._partial_timeout: Deadline | None = None
         self._write_stall_timeout: Deadline | None = None
-        self._next_turn: Deadline | None = None
+        self._next_iteration: Deadline | None = None
         self._ignore_input = False  # closed, or closed once buffered output is sent
         self._unanswered: dict[int, None] = {}  # Hop-by-Hop Identifiers of requests sent, oldest first
 
@@ -181,8 +181,8 @@
         """Handles up to MESSAGES_PER_TURN messages, then yields to other connections.
 
         Reading pauses until all messages that were read are handled."""
-        self._next_turn = None
-        for _ in range(MESSAGES_PER_TURN):
+        self._next_iteration = None
+        for _ in range(MESSAGES_PER_ITERATION):
             if self._ignore_input or not self._pending_frames:
                 break
             try:
@@ -193,7 +193,7 @@
             return
         if self._pending_frames:
             self.transport.pauseProducing()
-            self._next_turn = self.deadlines.set(self.clock.now(), self._handle_frames)
+            self._next_iteration = self.deadlines.set(self.clock.now(), self._handle_frames)
         elif self._write_stall_timeout is None:
             self.transport.resumeProducing()
 
@@ -219,7 +219,12 @@
 
     def _on_closed(self) -> None:
         self._ignore_input = True
-        for deadline in (self._timeout, self._partial_timeout, self._write_stall_timeout, self._next_turn):
+        for deadline in (
+            self._timeout,
+            self._partial_timeout,
+            self._write_stall_timeout,
+            self._next_iteration,
+        ):
             cancel_if_set(deadline)
         if self.state is not ConnectionState.CLOSED:
             self.state = ConnectionState.CLOSED
--- a/frostport/diameter/route.py
+++ b/frostport/diameter/route.py
@@ -162,7 +162,7 @@
         server = self.servers[peer.host]
         if after is WatchdogState.OKAY:
             if before is WatchdogState.REOPEN:
-                server.started_ms = self.clock.now()  # back on a new connection: taken for a cold start
+                server.started_ms = self.clock.now()  # back on a new connection: treated as a cold start
                 self.broker.recorder.record_peer(server.host, server.state_id, server.started_ms)
             self.announce(server, Lifecycle.READY)
         elif after in (WatchdogState.SUSPECT, WatchdogState.DOWN):
@@ -175,9 +175,8 @@
     def on_close(self, connection: PeerConnection) -> None:
         super().on_close(connection)
         server = self.servers[connection.host]
-        if (
-            server.dialing is connection
-        ):  # closed before capabilities were exchanged: not seen by `connection_lost`
+        if server.dialing is connection:
+            # Closed before capabilities were exchanged: `connection_lost` is not called.
             self._redial(server)
 
     def connection_lost(self, peer: Peer, connection: PeerConnection) -> None:
@@ -218,7 +217,7 @@
             self._start_sessions_lost_timer(server)  # one that does not come back in time has lost its calls
 
     def _on_sessions_lost(self, server: ServerPeer) -> None:
-        """Ends the calls of a server that has been away for too long; if it comes back it gets releases."""
+        """Ends the calls of a server that was away for too long; if it comes back it gets releases."""
         for request in self.broker.requests:
             if (
                 request.state is State.ESTABLISHED
@@ -255,8 +254,8 @@
                     self.broker.metrics.server_suspected(server.host)
                 case CheckLiveness():
                     self._request_sign_of_life(server)
-                case CallsLost(since_ms, stood_by_ms):
-                    self._on_calls_lost(server, since_ms, stood_by_ms)
+                case CallsLost(since_ms, established_by_ms):
+                    self._on_calls_lost(server, since_ms, established_by_ms)
 
     def _request_sign_of_life(self, server: ServerPeer) -> None:
         """Sends a Device-Watchdog-Request of its own.
@@ -268,13 +267,15 @@
                 avp.DW, [*self.identity.avps(), make(avp.ORIGIN_STATE_ID, self.identity.state_id)]
             )
 
-    def _on_calls_lost(self, server: ServerPeer, since_ms: float, stood_by_ms: float) -> None:
+    def _on_calls_lost(self, server: ServerPeer, since_ms: float, established_by_ms: float) -> None:
         """Ends the calls of a server that has been silent for too long.
 
         It gets their releases now or later. A connection from before the silence is dropped first."""
         silent_ms = self.clock.now() - since_ms
         log.warning("%s: liveness: suspected -> lost, silent for %.0f ms", server.host, silent_ms)
-        ended = self.broker.end_established_calls(server.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
+        ended = self.broker.end_established_calls(
+            server.host, established_by_ms, f"silent for {silent_ms:.0f} ms"
+        )
         connection = server.open_connection()
         if connection is not None and connection.process_since_ms <= since_ms:
             connection.drop()
--- a/frostport/diameter_side.py
+++ b/frostport/diameter_side.py
@@ -64,17 +64,17 @@
         """Does nothing: no setting of Diameter is reloaded."""
 
     def restore(self, restored: Restored) -> None:
-        """Restores the Origin-State-Id, the sessions, and the releases due to clients."""
+        """Restores the Origin-State-Id, the sessions, and the pending releases to clients."""
         if restored.state_id is not None:
             self.identity.state_id = restored.state_id
-        for call, standing in restored.standing.items():
-            self.adopt_call(call, standing)
+        for call, record in restored.standing.items():
+            self.adopt_call(call, record)
         self._restore_ended_sessions(restored)
         self.front.resume(restored.owed, restored.recorded_answer)
 
-    def adopt_call(self, call: str, standing: Standing) -> None:
+    def adopt_call(self, call: str, record: Standing) -> None:
         """Takes over an established call: restores its session."""
-        self.front.resume_session(call, standing.client, standing.team, "stands", standing.answer)
+        self.front.resume_session(call, record.client, record.team, "stands", record.answer)
 
     def _restore_ended_sessions(self, restored: Restored) -> None:
         """Restores the sessions of ended calls, so that repeated requests get the same answer."""
@@ -85,13 +85,13 @@
                 )
 
     def restore_from_predecessor(self, restored: Restored) -> None:
-        """Takes over what the previous process has left; called while serving."""
+        """Takes over the ended sessions and pending releases of the predecessor; called while serving."""
         self._restore_ended_sessions(restored)
         self.front.resume(restored.owed, restored.recorded_answer)
         self.route.resume({}, restored.releases)
 
-    def restore_owed_releases(self, restored: Restored) -> None:
-        """Restores the peers and the releases due to servers; called once the servers are known."""
+    def restore_pending_releases(self, restored: Restored) -> None:
+        """Restores the peers and the pending releases to servers; called once the servers are known."""
         self.route.resume(restored.peers, restored.releases)
 
     def knows_server(self, server: str) -> bool:
--- a/frostport/durability.py
+++ b/frostport/durability.py
@@ -158,7 +158,7 @@
 
     def servers_known(self, agent: AgentWithStore) -> None:
         """Called once the servers are known: restores owed releases, and ends calls whose server is gone."""
-        agent.side.restore_owed_releases(self.restored)
+        agent.side.restore_pending_releases(self.restored)
         for request in agent.broker.requests:
             if request.attempt is not None and not agent.side.knows_server(request.attempt.server):
                 agent.broker.attempt_ended(request.attempt, Outcome.RESET)
--- a/frostport/net/bus.py
+++ b/frostport/net/bus.py
@@ -26,22 +26,21 @@
 
 log = logging.getLogger("frostport.bus")
 
-REDIAL_MS = 200.0  # upper bound; the pause is drawn from its upper half, so that agents don't dial in step
+# Upper bound; the pause is drawn from its upper half, so that agents don't all dial at once.
+REDIAL_MS = 200.0
 CONNECT_TIMEOUT_MS = 1000.0
 ADDRESS_PATTERN = re.compile(r"[^:\s]+:[0-9]{1,5}\Z")
-MAX_LINE_BYTES = 1024 * 1024  # an event may carry the whole list
+MAX_LINE_BYTES = 1024 * 1024  # an event may carry the complete list
 SILENCE_TIMEOUT_MS = 2500.0  # without a complete line; one is due each second
 
 
 class ServerList:
     """The server list as of the last event; passes each change to the upstream servers and the broker."""
 
-    def __init__(self, broker: Broker, servers: UpstreamPool) -> None:
-        self.broker, self.servers = broker, servers
-        self.offset, self.unreadable_offset = (
-            0,
-            -1,
-        )  # the last event applied, and the last that failed to parse
+    def __init__(self, broker: Broker, pool: UpstreamPool) -> None:
+        self.broker, self.pool = broker, pool
+        # The last event applied, and the last that failed to parse.
+        self.offset, self.unreadable_offset = 0, -1
         self.version = 0
         self.entries: dict[str, tuple[api.Server, str]] = {}
 
@@ -52,8 +51,8 @@
         if offset >= self.offset:
             self.entries.clear()
             for event in batch:
-                self.version, whole, entries = parse_event(event)
-                if whole:
+                self.version, is_complete, entries = parse_event(event)
+                if is_complete:
                     self.entries.clear()
                 self.entries.update({server.address: (server, dial) for server, dial in entries})
             self.offset = offset
@@ -77,17 +76,18 @@
             return
         if "topology" in record:
             try:
-                version, whole, entries = parse_event(record)
+                version, is_complete, entries = parse_event(record)
             except BadLineError as problem:
                 if offset != self.unreadable_offset:
                     self.unreadable_offset = offset
                     raise
-                # Received twice, the event itself is bad, not its transmission: asking again would never end.
+                # Received twice, so the event itself is malformed, not its transmission: asking for it again
+                # would never end.
                 log.error("event %d skipped: %s", offset, problem)
                 self._advance(offset)
                 return
             self.version = version
-            self._apply(api.ListKind.COMPLETE if whole else api.ListKind.CHANGES, version, entries)
+            self._apply(api.ListKind.COMPLETE if is_complete else api.ListKind.CHANGES, version, entries)
         self._advance(offset)
 
     def _advance(self, offset: int) -> None:
@@ -104,11 +104,11 @@
         for server, dial in entries:
             self.entries[server.address] = (server, dial)
             if server.state is not api.Lifecycle.GONE:
-                self.servers.add(server.address, dial, server.started_ms)
+                self.pool.add(server.address, dial, server.started_ms)
         dials = {server.address: dial for server, dial in entries}
         for host in self.broker.update_server_list(kind, version, [server for server, _ in entries], dials):
             self.entries.pop(host, None)
-            self.servers.remove(host)
+            self.pool.remove(host)
 
 
 def parse_event(record: dict[str, Any]) -> tuple[int, bool, list[tuple[api.Server, str]]]:
--- a/frostport/net/connection_lag.py
+++ b/frostport/net/connection_lag.py
@@ -36,16 +36,18 @@
         """Sends a test on each connection; one without any data within REPORT_SKEW_MS is closed."""
         if not connections:
             return
-        asked = self._server.pool.clock.now()
+        asked_at = self._server.pool.clock.now()
         for connection in connections:
-            connection.tested_at = asked
+            connection.tested_at = asked_at
             connection.send_message(Message("ECHO", "0" * 16, rc=0))
-        self._server.pool.deadlines.set(asked + REPORT_SKEW_MS, lambda: self.finish_test(connections, asked))
+        self._server.pool.deadlines.set(
+            asked_at + REPORT_SKEW_MS, lambda: self.finish_test(connections, asked_at)
+        )
 
-    def finish_test(self, connections: list[ServerConnection], asked: float) -> None:
-        """Closes the connections without data since the test at `asked` (ms)."""
+    def finish_test(self, connections: list[ServerConnection], asked_at: float) -> None:
+        """Closes the connections without data since the test at `asked_at` (ms)."""
         for connection in connections:
-            if connection in self._server.connections and connection.heard_at <= asked:
+            if connection in self._server.connections and connection.last_received_at <= asked_at:
                 log.info("%s: connection %d does not answer", self._server.host, connection.slot)
                 connection.abandon()
 
--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -51,12 +51,10 @@
     slot: int  # the connection that it was last sent on; -1: none
     host: str  # the address of the client that set the call up
     sent_at_ms: float = 0.0
-    answer: RecordedAnswer | None = (
-        None  # the recorded answer to the set-up, if the client may have missed it
-    )
-    hold_until_ms: float = (
-        0.0  # not sent before; a repeated set-up meanwhile gets the answer, then the release
-    )
+    # The recorded answer to the set-up, if the client may have missed it.
+    answer: RecordedAnswer | None = None
+    # Not sent before this time; a repeated set-up meanwhile gets the answer, then the release.
+    hold_until_ms: float = 0.0
 
 
 class ClientConnection(LineConnection):
@@ -65,22 +63,22 @@
     Each set-up opened on it ends exactly once, through its answer or `Broker.gone`. No attempt starts for a
     set-up whose client has closed the connection or given it up, wherever that is noticed first."""
 
-    # Reading ahead while lines wait finds a close or a give-up behind the lines of the current turn.
+    # Reading ahead while lines wait finds a close or a give-up behind the lines of the current iteration.
     read_ahead_bytes = 64 * 1024
 
-    def __init__(self, front: PlatformFront, seat: Admission) -> None:
+    def __init__(self, front: PlatformFront, admission: Admission) -> None:
         super().__init__(front.broker.clock, front.broker.deadlines)
-        self.front, self.admission = front, seat
-        self.seat_in_use = False  # as last reported to the gate
+        self.front, self.admission = front, admission
+        self.in_use = False  # as last reported to the gate
         self.slot = -1
         self.host = ""
         self.open_set_ups: dict[str, Request] = {}
-        self.heard_at = 0.0  # when the last complete line arrived
+        self.last_received_at = 0.0  # when the last complete line arrived
         self.identified = False  # a well-formed message has been received
         self.trusted = False  # an answer was sent or a release confirmed on it: a regular client
         self.malformed_count = 0
         self.unconfirmed_releases: set[str] = set()  # sent on it, not confirmed yet
-        self.standing: set[str] = set()  # established calls answered on it
+        self.established_calls: set[str] = set()  # answered on it, not over yet
         self._timeout: Deadline | None = None
         self._unhandled_set_ups: set[str] = set()  # read, not handled yet
         self._early_give_ups: Counter[str] = Counter()  # give-ups read for those
@@ -90,7 +88,7 @@
         self.peer = f"client connection {self.slot}"
         self.host = str(getattr(self.transport.getPeer(), "host", ""))
         self.front.connections_by_admission[self.admission.number] = self
-        self.heard_at = self.clock.now()
+        self.last_received_at = self.clock.now()
         self.transport.registerProducer(self, True)
         # Guards against hundreds of connections that send nothing, or part of a line.
         self._set_timeout(FIRST_LINE_TIMEOUT_MS)
@@ -134,7 +132,7 @@
     # Input
 
     def on_lines_read(self, lines: list[tuple[bytes, bool]]) -> list[tuple[bytes, bool]]:
-        """Looks for give-ups in lines that are read and not handled yet, to start no attempt in vain.
+        """Looks for give-ups in lines that are read and not handled yet, so that no attempt starts for them.
 
         The give-up of an open set-up is handled at once; that of a set-up still waiting here cancels it."""
         if not self.write_blocked and not self._pending_lines and len(lines) < 2:
@@ -155,7 +153,7 @@
         return later
 
     def _still_wanted(self, tag: str) -> bool:
-        """Whether a set-up is still wanted when its turn to be handled comes.
+        """Whether a set-up is still wanted when it is about to be handled.
 
         The repeated set-up of a known call is handled in any case: its give-up then releases the call."""
         self._unhandled_set_ups.discard(tag)
@@ -181,7 +179,7 @@
 
     def on_line(self, line: bytes) -> None:
         message = jsonl.decode(line)
-        self.heard_at = self.clock.now()
+        self.last_received_at = self.clock.now()
         if not self.identified:
             self.identified = True
             self.front.gate.mark_identified(self.admission)
@@ -218,15 +216,15 @@
         if not named or self.splitter.overflowed or self.malformed_count >= MAX_MALFORMED_LINES:
             self.close_gracefully()
 
-    def update_seat(self) -> None:
-        """Tells the gate whether the seat is in use: by an open set-up or an unconfirmed release."""
+    def update_in_use(self) -> None:
+        """Reports to the gate whether an open set-up or an unconfirmed release uses the connection."""
         used = bool(self.open_set_ups or self.unconfirmed_releases)
-        if used is not self.seat_in_use:
-            self.seat_in_use = used
+        if used is not self.in_use:
+            self.in_use = used
             (self.front.gate.begin_use if used else self.front.gate.end_use)(self.admission)
 
     def close_if_idle(self) -> None:
-        """Closes an idle connection without pending input, while the agent empties its connections.
+        """Closes an idle connection without pending input, during a drain or a handover.
 
         A request that has been read, even in part, is served first, so that none is lost."""
         if (
@@ -241,7 +239,7 @@
 
     def carries_calls(self) -> bool:
         """Whether it has an open set-up, an established call or an unconfirmed release."""
-        return bool(self.open_set_ups or self.standing or self.unconfirmed_releases)
+        return bool(self.open_set_ups or self.established_calls or self.unconfirmed_releases)
 
     def can_carry_release(self) -> bool:
         """Whether a release may be sent on it now."""
@@ -288,9 +286,9 @@
     return found
 
 
-def is_repeat(message: Message, given: RecordedAnswer, connection: ClientConnection) -> bool:
-    """Whether a set-up is identical to the one that `given` answered."""
-    return message.blob is not None and given.matches(
+def is_repeat(message: Message, recorded_answer: RecordedAnswer, connection: ClientConnection) -> bool:
+    """Whether a set-up is identical to the one that `recorded_answer` answered."""
+    return message.blob is not None and recorded_answer.matches(
         message.opts.get("class", ""), connection.host, message.blob.encode()
     )
 
@@ -313,18 +311,18 @@
     def serving(self) -> bool:
         return self.lifecycle.is_ready()
 
-    def empty(self) -> None:
-        """Closes idle connections while the agent empties; the others close once they are idle."""
+    def drain(self) -> None:
+        """Closes idle connections in a drain or handover; the others close once they are idle."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
-    def hang_up(self) -> None:
+    def close_all(self) -> None:
         """Closes every connection at the end of the program, once its buffered output is sent."""
         for connection in list(self.connections):
             connection.close_gracefully()
 
-    def held(self) -> int:
-        """The number of open client connections."""
+    def unclosed(self) -> int:
+        """The number of client connections that a drain, a handover or the exit waits for: all open ones."""
         return len(self.connections)
 
     def busy(self) -> bool:
@@ -337,10 +335,10 @@
         self.shed(verdict.shed)
         return None if verdict.admission is None else ClientConnection(self, verdict.admission)
 
-    def shed(self, seats: Iterable[Admission]) -> None:
+    def shed(self, admissions: Iterable[Admission]) -> None:
         """Closes connections that the gate evicts."""
-        for seat in seats:
-            connection = self.connections_by_admission.get(seat.number)
+        for admission in admissions:
+            connection = self.connections_by_admission.get(admission.number)
             if connection is not None:
                 connection.drop()
                 self.connection_lost(connection)
@@ -357,7 +355,7 @@
 
     def is_new_call(self, call: str) -> bool:
         """Whether no call of this id is open, established, ending or still to be released, here or in the
-        process that hands over to this one."""
+        predecessor that hands over to this process."""
         broker = self.broker
         return (
             broker.find_request(call) is None
@@ -367,6 +365,9 @@
         )
 
     def handle_start(self, connection: ClientConnection, message: Message) -> None:
+        """Handles a set-up: hands it to the broker, refuses it, or repeats the answer of a known call.
+
+        Raises BadLineError for a value that is out of range."""
         broker, tag, opts = self.broker, message.tag, message.opts
         broker.recorder.refresh()
         if (known := broker.find_request(tag) or broker.ending.get(tag)) is not None:
@@ -415,7 +416,7 @@
             client=connection.host,
         )
         connection.open_set_ups[tag] = request
-        connection.update_seat()
+        connection.update_in_use()
         broker.request_arrived(
             request,
             api.CallArrived(
@@ -431,7 +432,7 @@
         )
 
     def reject_duplicate(self, connection: ClientConnection, known: Request) -> None:
-        """Refuses a set-up whose id is in use: nobody could tell which of the two an answer is for.
+        """Refuses a set-up whose id is in use: it would not be clear which of the two an answer is for.
 
         Repeated on its own connection, the open set-up itself fails. The connection is closed."""
         connection.complaints.warn(
@@ -450,19 +451,19 @@
         was sent is still open."""
         if (
             known.recorded_answer is None
-            or known.id in getattr(self.connections.get(known.connection_id), "standing", ())
+            or known.id in getattr(self.connections.get(known.connection_id), "established_calls", ())
             or known.state is State.OPEN
             or not is_repeat(message, known.recorded_answer, connection)
         ):
             return False
         known.connection_id = connection.slot
-        connection.standing.add(known.id)
+        connection.established_calls.add(known.id)
         self._send_answer(connection, known.id, known.recorded_answer)
         return True
 
-    def _send_answer(self, connection: ClientConnection, call: str, given: RecordedAnswer) -> None:
+    def _send_answer(self, connection: ClientConnection, call: str, recorded_answer: RecordedAnswer) -> None:
         connection.trusted = True
-        connection.send_message(Message("STARTED", call, blob=str(given.answer)))
+        connection.send_message(Message("STARTED", call, blob=str(recorded_answer.answer)))
 
     def answer_ended_call(self, connection: ClientConnection, message: Message) -> None:
         """Answers the repeated set-up of a call that has ended by now.
@@ -489,7 +490,7 @@
         if request is None:
             # Also a give-up that crosses the final answer: the broker still knows the id and does nothing.
             connection.open_set_ups.pop(message.tag, None)
-            connection.update_seat()
+            connection.update_in_use()
             self._settle_release(message.tag)
             self.broker.release_unknown(message.tag)
         else:
@@ -497,16 +498,16 @@
             if request.state is State.OPEN:
                 self.broker.gone(request)
             else:
-                answered_on = self._remove_standing(request.id, request.connection_id)
+                answered_on = self._remove_established_call(request.id, request.connection_id)
                 self.broker.release(request)
         self.broker.recorder.barrier(lambda: self._confirm_finish(connection, message.tag, answered_on))
 
-    def _remove_standing(self, call: str, place: int) -> ClientConnection | None:
+    def _remove_established_call(self, call: str, connection_id: int) -> ClientConnection | None:
         """Removes a call from the connection on which it was answered; returns that connection, if open."""
-        connection = self.connections.get(place)
-        if connection is None or call not in connection.standing:
+        connection = self.connections.get(connection_id)
+        if connection is None or call not in connection.established_calls:
             return None
-        connection.standing.discard(call)
+        connection.established_calls.discard(call)
         return connection
 
     def _confirm_finish(
@@ -570,7 +571,7 @@
         if connection is None or connection.open_set_ups.get(request.id) is not request:
             return None
         del connection.open_set_ups[request.id]
-        connection.update_seat()
+        connection.update_in_use()
         return connection
 
     def _send_final(self, request: Request, message: Message) -> None:
@@ -578,7 +579,7 @@
         if connection is not None:
             if message.verb == "STARTED":
                 connection.trusted = True
-                connection.standing.add(request.id)
+                connection.established_calls.add(request.id)
                 self.gate.trust(connection.admission, self.broker.clock.now())
             connection.send_message(message)
             connection.close_if_idle()
@@ -594,16 +595,16 @@
         self._send_final(request, Message("FINISH", request.id, rc=jsonl.BROKEN))
 
     def call_ended(
-        self, call: str, place: int, outcome: Outcome, given: RecordedAnswer | None = None
+        self, call: str, connection_id: int, outcome: Outcome, recorded_answer: RecordedAnswer | None = None
     ) -> None:
-        connection, now = self.connections.get(place), self.broker.clock.now()
-        answered_on = self._remove_standing(call, place)
+        connection, now = self.connections.get(connection_id), self.broker.clock.now()
+        answered_on = self._remove_established_call(call, connection_id)
         host = connection.host if connection is not None else ""
         release = self.pending_releases[call] = PendingRelease(
             CAUSE_BY_OUTCOME.get(outcome, jsonl.BROKEN), now, -1, host
         )
-        if given is not None and answered_on is None:
-            self._hold_release(release, given, now, place < 0)
+        if recorded_answer is not None and answered_on is None:
+            self._hold_release(release, recorded_answer, now, connection_id < 0)
         if not release.hold_until_ms:
             self._send_release(
                 call, connection if connection is not None and connection.can_carry_release() else None
@@ -613,25 +614,25 @@
         self._schedule_retry()
 
     def _hold_release(
-        self, release: PendingRelease, given: RecordedAnswer, now: float, restarted: bool
+        self, release: PendingRelease, recorded_answer: RecordedAnswer, now: float, restarted: bool
     ) -> None:
         """Delays a release whose client may have missed the answer, so that it doesn't get the release first.
 
         Without a restart since the answer, the release is sent at once and is the final answer."""
-        release.answer = given
-        until = held_until(given.recorded_at_ms, now, self.longest_deadline_ms)
+        release.answer = recorded_answer
+        until = held_until(recorded_answer.recorded_at_ms, now, self.longest_deadline_ms)
         if restarted and until > now:
-            release.host, release.hold_until_ms = given.client, until
+            release.host, release.hold_until_ms = recorded_answer.client, until
 
     def resume(
         self,
         releases: Mapping[str, tuple[str, Outcome, float]],
-        given: Callable[[str], RecordedAnswer | None],
+        recorded_answer_of: Callable[[str], RecordedAnswer | None],
     ) -> None:
         """Takes over releases from before a restart or handover: call -> (client, outcome, since ms).
 
-        Each is sent to the next client that speaks, or held back if its answer may have been missed; `given`
-        returns the recorded answer of a call."""
+        Each is sent to the next client that sends a message, or held back if its answer may have been missed.
+        `recorded_answer_of` returns the recorded answer of a call."""
         now = self.broker.clock.now()
         for call, (host, outcome, since) in releases.items():
             if call in self.pending_releases:
@@ -639,7 +640,7 @@
             self.pending_releases[call] = PendingRelease(
                 CAUSE_BY_OUTCOME.get(outcome, jsonl.BROKEN), since, -1, host
             )
-            if (answer := given(call)) is not None:
+            if (answer := recorded_answer_of(call)) is not None:
                 self._hold_release(self.pending_releases[call], answer, now, True)
         self._schedule_retry()
 
@@ -656,21 +657,26 @@
         before, release.slot = self.connections.get(release.slot), slot
         if before is not None:
             before.unconfirmed_releases.discard(call)
-            before.update_seat()
+            before.update_in_use()
         after = self.connections.get(slot)
         if after is not None:
             after.unconfirmed_releases.add(call)
-            after.update_seat()
+            after.update_in_use()
 
     def best_connection(self, release: PendingRelease) -> ClientConnection | None:
         """The connection to send a release on, None if there is none.
 
         Prefers connections of regular clients, since others would not pass the release on; then one that was
-        not tried last, one from the address of the call's client, and the one heard from most recently."""
+        not tried last, one from the address of the call's client, and the one with the latest data."""
         usable = [at for at in self.connections if at.can_carry_release()]
         return max(
             usable,
-            key=lambda at: (at.trusted, at.slot != release.slot, at.host == release.host, at.heard_at),
+            key=lambda at: (
+                at.trusted,
+                at.slot != release.slot,
+                at.host == release.host,
+                at.last_received_at,
+            ),
             default=None,
         )
 
--- a/frostport/net/jsonl.py
+++ b/frostport/net/jsonl.py
@@ -25,7 +25,7 @@
 log = logging.getLogger("frostport.net")
 
 MAX_LINE_BYTES = 16 * 1024
-LINES_PER_TURN = 50  # handled on one connection before others get their turn
+LINES_PER_ITERATION = 50  # handled on one connection per event-loop iteration
 TAG_PATTERN = re.compile(r"[0-9a-fA-F]{16}\Z")
 TEXT_OPTIONS = ("class", "key", "extras", "tenant", "load", "note")  # `opts` that must be JSON strings
 # Find the id and the kind of a line before it is parsed, or although it can't be.
@@ -131,8 +131,8 @@
         lines: list[tuple[bytes, bool]] = []
         if self.overflowed:
             return lines
-        *whole, self._partial_line = (self._partial_line + data).split(b"\n")
-        for line in whole:
+        *complete, self._partial_line = (self._partial_line + data).split(b"\n")
+        for line in complete:
             if len(line) >= self._limit:
                 self._overflow(line, lines)
                 return lines
@@ -174,7 +174,7 @@
         self.read_count = 0
         self._pending_lines: deque[tuple[bytes, bool]] = deque()
         self._pending_bytes = 0
-        self._next_turn: Deadline | None = None
+        self._next_iteration: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         self.alive = True
@@ -188,14 +188,14 @@
             lines = self.on_lines_read(self.splitter.feed(data))
             self._pending_lines.extend(lines)
             self._pending_bytes += sum(len(line) for line, _ in lines)
-            if self._next_turn is None:
+            if self._next_iteration is None:
                 self._handle_lines()
             else:
                 self._limit_read_ahead()
             if self.alive and not self.closing:
                 self.on_read()
 
-    def _handle_lines(self, max_lines: int = LINES_PER_TURN) -> None:
+    def _handle_lines(self, max_lines: int = LINES_PER_ITERATION) -> None:
         """Handles up to `max_lines` lines, then yields to other connections and limits the read-ahead.
 
         Guards against a peer that writes at full speed and would starve all others."""
@@ -211,16 +211,16 @@
         return self.alive and not self.closing and (self.peer_closed or not self.write_blocked)
 
     def resume_handling(self) -> None:
-        """Schedules the next turn if lines wait and may be handled."""
-        if self._pending_lines and self._may_handle() and self._next_turn is None:
-            self._next_turn = self.deadlines.set(self.clock.now(), self._on_next_turn)
+        """Schedules the next iteration if lines wait and may be handled."""
+        if self._pending_lines and self._may_handle() and self._next_iteration is None:
+            self._next_iteration = self.deadlines.set(self.clock.now(), self._on_next_iteration)
 
     def _limit_read_ahead(self) -> None:
         if self._pending_lines and self.alive and self._pending_bytes >= self.read_ahead_bytes:
             self.transport.pauseProducing()
 
-    def _on_next_turn(self) -> None:
-        self._next_turn = None
+    def _on_next_iteration(self) -> None:
+        self._next_iteration = None
         self._handle_lines()
         if self.alive:
             self.resume_reading()
@@ -244,8 +244,8 @@
             log.exception("%s: exception while handling a line", self.peer)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
-        if self._next_turn is not None:
-            self._next_turn.cancel()
+        if self._next_iteration is not None:
+            self._next_iteration.cancel()
         self.peer_closed = True
         # A release that was read before the connection closed still counts.
         self._handle_lines(len(self._pending_lines))
@@ -272,7 +272,7 @@
             self.transport.abortConnection()
 
     def check_peer_closed(self) -> bool:
-        """Whether the peer has closed. Asks the system, as a paused reader is not told."""
+        """Whether the peer has closed; asks the system, as the reactor reports no close while paused."""
         return self.peer_closed or not self.alive or peer_close.closed_by_peer(self.transport)
 
     def on_lines_read(self, lines: list[tuple[bytes, bool]]) -> list[tuple[bytes, bool]]:
@@ -286,7 +286,7 @@
         """Called when the connection is closed, after its last lines were handled."""
 
     def on_read(self) -> None:
-        """Called after data was read and a turn's lines were handled."""
+        """Called after data was read and up to LINES_PER_ITERATION lines were handled."""
 
     def on_line(self, line: bytes) -> None:
         """Handles one non-empty line. Raises BadLineError if it is malformed."""
--- a/frostport/net/link.py
+++ b/frostport/net/link.py
@@ -110,11 +110,11 @@
         self.link, self.dialed_name, self.name = link, dialed_name, ""
         self.frames, self.queue, self.queued_bytes = FrameDecoder(), deque[bytes](), 0
         self.open = self.write_blocked = False
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self._timeout: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
-        self.open, self.heard_at = True, self.link.clock.now()
+        self.open, self.last_received_at = True, self.link.clock.now()
         self.transport.registerProducer(self, True)
         self.transport.setTcpNoDelay(True)
         self._set_timeout(HELLO_TIMEOUT_MS)
@@ -127,7 +127,7 @@
         self._timeout = None if ms is None else self.link.deadlines.set(self.link.clock.now() + ms, self.drop)
 
     def drop(self) -> None:
-        """Aborts the connection and tells the link."""
+        """Aborts the connection and notifies the link."""
         self._timeout = None
         if self.open:
             self.open = False
@@ -137,7 +137,7 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         if not self.open:
             return
-        self.heard_at = self.link.clock.now()
+        self.last_received_at = self.link.clock.now()
         try:
             for body in self.frames.feed(data):
                 if not self.open:
@@ -149,7 +149,9 @@
                 else:
                     self._on_hello(decode(_hello_decoder, body))
         except BadFrameError as problem:
-            self.link.complaints.warn(self.heard_at, self.name or "unidentified agent", f"closed: {problem}")
+            self.link.complaints.warn(
+                self.last_received_at, self.name or "unidentified agent", f"closed: {problem}"
+            )
             self.drop()
 
     def _on_hello(self, hello: Hello) -> None:
@@ -351,7 +353,7 @@
     def _send_heartbeats(self) -> None:
         now = self.clock.now()
         for connection in list(self.connections.values()):
-            if now - connection.heard_at > SILENCE_TIMEOUT_MS:
+            if now - connection.last_received_at > SILENCE_TIMEOUT_MS:
                 self.complaints.warn(now, connection.name, "closed: silent for too long")
                 connection.drop()
             else:
--- a/frostport/net/operator.py
+++ b/frostport/net/operator.py
@@ -1,6 +1,6 @@
-"""The operators' port (the "door"): one command line per connection, answered by `OK ...` or `ERR ...`.
+"""The operators' port: one command line per connection, answered by `OK ...` or `ERR ...`.
 
-A command is the name of an operation, with an argument for some; `show-stat` ends its figures with `END`.
+A command is the name of an operation, with an argument for some; `show-stat` ends its metrics with `END`.
 Guards against callers that send no complete line, send too much, or connect by hundreds: a connection has
 `LINE_TIMEOUT_MS` and `MAX_LINE_BYTES`, and only `MAX_CONNECTIONS` may be open at once.
 """
--- a/frostport/net/peer_close.py
+++ b/frostport/net/peer_close.py
@@ -20,5 +20,5 @@
     try:
         poll.register(fileno(), CLOSE_EVENTS)
         return any(events & CLOSE_EVENTS for _, events in poll.poll(0))
-    except (OSError, ValueError):  # closed on this side: its owner knows
+    except (OSError, ValueError):  # closed on this side, as its owner knows
         return False
--- a/frostport/net/peers.py
+++ b/frostport/net/peers.py
@@ -24,9 +24,9 @@
 
 
 class SharedPort(udp.Port):
-    """A datagram port that two processes may bind while an upgrade overlaps (SO_REUSEPORT).
+    """A datagram port that two processes may bind during an upgrade (SO_REUSEPORT).
 
-    Otherwise the new process would fail with `address already in use` until the old one ends."""
+    Otherwise the successor would fail with `address already in use` until its predecessor ends."""
 
     def createInternetSocket(self) -> socket.socket:  # noqa: N802 (Twisted's name)
         made: socket.socket = super().createInternetSocket()
@@ -35,7 +35,7 @@
 
 
 def listen(reactor: Any, address: str, peers: Peers) -> None:
-    """Binds the datagram port; on a reactor with real sockets, shared with the process of an upgrade."""
+    """Binds the datagram port; on a reactor with real sockets, shared by both processes of an upgrade."""
     host, port = split(address)
     if not isinstance(reactor, PosixReactorBase):
         reactor.listenUDP(port, peers, interface=host)
--- a/frostport/net/upstream.py
+++ b/frostport/net/upstream.py
@@ -1,6 +1,6 @@
 """One upstream server that speaks JSON lines: its connections, set-ups, releases and reports.
 
-A server tells the end of a call on any of its connections, and repeats on its next connection what was not
+A server sends the end of a call on any of its connections, and repeats on its next connection what was not
 confirmed on a lost one.
 """
 
@@ -42,7 +42,7 @@
 REDIAL_MS = 500.0  # pause after a failed dial; the first dial after a loss is immediate
 MAX_REDIAL_MS = 1000.0  # the pause doubles up to this while other connections are open
 
-# What the `note` of a refusal tells the decision module.
+# The `note` of a refusal -> the note that the decision module gets.
 NOTE_BY_NAME = {
     "blocked": NOTE_NO_LINE,
     "bounced": NOTE_RETURNED,
@@ -58,10 +58,8 @@
     jsonl.MOOT: Outcome.NOT_SENT,
     jsonl.BROKEN: Outcome.RESET,
 }
-END_CAUSES = (
-    jsonl.NORMAL,
-    jsonl.BROKEN,
-)  # of established calls; a FINISH with another cause is a late refusal
+# Causes that end an established call; a FINISH with another cause is a late refusal.
+END_CAUSES = (jsonl.NORMAL, jsonl.BROKEN)
 # Names of the settings' report columns -> names in a report, where they differ.
 COLUMN_ALIASES = {
     "free": "x0",
@@ -94,7 +92,7 @@
         self.listed = True
         self.liveness = ServerLiveness(pool.clock.now(), old_are_asked=pool.probes)
         self.sends_greeting = False  # it sends a report first on each new connection
-        self.retired: ServerConnection | None = None  # silent, kept to detect that the process lives on
+        self.retired: ServerConnection | None = None  # silent, kept to detect that the process still runs
         self.replacing = False  # a connection was lost, and none opened since
         self.redial_pause_ms = REDIAL_MS
 
@@ -155,7 +153,7 @@
             if refused and self.pool.probes:
                 self.lag.start_test(list(self.connections))
         elif refused:
-            # A connection is reset before the server cuts its calls: their ends must not be told earlier.
+            # A connection is reset before the server cuts its calls: no client may be notified earlier.
             refused_at = self.pool.clock.now()
             self.pool.deadlines.set(refused_at + CUT_DELAY_MS, lambda: self._process_died(refused_at))
         for attempt in waiting:
@@ -185,7 +183,7 @@
         log.info("%s: connected", self.host)
         self.broker.metrics.set_avoided(self.host, "connection", False)
         self.pool.dialing.connected(self.host)
-        connection.opened_at = connection.heard_at = connection.reported_at = self.pool.clock.now()
+        connection.opened_at = connection.last_received_at = connection.reported_at = self.pool.clock.now()
         connection.slot = self.pool.connections.add(connection)
         self.connections.append(connection)
         self.replacing, self.redial_pause_ms = False, REDIAL_MS
@@ -226,14 +224,16 @@
     def retire(self, connection: ServerConnection) -> None:
         """Takes an open but silent connection out of use for set-ups.
 
-        While the server has established calls, the connection heard from last is kept open: if the server was
-        only cut off, data on it proves that its process has lived on. Closing a connection would give up its
-        set-ups at the server; on one that is kept, each is given up by a message."""
+        While the server has established calls, the connection with the latest data is kept open: if the
+        server was only cut off, data on it proves that its process still runs. Closing a connection would
+        give up its set-ups at the server; on one that is kept, each is given up by a message."""
         kept = self.retired
-        last_heard = max(at.heard_at for at in [connection, *self.connections, *([kept] if kept else [])])
+        last_received_at = max(
+            at.last_received_at for at in [connection, *self.connections, *([kept] if kept else [])]
+        )
         if (
             connection not in self.connections
-            or connection.heard_at < last_heard
+            or connection.last_received_at < last_received_at
             or not self.broker.has_established_calls(self.host)
         ):
             connection.abandon()
@@ -245,7 +245,7 @@
         log.info(
             "%s: connection silent since %.0f ms, kept to be heard, %d set-ups reset",
             self.host,
-            self.pool.clock.now() - connection.heard_at,
+            self.pool.clock.now() - connection.last_received_at,
             len(attempts),
         )
         for tag in attempts:
@@ -292,7 +292,7 @@
 
     def sign_of_life(self, connection: ServerConnection) -> None:
         """Called when data was read, or a connection opened to a server that sends no report first."""
-        if self.liveness.heard(connection.heard_at, connection.opened_at):
+        if self.liveness.heard(connection.last_received_at, connection.opened_at):
             log.info("%s: liveness: suspected -> alive, heard on connection %d", self.host, connection.slot)
             if self.replacing:
                 self.connect()  # the server repeats there what was lost: no need to wait for the timer
@@ -307,13 +307,13 @@
     def check_liveness(self, now_ms: float) -> None:
         """Runs the failure detector: ends the established calls of a server that has vanished."""
         if not self.liveness.is_quiet(now_ms):
-            if self.retired is not None and self.liveness.heard_after(self.retired.heard_at):
+            if self.retired is not None and self.liveness.heard_after(self.retired.last_received_at):
                 self._drop_retired()
             return
-        calls_stand = self.broker.has_established_calls(self.host)
-        if not calls_stand:
+        has_calls = self.broker.has_established_calls(self.host)
+        if not has_calls:
             self._drop_retired()
-        for action in self.liveness.evaluate(now_ms, calls_stand):
+        for action in self.liveness.evaluate(now_ms, has_calls):
             match action:
                 case Suspected(since_ms):
                     log.warning(
@@ -325,8 +325,8 @@
                     self.broker.metrics.server_suspected(self.host)
                 case CheckLiveness(since_ms):
                     self.request_sign_of_life(since_ms)
-                case CallsLost(since_ms, stood_by_ms):
-                    self.on_calls_lost(since_ms, stood_by_ms)
+                case CallsLost(since_ms, established_by_ms):
+                    self.on_calls_lost(since_ms, established_by_ms)
 
     def _drop_retired(self) -> None:
         """Closes the retired connection once it can no longer prove anything, which frees its place."""
@@ -343,7 +343,7 @@
             return
         open_now = self.connections if self.retired is None else [*self.connections, self.retired]
         if since_ms is None:
-            tested = sorted(open_now, key=lambda at: at.heard_at)[-1:]
+            tested = sorted(open_now, key=lambda at: at.last_received_at)[-1:]
         else:
             tested = [at for at in open_now if at.opened_at <= since_ms]
         for connection in tested:
@@ -352,20 +352,22 @@
             self.connect()
 
     def _close_idle_connection(self) -> None:
-        """Closes the idle connection heard from least recently, if the server has all its connections."""
+        """Closes the idle connection with the oldest data, if the server has all its connections."""
         idle = [at for at in self.connections if not at.open_attempts]
         if self.dialing is None and self.open_connections() >= MAX_CONNECTIONS and len(idle) > 1:
-            oldest = min(idle, key=lambda at: at.heard_at)
+            oldest = min(idle, key=lambda at: at.last_received_at)
             oldest.abandon()
 
-    def on_calls_lost(self, since_ms: float, stood_by_ms: float) -> None:
+    def on_calls_lost(self, since_ms: float, established_by_ms: float) -> None:
         """Ends the calls of a server that has been silent for too long.
 
         The server may only have been cut off and still hold them, so it gets their releases on a connection
         opened after its silence began, now or later."""
         silent_ms = self.pool.clock.now() - since_ms
         log.warning("%s: liveness: suspected -> lost, silent for %.0f ms", self.host, silent_ms)
-        over = self.broker.end_established_calls(self.host, stood_by_ms, f"silent for {silent_ms:.0f} ms")
+        over = self.broker.end_established_calls(
+            self.host, established_by_ms, f"silent for {silent_ms:.0f} ms"
+        )
         old = [at for at in self.connections if at.opened_at <= since_ms]
         for connection in old if self.retired is None else [*old, self.retired]:
             connection.abandon()
@@ -401,7 +403,7 @@
 
     def send(self, attempt: Attempt) -> None:
         """Sends an attempt on the least used connection, or queues it until one opens."""
-        request, link = attempt.request, attempt.request.last_connection_id
+        request, last_connection_id = attempt.request, attempt.request.last_connection_id
         if not self.connections:
             self.waiting_attempts.append(attempt)
             if self.request_connection() > self.pool.connect_timeout_ms and attempt in self.waiting_attempts:
@@ -410,14 +412,15 @@
             return
         # Avoids the last attempt's connection: a second copy of its answer may arrive there.
         chosen = min(
-            self.connections, key=lambda at: (len(at.open_attempts) + (at.slot == link), at.opened_at)
+            self.connections,
+            key=lambda at: (len(at.open_attempts) + (at.slot == last_connection_id), at.opened_at),
         )
         if (
             chosen.open_attempts
             and len(self.connections) < MAX_CONNECTIONS
             and attempt.sent_at >= self.no_dial_before
         ):
-            self.request_connection()  # fewer set-ups per connection are lost with it
+            self.request_connection()  # the fewer set-ups on a connection, the fewer are lost with it
         left = max(1, round(attempt.deadline_at_ms - self.pool.clock.now()))
         opts = {"class": request.call_class, "left": str(left)}
         if request.key:
@@ -429,7 +432,7 @@
             self.broker.metrics.sent(request.call_class)
 
     def give_up(self, attempt: Attempt) -> None:
-        """Withdraws an attempt; retires its connection if that was silent all the while."""
+        """Gives up an attempt; retires its connection if nothing was received on it since the attempt."""
         if attempt in self.waiting_attempts:
             self.waiting_attempts.remove(attempt)
             return
@@ -437,8 +440,8 @@
             if connection.open_attempts.get(attempt.request.id) is attempt:
                 del connection.open_attempts[attempt.request.id], connection.sent_at_read[attempt.request.id]
                 connection.send_message(Message("FINISH", attempt.request.id, rc=jsonl.NORMAL))
-                if connection.heard_at <= attempt.sent_at < self.pool.clock.now() - SILENCE_LIMIT_MS:
-                    self.retire(connection)  # silent for the whole attempt
+                if connection.last_received_at <= attempt.sent_at < self.pool.clock.now() - SILENCE_LIMIT_MS:
+                    self.retire(connection)  # nothing was received during the attempt
 
     def release(self, tag: str, cause: int) -> None:
         """Releases an established call, on any connection; on the next one if none is open."""
@@ -447,7 +450,7 @@
             self.request_connection()
 
     def probe(self, number: int) -> None:
-        """Sends a probe; its answer or failure goes to `Broker.probed` under this number."""
+        """Sends a probe; its answer or failure goes to `Broker.probe_ended` under this number."""
         if not self.connections:
             self.waiting_probes.append(number)
             self.request_connection()
@@ -503,8 +506,8 @@
             or request.attempt is None
             or request.attempt.server != self.host
         ):
-            # The answer crossed our give-up, and the call may be established at another server by now: what
-            # was set up here must not be left behind.
+            # The answer crossed our give-up, and the call may be established at another server by now: the
+            # call that was set up here must be released.
             connection.send_message(Message("FINISH", message.tag, rc=jsonl.NORMAL))
 
     def handle_finish(self, connection: ServerConnection, message: Message, attempt: Attempt | None) -> None:
@@ -536,8 +539,8 @@
                 and request.attempt.route_ref not in (None, connection.slot)
                 and message.rc == jsonl.NORMAL
             ):
-                # A server also tells the end on its next new connection, where it may be read before the
-                # answer. On the answer's own connection it can't be: there it ends an earlier attempt.
+                # A server also sends the end on its next new connection, where it may be read before the
+                # answer. On the connection of the attempt it can't be: there it ends an earlier attempt.
                 self.broker.ended_before_answer(request.attempt, confirm)
                 return
         self.broker.recorder.barrier(confirm)
--- a/frostport/net/upstream_connection.py
+++ b/frostport/net/upstream_connection.py
@@ -33,12 +33,13 @@
         self.peer = server.host
         self.open_attempts: dict[str, Attempt] = {}
         self.sent_at_read: dict[str, int] = {}  # `read_count` when each of them was sent
-        self.heard_at = self.reported_at = math.inf  # the last data, and the last unsolicited report
+        # When the last data and the last unsolicited report arrived, ms.
+        self.last_received_at = self.reported_at = math.inf
         self.lagging_since = math.inf  # a report came on another connection then, and no data here since
         self.tested_at = -math.inf
         self.greeted = False  # the first report has arrived
         self.retired = False  # silent: no set-ups are sent on it, it is kept to detect signs of life
-        # Call -> cause and when it was sent, oldest first.
+        # Call -> cause and when the release was sent, ms; oldest first.
         self.unconfirmed_releases: OrderedDict[str, tuple[int, float]] = OrderedDict()
         self._partial_line_timer: Deadline | None = None
 
@@ -47,7 +48,7 @@
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 (Twisted's name)
         if self.alive and isinstance(reason.value, ConnectionDone):
-            self.heard_at = self.clock.now()
+            self.last_received_at = self.clock.now()
             self.server.sign_of_life(self)  # an orderly close is one
         elif self.alive:
             self.server.liveness.connection_reset(self.clock.now())
@@ -62,7 +63,7 @@
         self.server.handle_message(self, jsonl.decode(line))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
-        self.heard_at, self.lagging_since = self.clock.now(), math.inf
+        self.last_received_at, self.lagging_since = self.clock.now(), math.inf
         self.server.sign_of_life(self)
         super().dataReceived(data)
 
--- a/frostport/net/upstream_pool.py
+++ b/frostport/net/upstream_pool.py
@@ -23,71 +23,71 @@
         self.connect_timeout_ms = connect_timeout_ms
         self.clock, self.deadlines = broker.clock, broker.deadlines
         self.connections: Slots[ServerConnection] = Slots()
-        self.members: dict[str, UpstreamServer] = {}
+        self.servers: dict[str, UpstreamServer] = {}
         self.dialing: DialPolicy = DIAL_AT_ONCE
         # Called with the number of connections that all servers together may open.
         self.on_connection_limit: Callable[[int], None] = lambda connections: None
         self.probes = broker.rules.settings.probes  # whether servers may be probed and tested
         self._sweep = LivenessSweep(
-            self.clock, self.deadlines, self.members.values, UpstreamServer.check_liveness
+            self.clock, self.deadlines, self.servers.values, UpstreamServer.check_liveness
         )
 
     def start(self) -> None:
         """Starts the failure detectors of the servers."""
         self._sweep.start()
 
-    def add(self, host: str, dial: str, born_ms: float) -> None:
+    def add(self, host: str, dial: str, started_ms: float) -> None:
         """Adds a listed server or updates it; called before the decision module learns of it.
 
-        `born_ms` is when its process started, 0 if unknown: what ran there before that is gone."""
-        server = self.members.get(host)
+        `started_ms` is when its process started, 0 if unknown: what was set up there before is gone."""
+        server = self.servers.get(host)
         if server is not None and server.dial != dial:
             self.remove(host)
             server = None
         if server is None:
-            server = self.members[host] = UpstreamServer(self, host, dial)
-            self.on_connection_limit(len(self.members) * MAX_CONNECTIONS)
-        if born_ms:
-            server.reset(born_ms, "a new process")
+            server = self.servers[host] = UpstreamServer(self, host, dial)
+            self.on_connection_limit(len(self.servers) * MAX_CONNECTIONS)
+        if started_ms:
+            server.reset(started_ms, "a new process")
         if not server.connections and self.dialing.connects_eagerly(host):
             server.schedule_dial(self.dialing.first_delay_ms(host))
 
     def remove(self, host: str) -> None:
         """Removes a server that is no longer listed, with its connections and calls."""
-        server = self.members.pop(host, None)
+        server = self.servers.pop(host, None)
         if server is not None:
             server.on_unlisted()
-            self.on_connection_limit(len(self.members) * MAX_CONNECTIONS)
+            self.on_connection_limit(len(self.servers) * MAX_CONNECTIONS)
 
     def resume(self, releases: Iterable[tuple[str, str]]) -> None:
-        """Sends releases pending since before a restart, as pairs of server and call."""
+        """Sends releases that were pending before a restart or handover, as pairs of server and call."""
         for host, tag in releases:
-            if host in self.members:
-                self.members[host].release(tag, jsonl.NORMAL)
+            if host in self.servers:
+                self.servers[host].release(tag, jsonl.NORMAL)
             else:
                 self.broker.recorder.clear_owed_release(host, tag)
 
     def send(self, attempt: Attempt) -> None:
-        server = self.members.get(attempt.server)
+        server = self.servers.get(attempt.server)
         if server is None:
             self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
         else:
             server.send(attempt)
 
     def give_up(self, attempt: Attempt) -> None:
-        if attempt.server in self.members:
-            self.members[attempt.server].give_up(attempt)
+        if attempt.server in self.servers:
+            self.servers[attempt.server].give_up(attempt)
 
     def release(self, attempt: Attempt) -> None:
-        if attempt.server in self.members:
-            self.members[attempt.server].release(attempt.request.id, jsonl.NORMAL)
+        if attempt.server in self.servers:
+            self.servers[attempt.server].release(attempt.request.id, jsonl.NORMAL)
 
     def release_unknown(self, call: str) -> None:
-        for server in self.members.values():
+        for server in self.servers.values():
             server.release(call, jsonl.NORMAL)
 
     def probe(self, server: str, number: int) -> None:
-        member = self.members.get(server)
+        member = self.servers.get(server)
         if member is None:
             self.broker.probe_ended(number, Outcome.CONNECT_FAILED)
         else:
--- a/frostport/platform_side.py
+++ b/frostport/platform_side.py
@@ -50,15 +50,15 @@
     def __init__(self, agent: AgentParts) -> None:
         self.agent, config = agent, agent.config
         self.front = PlatformFront(agent.broker, agent.lifecycle, agent.gate)
-        self.servers = UpstreamPool(
+        self.route = UpstreamPool(
             agent.broker, self.front, agent.connect, config.settings.connect_timeout_ms or CONNECT_TIMEOUT_MS
         )
-        agent.broker.route = self.servers
-        due = agent.gate.descriptors.guaranteed
-        due[Owner.BUS] = 2 if config.bus else 0  # the current connection, and the one that it moves to
-        self.servers.on_connection_limit = partial(due.__setitem__, Owner.SERVERS)
-        self.list = ServerList(agent.broker, self.servers)
-        self.bus = EventBus(self.list, config.bus, agent.connect, random.Random(config.seed))
+        agent.broker.route = self.route
+        guaranteed = agent.gate.descriptors.guaranteed
+        guaranteed[Owner.BUS] = 2 if config.bus else 0  # the current connection, and the one that it moves to
+        self.route.on_connection_limit = partial(guaranteed.__setitem__, Owner.SERVERS)
+        self.server_list = ServerList(agent.broker, self.route)
+        self.bus = EventBus(self.server_list, config.bus, agent.connect, random.Random(config.seed))
 
     def factory(self) -> Factory:
         return FrontFactory(self.front.build)
@@ -70,38 +70,38 @@
             listen_peers(agent.reactor, config.peer_listen, peers)
             agent.gate.descriptors.acquire(Owner.PEERS)
             agent.broker.send_to_peer = peers.send
-        self.list.load_known(config.known, config.offset)
-        self.servers.start()
+        self.server_list.load_known(config.known, config.offset)
+        self.route.start()
         self.bus.start()
 
     def reload(self, config: Config) -> None:
         self.bus.change_address(config.bus)
 
     def restore(self, restored: Restored) -> None:
-        """Restores the server list, and the releases due to clients."""
+        """Restores the server list, and the pending releases to clients."""
         if restored.offset >= 0:
-            self.list.resume(
+            self.server_list.resume(
                 restored.offset,
                 restored.version,
                 [(server, dial) for server, dial, _ in restored.servers.values() if dial],
             )
         self.front.resume(restored.owed, restored.recorded_answer)
 
-    def restore_owed_releases(self, restored: Restored) -> None:
-        """Restores the releases due to servers; called once the servers are known."""
-        self.servers.resume(restored.releases)
+    def restore_pending_releases(self, restored: Restored) -> None:
+        """Restores the pending releases to servers; called once the servers are known."""
+        self.route.resume(restored.releases)
 
-    def adopt_call(self, call: str, standing: Standing) -> None:
+    def adopt_call(self, call: str, record: Standing) -> None:
         """Takes over an established call; the platform protocol keeps no state for it."""
 
     def restore_from_predecessor(self, restored: Restored) -> None:
-        """Takes over the releases that the previous process still had to make; called while serving."""
+        """Takes over the pending releases of the predecessor; called while serving."""
         self.front.resume(restored.owed, restored.recorded_answer)
-        self.servers.resume(restored.releases)
+        self.route.resume(restored.releases)
 
     def knows_server(self, server: str) -> bool:
         """Whether this server is known, so that calls may be established there."""
-        return server in self.servers.members
+        return server in self.route.servers
 
     def disconnect(self) -> None:
         """Sends nothing: established calls go on without this process."""
--- a/frostport/startup_coordinator.py
+++ b/frostport/startup_coordinator.py
@@ -79,7 +79,7 @@
     def attach(self, agent: StartingAgent) -> None:
         """Called before the agent's side starts, so that each of its dials is paced."""
         self.agent = agent
-        agent.side.bus.dialing = agent.side.servers.dialing = self
+        agent.side.bus.dialing = agent.side.route.dialing = self
 
     def start(self) -> None:
         """Called once the agent's side has started."""
@@ -87,7 +87,7 @@
             self.feed = Feed(
                 self.name,
                 self.fleet.config.zone,
-                self._attached_agent.side.list.offset,
+                self._attached_agent.side.server_list.offset,
                 self.settings,
                 self.monotonic.now(),
             )
@@ -192,7 +192,7 @@
         message = _decoder.decode(body)
         if not isinstance(message, messages.Unsubscribe):
             for target, level in message.pressures:
-                if target == LIST_SERVICE or target in self._attached_agent.side.servers.members:
+                if target == LIST_SERVICE or target in self._attached_agent.side.route.servers:
                     self.pacer.merge_pressure(target, level, self.monotonic.now())
         self.update_sender = sender
         self._handle_feed_event(feeding.MessageReceived(sender, message))
@@ -202,7 +202,7 @@
         """Applies events of another agent to the list.
 
         An event that can't be read is tried twice, since the list skips it at the second time."""
-        server_list = self._attached_agent.side.list
+        server_list = self._attached_agent.side.server_list
         for line in events:
             for _ in range(2):
                 try:
@@ -229,7 +229,7 @@
 
     def _snapshot_event(self) -> bytes:
         """Returns the list as one event that replaces what the receiver has."""
-        server_list = self._attached_agent.side.list
+        server_list = self._attached_agent.side.server_list
         hosts = [
             {
                 "host": server.address,
@@ -281,9 +281,9 @@
             agent.deadlines.set(agent.clock.now(), lambda: self._send_echo(target))
 
     def _send_echo(self, target: str) -> None:
-        lobby = self._attached_agent.side.servers.members.get(target)
+        lobby = self._attached_agent.side.route.servers.get(target)
         for connection in lobby.connections if lobby is not None else ():
-            if connection.heard_at <= connection.opened_at:
+            if connection.last_received_at <= connection.opened_at:
                 connection.send_message(Message("ECHO", "0" * 16, rc=0))
 
     def dial_failed(self, target: str) -> None:
@@ -308,7 +308,7 @@
     # Initial connections to lobby servers
 
     def _choose_servers(self) -> None:
-        servers = self._attached_agent.side.servers.members
+        servers = self._attached_agent.side.route.servers
         listed = frozenset(servers)
         if listed == self.chosen_from:
             return
@@ -327,15 +327,17 @@
 
     def _check_readiness(self, now: float) -> None:
         agent = self._attached_agent
-        lobbies = agent.side.servers.members
+        lobbies = agent.side.route.servers
         answering = sum(
-            any(connection.heard_at > connection.opened_at for connection in lobbies[host].connections)
+            any(
+                connection.last_received_at > connection.opened_at for connection in lobbies[host].connections
+            )
             for host in self.chosen
             if host in lobbies
         )
         members = list(self.fleet.swim.table.active()) if self.fleet is not None else []
         phases = [member.info.phase for member in members]
-        listed = sum(server.state is Listing.READY for server, _ in agent.side.list.entries.values())
+        listed = sum(server.state is Listing.READY for server, _ in agent.side.server_list.entries.values())
         progress = StartProgress(
             listed,
             answering,
@@ -367,7 +369,7 @@
         if feed is not None:
             age = feed.age_ms(now)
             lines.append(
-                f"list {self._attached_agent.side.list.offset} {feed.role.value}"
+                f"list {self._attached_agent.side.server_list.offset} {feed.role.value}"
                 f"{f' by {feed.source}' if feed.source else ''}, the service heard "
                 f"{f'{age:.0f} ms ago' if age < 1e12 else 'never'}; feeds {len(feed.subscribers)}"
             )
--- a/tests/diameter.py
+++ b/tests/diameter.py
@@ -13,7 +13,7 @@
 
 from frostport.diameter import avp
 from frostport.diameter.avp import Avp, Message, MessageSplitter, make
-from tests.scenario import SETTINGS, Actor, Heard, Wire, World
+from tests.scenario import SETTINGS, Actor, MessageFields, Wire, World
 
 COMMAND_NAMES = {avp.CE: "CE", avp.CC: "CC", avp.AS: "AS", avp.DW: "DW", avp.DP: "DP"}
 SUFFIX_BY_REQUEST_TYPE = {avp.INITIAL: "-I", avp.UPDATE: "-U", avp.TERMINATION: "-T", avp.EVENT: "-E"}
@@ -45,7 +45,7 @@
     }
 
 
-def extra_avps(given: Heard) -> list[Avp]:
+def extra_avps(given: MessageFields) -> list[Avp]:
     """The AVP that `with=CODE:FLAGS:DATA` adds."""
     if "with" not in given:
         return []
@@ -71,21 +71,21 @@
         for frame in self.splitter.feed(data):
             message = avp.read_header(frame)
             message.avps = avp.read_avps(frame[avp.HEADER_BYTES :])
-            heard = self.describe(message)
-            record_event(self, "hears", heard)
+            received = self.describe(message)
+            record_event(self, "hears", received)
             if message.is_request:
-                self.requests[heard[""], heard["tag"]] = message
-            if heard[""] == "CER" and not self.bare:
+                self.requests[received[""], received["tag"]] = message
+            if received[""] == "CER" and not self.bare:
                 self.send("CEA result=2001")
-            elif heard[""] == "DWR":
+            elif received[""] == "DWR":
                 if self.state != "mute":
                     self.send("DWA result=2001")
-            elif heard[""] == "DPR":
+            elif received[""] == "DPR":
                 self.send("DPA result=2001")
-            elif heard[""] not in ("DWA", "CCA-T") and (heard[""] != "CEA" or self.bare):
-                self.inbox.append(heard)
+            elif received[""] not in ("DWA", "CCA-T") and (received[""] != "CEA" or self.bare):
+                self.inbox.append(received)
 
-    def describe(self, message: Message) -> Heard:
+    def describe(self, message: Message) -> MessageFields:
         """A message as its name, its session and its fields."""
         suffix = (
             SUFFIX_BY_REQUEST_TYPE.get(message.get(avp.CC_REQUEST_TYPE), "")
@@ -93,22 +93,22 @@
             else ""
         )
         way = "R" if message.is_request else "A"
-        heard = {
+        received = {
             "": f"{COMMAND_NAMES.get(message.command, message.command)}{way}{suffix}",
             "tag": message.get(avp.SESSION_ID) or "",
         }
         for name, definition in SHOWN_AVPS.items():
             value = message.get(definition)
-            heard.update({} if value is None else {name: str(value)})
-        heard["error"] = str(int(bool(message.flags & avp.ERROR)))
+            received.update({} if value is None else {name: str(value)})
+        received["error"] = str(int(bool(message.flags & avp.ERROR)))
         failed = message.get(avp.FAILED_AVP)
         report = message.get(avp.OC_OLR)
         if failed:
             length = int.from_bytes(failed[5:8], "big")
-            heard["failed"] = f"{int.from_bytes(failed[:4], 'big')}:{failed[8:length].hex()}"
+            received["failed"] = f"{int.from_bytes(failed[:4], 'big')}:{failed[8:length].hex()}"
         if report:
-            heard["back"] = str(avp.find_value(report, avp.OC_VALIDITY_DURATION))
-        return heard
+            received["back"] = str(avp.find_value(report, avp.OC_VALIDITY_DURATION))
+        return received
 
     def encode(self, text: str) -> bytes:
         if text.startswith("raw "):
@@ -164,7 +164,7 @@
             avps,
         ).encode()
 
-    def encode_answer(self, name: str, session: str, given: Heard, avps: list[Avp]) -> bytes:
+    def encode_answer(self, name: str, session: str, given: MessageFields, avps: list[Avp]) -> bytes:
         """Encodes an answer to the last request of this kind and session."""
         request = self.requests[f"{name[:2]}R{name[3:] or ('-I' if name == 'CCA' else '')}", session]
         result = int(given["result"])
@@ -190,7 +190,7 @@
         else:
             super().send(text)
 
-    def may_be_skipped(self, heard: Heard) -> bool:
+    def may_be_skipped(self, received: MessageFields) -> bool:
         return False
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
@@ -211,17 +211,19 @@
     actor = DiameterActor
 
     def __init__(self, record: dict[str, Any]) -> None:
-        self.log: list[tuple[float, str, str, Heard, float | None]] = []
+        self.log: list[tuple[float, str, str, MessageFields, float | None]] = []
         super().__init__(record)
 
 
-def record_event(actor: Actor, way: str, heard: Heard) -> None:
+def record_event(actor: Actor, way: str, received: MessageFields) -> None:
     """Adds a message to the log of the world."""
     world = actor.world
     if isinstance(world, DiameterWorld):
         agent = getattr(world, "agent", None)
         server = agent.rules.servers.get(actor.name) if agent is not None else None
-        world.log.append((world.clock.at, actor.name, way, heard, server.closed_since_ms if server else None))
+        world.log.append(
+            (world.clock.at, actor.name, way, received, server.closed_since_ms if server else None)
+        )
 
 
 def audit(world: DiameterWorld) -> Iterator[str]:
@@ -230,8 +232,8 @@
     may_resend_at: dict[str, float] = {}  # session -> when it may be sent again, ms
     final_answers: dict[str, int] = {}
     set_ups: dict[str, int] = {}
-    for at, who, way, heard, closed_since_ms in world.log:
-        name, call = heard[""], heard["tag"]
+    for at, who, way, received, closed_since_ms in world.log:
+        name, call = received[""], received["tag"]
         if who.startswith("c"):
             set_ups[call] = set_ups.get(call, 0) + (name == "CCR-I")
             final_answers[call] = final_answers.get(call, 0) + (name == "CCA-I")
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -8,7 +8,8 @@
                           and lets new ones hang, `full` only refuses new ones, `but=TAG` is `dead` except
                           for that set-up's connection, `unheard` is a close that the operating system
                           reports and the agent's reactor does not notice
-    door COMMAND => TEXT  the answer of the operators' port to COMMAND begins with TEXT
+    operator COMMAND => TEXT
+                          the answer of the operators' port to COMMAND begins with TEXT
     wait MS               advances the clock
 
 WHO is c1, c2 (clients), s0, s1 (lobby servers), bus, bus2, p1 (a peer's datagrams) or agent. To the agent,
@@ -39,7 +40,7 @@
 from frostport.net.operator import OperatorPort
 
 START_MS = 1_800_000_000_000.0
-Heard = dict[str, str]
+MessageFields = dict[str, str]
 
 
 def failure(kind: Any) -> Any:
@@ -67,7 +68,7 @@
         if self.paused:
             self.unread.append(data)
             return
-        self.protocol.heard_on = self
+        self.protocol.received_on = self
         self.protocol.dataReceived(data)
 
     def getPeer(self) -> Any:  # noqa: N802
@@ -113,7 +114,7 @@
     def __init__(self, world: World) -> None:
         self.world, self.stopped = world, False
         self.factory: Any = None
-        self.door: Any = None
+        self.operator_port: Any = None
         self.adopted: int | None = None
         self.udp: Any = None
 
@@ -122,7 +123,7 @@
 
     def listenTCP(self, port: int, factory: Any, **more: Any) -> Reactor:  # noqa: N802
         if isinstance(factory, OperatorPort):
-            self.door = factory
+            self.operator_port = factory
         else:
             self.factory = factory
         return self
@@ -161,9 +162,9 @@
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
         self.wires: list[Any] = []
-        self.heard_on: Any = None  # the connection of the last message
-        self.asked_on: dict[str, Any] = {}  # the connection of each set-up
-        self.inbox: list[Heard] = []
+        self.received_on: Any = None  # the connection of the last message
+        self.set_up_wires: dict[str, Any] = {}  # the connection of each set-up
+        self.inbox: list[MessageFields] = []
         self.state = "alive"
         self.lines = jsonl.LineSplitter()
 
@@ -175,23 +176,23 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         for line, _ in self.lines.feed(data):
-            heard = self.read(line)
-            self.inbox.append(heard)
-            if heard[""] == "START":
-                self.asked_on[heard["tag"]] = self.heard_on
+            received = self.read(line)
+            self.inbox.append(received)
+            if received[""] == "START":
+                self.set_up_wires[received["tag"]] = self.received_on
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
         self.wires = [wire for wire in self.wires if wire.open]
         if self.inbox[-1:] != [{"": "closed"}]:  # several connections of a server count as one close
             self.inbox.append({"": "closed"})
 
-    def read(self, line: bytes) -> Heard:
+    def read(self, line: bytes) -> MessageFields:
         if line.startswith(b"from"):
             return {"": line.decode()}
         message = jsonl.decode(line)
-        heard = {"": message.verb, "tag": message.tag.lstrip("0"), **message.opts}
-        heard.update({} if message.rc is None else {"rc": str(message.rc)})
-        return {**heard, **({} if message.blob is None else {"blob": message.blob})}
+        received = {"": message.verb, "tag": message.tag.lstrip("0"), **message.opts}
+        received.update({} if message.rc is None else {"rc": str(message.rc)})
+        return {**received, **({} if message.blob is None else {"blob": message.blob})}
 
     def encode(self, text: str) -> bytes:
         if text.startswith("raw "):
@@ -221,29 +222,29 @@
             self.world.accept(self)
         assert self.wires, f"{self.name} has no connection"
         tag = text.rpartition(" on=")[2] if " on=" in text else text.split()[1] if " " in text else ""
-        asked_on = self.asked_on.get(tag)
-        wire: Any = asked_on if asked_on in self.wires else self.wires[0]
+        set_up_wire = self.set_up_wires.get(tag)
+        wire: Any = set_up_wire if set_up_wire in self.wires else self.wires[0]
         wire.write(data)
 
     def write(self, datagram: bytes, address: tuple[str, int]) -> None:
         """Receives the agent's datagrams, as their transport."""
         self.inbox.append({"": datagram.hex(), "to": f"{address[0]}:{address[1]}"})
 
-    def matches(self, heard: Heard, text: str) -> bool:
+    def matches(self, received: MessageFields, text: str) -> bool:
         verb, _, rest = text.partition(" ")
         tag = ""
         if rest and "=" not in rest.split(" ")[0]:
             tag, _, rest = rest.partition(" ")
         wanted = dict(pair.split("=", 1) for pair in rest.split())
         return (
-            heard[""] in (verb, text)
-            and (heard[""] == text or not tag or heard.get("tag") == tag)
-            and all(heard.get(key) == value for key, value in wanted.items())
+            received[""] in (verb, text)
+            and (received[""] == text or not tag or received.get("tag") == tag)
+            and all(received.get(key) == value for key, value in wanted.items())
         )
 
-    def may_be_skipped(self, heard: Heard) -> bool:
+    def may_be_skipped(self, received: MessageFields) -> bool:
         """Whether `expect` may skip this message to find the one it names."""
-        return heard[""] == "FINISHED"
+        return received[""] == "FINISHED"
 
     def expect(self, text: str) -> None:
         while self.inbox and self.may_be_skipped(self.inbox[0]) and not self.matches(self.inbox[0], text):
@@ -259,7 +260,7 @@
         self.state = how or self.state
         if how.startswith("but="):
             # The process is dead, but one of its connections stays open.
-            self.state, stays = "dead", self.asked_on[how[4:]]
+            self.state, stays = "dead", self.set_up_wires[how[4:]]
             for wire in [wire for wire in self.wires if wire is not stays]:
                 self.wires.remove(wire)
                 wire.protocol = ClosedEnd()
@@ -338,25 +339,25 @@
 
     def ask(self, line: str) -> str:
         """Sends one command to the operators' port; returns the answer."""
-        assert self.reactor.door is not None, "no operators' port"
-        connection = self.reactor.door.buildProtocol(None)
-        said = type("Said", (), {"text": b"", "closed": False})()
+        assert self.reactor.operator_port is not None, "no operators' port"
+        connection = self.reactor.operator_port.buildProtocol(None)
+        answer = type("Answer", (), {"text": b"", "closed": False})()
         connection.makeConnection(
             type(
                 "Transport",
                 (),
                 {
-                    "write": lambda _, data: setattr(said, "text", said.text + data),
-                    "loseConnection": lambda _: setattr(said, "closed", True),
-                    "abortConnection": lambda _: setattr(said, "closed", True),
+                    "write": lambda _, data: setattr(answer, "text", answer.text + data),
+                    "loseConnection": lambda _: setattr(answer, "closed", True),
+                    "abortConnection": lambda _: setattr(answer, "closed", True),
                 },
             )()
         )
         connection.dataReceived(line.encode() + b"\n")
-        assert said.closed, "the operators' port did not close the connection"
+        assert answer.closed, "the operators' port did not close the connection"
         connection.connectionLost(None)
         self.settle()
-        return str(said.text.decode())
+        return str(answer.text.decode())
 
     def reload(self, text: str) -> None:
         """Replaces the configuration by a text, or changes one field, and reloads as on SIGHUP."""
@@ -377,20 +378,20 @@
                 self.reload(rest[4:])
             case "send", "agent":
                 self.agent.terminate()
-            case "door", _:
-                asked, _, wanted = f"{who} {rest}".partition(" => ")
-                said = self.ask(asked)
-                assert said.startswith(wanted), f"the operators' port answered {said!r}, not {wanted!r}"
+            case "operator", _:
+                command, _, wanted = f"{who} {rest}".partition(" => ")
+                answer = self.ask(command)
+                assert answer.startswith(wanted), f"the operators' port answered {answer!r}, not {wanted!r}"
                 return
             case "expect", "agent":
-                told = {
+                facts = {
                     "exit": self.agent.lifecycle.phase is Phase.STOPPED and self.reactor.stopped,
                     f"phase {self.agent.lifecycle.phase.value}": True,
                     f"stopped {self.agent.rules.violations.total()}": True,
                     f"open {self.agent.broker.open_count}": True,
                     f"dials {self.dials}": True,
                 }
-                assert told.get(rest), f"agent is in {told}"
+                assert facts.get(rest), f"agent is in {facts}"
             case "send", "p1":
                 self.reactor.udp.datagramReceived(bytes.fromhex(rest), ("10.0.2.2", 1))
             case "send", _:
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -10,7 +10,7 @@
 from twisted.internet import error
 
 from frostport.net import peer_close
-from frostport.net.jsonl import LINES_PER_TURN, Message
+from frostport.net.jsonl import LINES_PER_ITERATION, Message
 from tests.scenario import Wire, World, event, failure, host, platform, play
 
 LATE_DIAL = """
@@ -231,7 +231,7 @@
     wire.other = Wire(world, world.actors["c2"])
     protocol.makeConnection(wire)
     start = Message("START", "a".zfill(16), {"class": "race", "left": "3000"}, blob="x").encode()
-    wire.deliver(b'{"verb":"ECHO","tag":"0000000000000002"}\n' * LINES_PER_TURN + start + after)
+    wire.deliver(b'{"verb":"ECHO","tag":"0000000000000002"}\n' * LINES_PER_ITERATION + start + after)
     return wire
 
 
--- a/tests/test_diameter.py
+++ b/tests/test_diameter.py
@@ -265,7 +265,7 @@
         send s0 ASR a cause=1
         expect c1 ASR a
     """,
-    "a peer back cold: its sessions are over, it passes REOPEN": ESTABLISHED
+    "a peer that has restarted: its sessions are over, it passes REOPEN": ESTABLISHED
     + """
         close s0
         send s0 state=2
@@ -279,7 +279,7 @@
         send c1 CCR-I c dest=s0 wait=3000
         expect s0 CCR-I c
     """,
-    "a peer that says goodbye gets nothing new; its set-up goes on": SET_UP
+    "a peer that asks to disconnect gets nothing new; its set-up goes on": SET_UP
     + """
         send s0 DPR why=0
         expect s0 DPA result=2001
@@ -429,8 +429,8 @@
     record = config(**{"retry-after": True, "max-retry-after-ms": 2000.0})
     world = play(SCENARIOS[name], record, DiameterWorld)
     assert isinstance(world, DiameterWorld)
-    for at, who, way, heard, _ in world.log:
-        print(f"{at:.0f} {who} {way} {heard}")
+    for at, who, way, received, _ in world.log:
+        print(f"{at:.0f} {who} {way} {received}")
     assert list(audit(world)) == []
     assert len(world.log) > 3
 
@@ -475,13 +475,13 @@
     play(
         ESTABLISHED
         + """
-        door drain => OK draining
+        operator drain => OK draining
         send c1 CCR-I b dest=s1 wait=3000
         expect c1 CCA-I b result=3004
         expect s1 nothing
         send c1 CCR-T a
         expect s0 CCR-T a
-        door resume => OK serving
+        operator resume => OK serving
         send c1 CCR-I d dest=s1 wait=3000
         expect s1 CCR-I d
     """,
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -28,7 +28,7 @@
 DESCRIPTORS, CONNECTIONS, CALLS = 96, 1500, 400
 
 
-async def flood(port: int, chance: random.Random) -> int:
+async def flood(port: int, rng: random.Random) -> int:
     """Opens CONNECTIONS from one address, at most 200 at once, most with one line; counts failures."""
     held: list[asyncio.StreamWriter] = []
     refused = 0
@@ -38,7 +38,7 @@
         except OSError:
             refused += 1
             continue
-        if chance.random() < 0.7:
+        if rng.random() < 0.7:
             writer.write(b'{"verb":"ECHO","tag":"00000000000000ee"}\n')
         held.append(writer)
         if len(held) > 200:
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -37,7 +37,7 @@
         self.protocol.connect(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.protocol.heard_on = self
+        self.protocol.received_on = self
         self.protocol.dataReceived(data)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
@@ -107,7 +107,7 @@
         for _ in range(MAX_STEPS if line.startswith("expect") and "nothing" not in line else 0):
             who = line.split()[1]
             if who == "agent" or any(
-                not self.actors[who].may_be_skipped(heard) for heard in self.actors[who].inbox
+                not self.actors[who].may_be_skipped(received) for received in self.actors[who].inbox
             ):
                 break
             self.settle()
@@ -125,12 +125,12 @@
 @pytest.mark.parametrize(
     "name",
     [
-        "a call stands and comes to its end",
-        "a broken connection resets its set-ups and leaves what stands",
-        "a process that died: refused, so what stood there is over",
+        "an established call is ended by its server",
+        "a broken connection resets its set-ups and leaves established calls",
+        "a server process that ended: its port refuses, so its calls are over",
         "a refused connect sends the call on at once",
-        "a malformed line costs its connection, and no other",
-        "a malformed set-up with a readable id is refused; the third costs the connection",
+        "a malformed line closes its connection, and no other",
+        "a malformed set-up with a readable id is refused; the third closes the connection",
         "an answer that can't be read ends its connection and all that is open on it",
     ],
 )
@@ -144,9 +144,9 @@
     [
         "a watchdog lost in flight: draining, no resend while the attempt is out",
         "a watchdog answered late: the peer is trusted again, and not cold",
-        "a peer back cold: its sessions are over, it passes REOPEN",
+        "a peer that has restarted: its sessions are over, it passes REOPEN",
         "a late answer after a give-up",
-        "a peer that says goodbye gets nothing new; its set-up goes on",
+        "a peer that asks to disconnect gets nothing new; its set-up goes on",
         "a duplicate gets the same answer, and is no second call",
     ],
 )
@@ -154,8 +154,8 @@
     wanted = diameter.config(**{"retry-after": True, "max-retry-after-ms": 2000.0})
     world = play(test_diameter.SCENARIOS[name], wanted, DiameterLoopback)
     assert isinstance(world, DiameterLoopback)
-    for at, who, way, heard, _ in world.log:
-        print(f"{at:.0f} {who} {way} {heard}")
+    for at, who, way, received, _ in world.log:
+        print(f"{at:.0f} {who} {way} {received}")
     assert list(diameter.audit(world)) == []
 
 
@@ -206,18 +206,18 @@
         del record["bus"], record["peer_listen"]
         record.update(listen=f"{listen[0]}:{listen[1]}", known={"offset": 1, "batch": [first]})
         (tmp_path / "config.json").write_text(json.dumps(record), encoding="utf-8")
-        doors, programs = [], []
+        operator_ports, programs = [], []
         for _ in range(2):
             with socket.socket() as free:
                 free.bind(("127.0.0.1", 0))
-                doors.append(free.getsockname()[1])
+                operator_ports.append(free.getsockname()[1])
         try:
-            for door in doors:
+            for operator_port in operator_ports:
                 environment = {
                     **os.environ,
                     "PROXY_CONFIG": str(tmp_path / "config.json"),
                     "PROXY_LISTEN_FD": "5",
-                    "PROXY_OPERATOR": f"127.0.0.1:{door}",
+                    "PROXY_OPERATOR": f"127.0.0.1:{operator_port}",
                 }
                 programs.append(
                     subprocess.Popen(
@@ -226,7 +226,7 @@
                         pass_fds=(held.fileno(),),
                     )
                 )
-                assert ask(door, b"ready") == b"OK yes\n"
+                assert ask(operator_port, b"ready") == b"OK yes\n"
             lobby.settimeout(60)
             servers: list[socket.socket] = []
             for number in range(6):  # the kernel gives each connection to either process
@@ -240,7 +240,7 @@
                 client.close()
             programs[0].send_signal(signal.SIGTERM)
             assert programs[0].wait(timeout=60) == 0
-            assert ask(doors[1], b"ready") == b"OK yes\n"
+            assert ask(operator_ports[1], b"ready") == b"OK yes\n"
             assert programs[1].poll() is None
         finally:
             for program in programs:
@@ -254,11 +254,11 @@
 )  # runs the program with the socket as descriptor 5
 
 
-def ask(door: int, line: bytes) -> bytes:
+def ask(operator_port: int, line: bytes) -> bytes:
     """Sends one command to the operators' port once it listens; returns the answer."""
     for _ in range(600):
         try:
-            with socket.create_connection(("127.0.0.1", door), timeout=60) as caller:
+            with socket.create_connection(("127.0.0.1", operator_port), timeout=60) as caller:
                 caller.sendall(line + b"\n")
                 return caller.makefile("rb").readline()
         except ConnectionRefusedError:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -29,25 +29,25 @@
 """
 
 
-def with_door(**more: Any) -> dict[str, Any]:
+def with_operator_port(**more: Any) -> dict[str, Any]:
     return {**platform(), "operator": "10.0.9.1:3", **more}
 
 
 SCENARIOS = {
     "ready says yes while serving, no once drained, yes on resume": """
-        door ready => OK yes
-        door drain => OK draining
+        operator ready => OK yes
+        operator drain => OK draining
         expect agent phase drained
-        door ready => ERR no: drained
-        door resume => OK serving
-        door ready => OK yes
+        operator ready => ERR no: drained
+        operator resume => OK serving
+        operator ready => OK yes
         expect agent phase serving
     """,
     "a drain closes idle connections at once, a busy one after its last answer": SET_UP
     + """
         send c2 ECHO 1 rc=0
         expect c2 ECHOED 1 rc=1
-        door drain => OK draining
+        operator drain => OK draining
         expect c2 closed
         send c1 ECHO 2 rc=0
         expect c1 ECHOED 2 rc=0
@@ -66,7 +66,7 @@
     """,
     "a set-up on a draining connection that carries calls is refused; it closes after them": SET_UP
     + """
-        door drain => OK draining
+        operator drain => OK draining
         send c1 START b class=race left=3000 extras=dest:1
         expect c1 FINISH b rc=42
         send s0 STARTED a blob=answer
@@ -80,8 +80,8 @@
         wait 100
         expect agent phase drained
     """,
-    "a set-up on a new connection, which the front sent before it knew, is served, then it closes": """
-        door drain => OK draining
+    "a set-up on a new connection, sent before its client knew of the drain, is served, then it closes": """
+        operator drain => OK draining
         send c2 START b class=race left=3000 extras=dest:1
         expect s1 START b
         send s1 STARTED b blob=answer
@@ -90,13 +90,13 @@
         expect c2 FINISHED b
         expect c2 closed
     """,
-    "a drain keeps a connection while a call stands on it: its release is told there": SET_UP
+    "a drain keeps a connection with an established call: its release is sent there": SET_UP
     + """
         send s0 STARTED a blob=answer
         expect c1 STARTED a
         send c2 ECHO 1 rc=0
         expect c2 ECHOED 1 rc=1
-        door drain => OK draining
+        operator drain => OK draining
         expect c2 closed
         wait 1000
         expect c1 nothing
@@ -112,37 +112,37 @@
     + """
         send s0 STARTED a blob=answer
         expect c1 STARTED a
-        door drain => OK draining
+        operator drain => OK draining
         send c2 FINISH a rc=16
         expect s0 FINISH a
         expect c1 closed
     """,
     "a reload while drained moves discovery all the same": """
         expect bus from 1
-        door drain => OK draining
+        operator drain => OK draining
         expect agent phase drained
         send agent hup bus="10.0.1.2:1"
         expect bus2 from 1
         expect bus closed
-        door resume => OK serving
+        operator resume => OK serving
         expect bus2 nothing
     """,
-    "drain and resume said twice change nothing": """
+    "a second drain or resume changes nothing": """
         send c1 ECHO 1 rc=0
-        door drain => OK draining
-        door drain => OK draining already
+        operator drain => OK draining
+        operator drain => OK draining already
         expect c1 ECHOED 1 rc=1
         expect c1 closed
         wait 100
-        door drain => OK drained already
+        operator drain => OK drained already
         expect agent phase drained
-        door resume => OK serving
-        door resume => OK serving already
+        operator resume => OK serving
+        operator resume => OK serving already
         expect agent phase serving
     """,
     "after resume, connections stay": """
-        door drain => OK draining
-        door resume => OK serving
+        operator drain => OK draining
+        operator resume => OK serving
         send c1 START a class=race left=3000 extras=dest:0
         expect s0 START a
         send s0 STARTED a blob=answer
@@ -150,15 +150,15 @@
         send c1 ECHO 1 rc=0
         expect c1 ECHOED 1 rc=1
     """,
-    "the door answers unknown and malformed calls with ERR": """
-        door restart => ERR unknown call 'restart'
-        door  => ERR no call
-        door PUT drain => OK draining
-        door GET ready => ERR no: drained
+    "the operators' port answers unknown and malformed commands with ERR": """
+        operator restart => ERR unknown call 'restart'
+        operator  => ERR no call
+        operator PUT drain => OK draining
+        operator GET ready => ERR no: drained
     """,
     "SIGTERM during a drain ends the program": SET_UP
     + """
-        door drain => OK draining
+        operator drain => OK draining
         send agent term
         expect agent phase closing
         send s0 STARTED a blob=answer
@@ -171,7 +171,7 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_door(name: str) -> None:
-    play(SCENARIOS[name], with_door())
+    play(SCENARIOS[name], with_operator_port())
 
 
 class Upgraded(World):
@@ -188,7 +188,7 @@
 
 
 HANDOVER = {
-    "on SIGTERM the old process stops accepting at once, serves what it holds, and ends": SET_UP
+    "on SIGTERM the predecessor stops accepting at once, serves its calls, and ends": SET_UP
     + """
         send c2 ECHO 1 rc=0
         expect c2 ECHOED 1 rc=1
@@ -227,7 +227,7 @@
 
 @pytest.mark.parametrize("name", HANDOVER)
 def test_handover(name: str) -> None:
-    world: Any = play(HANDOVER[name], with_door(), Upgraded)
+    world: Any = play(HANDOVER[name], with_operator_port(), Upgraded)
     assert world.reactor.adopted is not None
     assert not os.get_blocking(
         world.held.fileno()
@@ -263,7 +263,7 @@
     abortConnection = loseConnection  # noqa: N815
 
 
-def test_a_caller_that_says_nothing_whole_costs_nobody_else() -> None:
+def test_a_caller_without_a_complete_line_is_closed_and_delays_no_other() -> None:
     port, clock, deadlines = operator_port()
     silent = Caller(port)
     silent.protocol.dataReceived(b"rea")
@@ -279,7 +279,7 @@
     assert port.open_count == 0
 
 
-def test_the_door_bounds_lines_and_connections() -> None:
+def test_the_operators_port_limits_lines_and_connections() -> None:
     port, _, _ = operator_port()
     long = Caller(port)
     long.protocol.dataReceived(b"x" * MAX_LINE_BYTES)
@@ -291,7 +291,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "said"),
+    ("line", "answer"),
     [
         (b"disable-server h3", b"OK h3\n"),
         (b'PUT disable-server {"id": "h3"}', b"OK h3\n"),
@@ -303,11 +303,11 @@
         (b"show-everything", b"ERR unknown call 'show-everything'; calls: disable-server ready\n"),
     ],
 )
-def test_calls_and_their_errors(line: bytes, said: bytes) -> None:
+def test_calls_and_their_errors(line: bytes, answer: bytes) -> None:
     port, _, _ = operator_port()
     caller = Caller(port)
     caller.protocol.dataReceived(line + b"\n")
-    assert caller.text == said
+    assert caller.text == answer
 
 
 def test_an_argument_is_a_word_or_json() -> None:
@@ -334,7 +334,7 @@
 def test_serve_exits_2_on_a_closed_inherited_descriptor(
     tmp_path: pathlib.Path, monkeypatch: Any, capsys: Any
 ) -> None:
-    (tmp_path / "config.json").write_text(__import__("json").dumps(with_door()), encoding="utf-8")
+    (tmp_path / "config.json").write_text(__import__("json").dumps(with_operator_port()), encoding="utf-8")
     closed = os.dup(0)
     os.close(closed)
     monkeypatch.setenv("PROXY_LISTEN_FD", str(closed))
@@ -343,14 +343,14 @@
     assert len(lines) == 1 and "PROXY_LISTEN_FD" in lines[0]
 
 
-def test_the_door_address_comes_from_the_environment() -> None:
-    loaded = config.read(with_door())
+def test_the_address_of_the_operators_port_comes_from_the_environment() -> None:
+    loaded = config.read(with_operator_port())
     assert loaded.operator == "10.0.9.1:3"
     assert config.apply_environment(loaded, {"PROXY_OPERATOR": "127.0.0.1:9100"}).operator == "127.0.0.1:9100"
     with pytest.raises(config.ConfigError, match="PROXY_OPERATOR"):
         config.apply_environment(loaded, {"PROXY_OPERATOR": "nowhere"})
     with pytest.raises(config.ConfigError, match="operator"):
-        config.read(with_door(operator="nowhere"))
+        config.read(with_operator_port(operator="nowhere"))
 
 
 def test_two_processes_hold_the_peers_datagram_port() -> None:
@@ -369,47 +369,47 @@
     assert len(ports) == 2
 
 
-def test_the_schema_knows_the_door() -> None:
+def test_the_schema_has_the_operators_port() -> None:
     import jsonschema
 
     from tests.test_admission import SCHEMA
 
-    jsonschema.validate(with_door(), SCHEMA)
+    jsonschema.validate(with_operator_port(), SCHEMA)
     with pytest.raises(jsonschema.ValidationError):
-        jsonschema.validate(with_door(operator="nowhere"), SCHEMA)
+        jsonschema.validate(with_operator_port(operator="nowhere"), SCHEMA)
 
 
 ROTATION = {
     "a server taken out gets nothing new after the grace, and calls again once put back": f"""
-        door disable-server h0 => OK h0 out of rotation
-        door disable-server {{"id": "10.0.0.1:1"}} => OK h0 out of rotation
+        operator disable-server h0 => OK h0 out of rotation
+        operator disable-server {{"id": "10.0.0.1:1"}} => OK h0 out of rotation
         wait 2100
         send c1 START a class=race left=3000 extras=dest:0
         expect s1 START a
         send bus {event(2, host(0))}
         send c1 START b class=race left=3000 extras=dest:0
         expect s1 START b
-        door enable-server h0 => OK h0 in rotation
+        operator enable-server h0 => OK h0 in rotation
         send c1 START c class=race left=3000 extras=dest:0
         expect s0 START c
     """,
     "unknown or missing servers are errors": """
-        door disable-server h9 => ERR unknown server 'h9'
-        door enable-server => ERR no id
-        door enable-server h1 => OK h1 in rotation
+        operator disable-server h9 => ERR unknown server 'h9'
+        operator enable-server => ERR no id
+        operator enable-server h1 => OK h1 in rotation
     """,
 }
 
 
 @pytest.mark.parametrize("name", ROTATION)
 def test_rotation(name: str) -> None:
-    play(ROTATION[name], with_door())
+    play(ROTATION[name], with_operator_port())
 
 
 def test_a_server_out_of_rotation_is_unhealthy() -> None:
     from tests.test_figures import metrics, world_after
 
-    world = world_after("door disable-server h1 => OK")
+    world = world_after("operator disable-server h1 => OK")
     assert metrics(world)["cluster_unhealthy"] == 1
-    world.step("door enable-server h1 => OK")
+    world.step("operator enable-server h1 => OK")
     assert metrics(world)["cluster_unhealthy"] == 0
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,7 +6,7 @@
 
 from frostport.decide import Controller
 from frostport.net.front import PlatformFront
-from frostport.net.jsonl import LINES_PER_TURN
+from frostport.net.jsonl import LINES_PER_ITERATION
 from frostport.platform_side import PlatformSide
 from tests.scenario import START_MS, ClosedEnd, Wire, event, host, platform, play
 
@@ -18,7 +18,7 @@
     send c1 START a class=race left=3000 key=07 extras=dest:0;width:1;via:-1 blob=sdp
     expect s0 START a class=race left=3000 key=07 blob=sdp
 """
-STANDS = (
+ESTABLISHED = (
     SET_UP
     + """
     send s0 STARTED a blob=answer
@@ -41,7 +41,7 @@
     """
 )
 SCENARIOS = {
-    "an answer lost with its connection and told again, when the call stands elsewhere: released": """
+    "an answer lost with its connection and sent again, when the call is established elsewhere: released": """
         send c1 START a class=race left=8000 extras=dest:0
         expect s0 START a
         close s0 dead
@@ -55,7 +55,7 @@
         expect s0 FINISH a rc=16
         expect s1 nothing
     """,
-    "a call stands and comes to its end": STANDS
+    "an established call is ended by its server": ESTABLISHED
     + """
         wait 800
         send s0 FINISH a rc=16
@@ -64,12 +64,12 @@
         expect c1 nothing
         expect s0 nothing
     """,
-    "a call that is cut": STANDS
+    "an established call is cut": ESTABLISHED
     + """
         send s0 FINISH a rc=41
         expect c1 FINISH a rc=41
     """,
-    "a client ends its call on another connection": STANDS
+    "a client ends its call on another connection": ESTABLISHED
     + """
         send c2 FINISH a rc=16
         expect c2 FINISHED a
@@ -135,7 +135,7 @@
         expect c1 FINISHED a
         expect c1 nothing
     """,
-    "a give-up that crosses the answer releases the call": STANDS
+    "a give-up that crosses the answer releases the call": ESTABLISHED
     + """
         send c1 FINISH a rc=16
         expect s0 FINISH a rc=16
@@ -160,7 +160,7 @@
         send s0 STARTED a blob=now
         expect c1 STARTED a blob=now
     """,
-    "a release goes to another connection when the call's own is gone": STANDS
+    "a release goes to another connection when the call's own is gone": ESTABLISHED
     + """
         send c2 ECHO 1 rc=0
         expect c2 ECHOED 1 rc=1
@@ -168,7 +168,7 @@
         send s0 FINISH a rc=16
         expect c2 FINISH a rc=16
     """,
-    "a release owed with no connection open goes to the next": STANDS
+    "a release with no connection open goes to the next one": ESTABLISHED
     + """
         close c1
         send s0 FINISH a rc=16
@@ -176,7 +176,7 @@
         send c2 ECHO 1 rc=0
         expect c2 FINISH a rc=16
     """,
-    "a release not heard before its connection broke is sent again; one heard is not": STANDS
+    "a release not confirmed before its connection broke is sent again; a confirmed one is not": ESTABLISHED
     + """
         send s0 FINISH a rc=16
         expect c1 FINISH a rc=16
@@ -189,7 +189,7 @@
         expect c1 ECHOED 1
         expect c1 nothing
     """,
-    "a server repeats its release on the next connection": STANDS
+    "a server repeats its release on the next connection": ESTABLISHED
     + """
         send s0 FINISH a rc=16
         expect c1 FINISH a rc=16
@@ -200,7 +200,7 @@
         expect s0 FINISHED a
         expect c1 nothing
     """,
-    "a broken connection resets its set-ups and leaves what stands": STANDS
+    "a broken connection resets its set-ups and leaves established calls": ESTABLISHED
     + """
         send c1 START b class=race left=3000 extras=dest:0
         expect s0 START b
@@ -221,7 +221,7 @@
         wait 60
         expect s0 START a
     """,
-    "a process that died: refused, so what stood there is over": STANDS
+    "a server process that ended: its port refuses, so its calls are over": ESTABLISHED
     + """
         wait 600
         close s0 dead
@@ -230,7 +230,7 @@
         wait 2
         expect c1 FINISH a rc=41
     """,
-    "a process that died, one connection left open: it does not answer, so it is over": STANDS
+    "a server process that ended, one connection left open: it does not answer, so it is closed": ESTABLISHED
     + """
         send c1 START b class=race left=3000 extras=dest:0
         expect s0 START b
@@ -252,7 +252,7 @@
         send c1 START a class=race left=3000 extras=dest:0
         expect s1 START a
     """,
-    "a connect that hangs counts as refused after its time, and cuts nothing": STANDS
+    "a dial that times out fails like a refused one, and ends no calls": ESTABLISHED
     + """
         close s0
         close s0 silent
@@ -261,7 +261,7 @@
         wait 501
         expect c1 nothing
     """,
-    "a client's release with the server away goes out on the next connection": STANDS
+    "a client's release with the server away goes out on the next connection": ESTABLISHED
     + """
         close s0 silent
         send s0 alive
@@ -287,7 +287,7 @@
         expect c1 ECHOED 1 rc=1
         expect c1 ECHOED 2 rc=1
     """,
-    "a malformed line costs its connection, and no other": SET_UP
+    "a malformed line closes its connection, and no other": SET_UP
     + """
         send c2 ECHO 1 rc=0
         expect c2 ECHOED 1
@@ -298,7 +298,7 @@
         expect c1 STARTED a blob=answer
         expect c1 nothing
     """,
-    "a malformed set-up with a readable id is refused; the third costs the connection": """
+    "a malformed set-up with a readable id is refused; the third closes the connection": """
         send c1 raw {"verb":"START","tag":"000000000000000b","opts":{"class":[]}}\\n
         expect c1 FINISH b rc=42
         send c1 START c class=unheard left=3000
@@ -337,7 +337,7 @@
         expect s0 nothing
         expect agent open 0
     """,
-    "connections that say nothing, or half a line, are closed": """
+    "connections that send nothing, or half a line, are closed": """
         send c1 raw {"verb"
         send c2 ECHO 1 rc=0
         expect c2 ECHOED 1
@@ -365,7 +365,7 @@
         wait 2
         expect c1 closed
     """,
-    "a client that asked once may stay for good": STANDS
+    "a client that has sent a set-up may stay idle": ESTABLISHED
     + """
         send s0 FINISH a rc=16
         expect c1 FINISH a rc=16
@@ -373,7 +373,7 @@
         wait 60000
         expect c1 nothing
     """,
-    "a release that no client confirms is told to another, at growing gaps, for a while": STANDS
+    "an unconfirmed release is sent to another client, at growing gaps, for a while": ESTABLISHED
     + """
         send c2 START b class=race left=3000 extras=dest:1
         expect s1 START b
@@ -392,7 +392,7 @@
         expect c1 nothing
         expect c2 nothing
     """,
-    "a release is not told to those who never asked": STANDS
+    "a release is not sent to connections that sent no message": ESTABLISHED
     + """
         close c1
         send c2 raw {
@@ -414,7 +414,7 @@
         wait 60
         expect s0 START a
     """,
-    "an answer that stops short ends its connection": SET_UP
+    "a truncated answer ends its connection": SET_UP
     + """
         send s0 raw {"verb":"STARTED","tag":"000000000000
         wait 299
@@ -537,14 +537,14 @@
         send s0 STARTED a blob=answer
         expect c1 STARTED a blob=answer
     """,
-    "an event that can't be read: what follows waits until it is told again": f"""
+    "an event that can't be read: what follows waits until it is sent again": f"""
         expect bus from 1
         send bus raw {{"offset":2,"topology":{{}}}}\\n{event(3, host(1, "draining"))}\\n
         expect bus closed
         wait 200
         expect bus from 1
     """,
-    "an event that can't be read twice is passed over": f"""
+    "an event that can't be read twice is skipped": f"""
         expect bus from 1
         send bus {event(2, {**host(0), "dial": "nowhere"})}
         expect bus closed
@@ -562,7 +562,7 @@
         wait 200
         expect bus from 1
     """,
-    "nothing goes to a draining server, and its calls live on": STANDS
+    "nothing goes to a draining server, and its calls go on": ESTABLISHED
     + f"""
         expect bus from 1
         send bus {event(2, host(0, "draining"))}
@@ -571,7 +571,7 @@
         send s0 FINISH a rc=41
         expect c1 FINISH a rc=41
     """,
-    "a server that is gone takes its calls and set-ups with it": STANDS
+    "a server that is gone takes its calls and set-ups with it": ESTABLISHED
     + f"""
         send c1 START b class=race left=3000 extras=dest:0
         expect s0 START b
@@ -581,26 +581,26 @@
         wait 560
         expect s1 START b
     """,
-    "a whole list without a server removes it": STANDS
+    "a complete list without a server removes it": ESTABLISHED
     + f"""
         send bus {event(2, host(1), whole=True)}
         expect c1 FINISH a rc=41
         expect s0 closed
     """,
-    "a restarted process: what stood before is over, the old connection dropped": STANDS
+    "a restarted server: its earlier calls are over, the old connection is dropped": ESTABLISHED
     + f"""
         wait 1000
         send bus {event(2, host(0, born=START_MS + 500))}
         expect c1 FINISH a rc=41
         expect s0 closed
     """,
-    "a new server at the address of a gone one": STANDS
+    "a new server at the address of a gone one": ESTABLISHED
     + f"""
         send bus {event(2, host(0, "gone"), host(2, dial=0, name="h9"))}
         expect c1 FINISH a rc=41
         expect s0 closed
     """,
-    "the event bus breaks: asked again from the last event, repeats are passed over": f"""
+    "the event bus breaks: asked again from the last event, repeats are skipped": f"""
         expect bus from 1
         send bus {event(2, host(0, "draining"))}
         close bus
@@ -628,7 +628,7 @@
         expect s0 START e
         expect agent dials 5
     """,
-    "a silent event bus is dialed anew": """
+    "a silent event bus is dialed again": """
         expect bus from 1
         wait 2400
         send bus 1
@@ -669,7 +669,7 @@
         expect bus from 1
         expect bus nothing
     """,
-    "sighup while going down changes nothing": SET_UP
+    "sighup during a shutdown changes nothing": SET_UP
     + """
         expect bus from 1
         send agent term
@@ -721,7 +721,7 @@
 # Testing a connection counts as a probe: these scenarios need a site that allows probes.
 PROBED = {
     "with probes, one that lags is tested: one that answers stays, one that does not goes",
-    "a process that died, one connection left open: it does not answer, so it is over",
+    "a server process that ended, one connection left open: it does not answer, so it is closed",
     "a server that takes no more connections is not dialed for each set-up",
 }
 
@@ -738,7 +738,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, said",
+    "change, message_start",
     [
         ("bus=7", "reload: configuration kept: bus: not host:port: 7"),
         ('settings={"services":[]}', "reload: configuration kept: settings.services: no class of call"),
@@ -750,34 +750,36 @@
         ('bus="10.0.1.2:1"', "reload: done; changed: bus"),
     ],
 )
-def test_a_reload_says_in_one_line_what_it_did(
-    change: str, said: str, caplog: pytest.LogCaptureFixture
+def test_a_reload_logs_one_line_with_its_result(
+    change: str, message_start: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level("INFO")
     play(f"send agent hup {change}", platform())
-    assert sum(message.startswith(said) for message in caplog.messages) == 1
+    assert sum(message.startswith(message_start) for message in caplog.messages) == 1
 
 
-def test_a_flood_of_lines_leaves_the_others_their_turn() -> None:
+def test_a_flood_of_lines_yields_to_other_connections() -> None:
     world = play("send c1 ECHO 1 rc=0", platform())
     flood = world.reactor.factory.buildProtocol(None)
     wire = Wire(world, flood)
     wire.other = Wire(world, world.actors["c2"])
     flood.makeConnection(wire)
-    line = b'{"verb":"ECHO","tag":"0000000000000002"}'.ljust(flood.read_ahead_bytes // LINES_PER_TURN) + b"\n"
-    flood.dataReceived(line * LINES_PER_TURN)
-    assert (
-        not wire.paused and not flood._pending_lines
-    )  # after one turn's lines reading goes on, so a close is noticed
+    line = (
+        b'{"verb":"ECHO","tag":"0000000000000002"}'.ljust(flood.read_ahead_bytes // LINES_PER_ITERATION)
+        + b"\n"
+    )
+    flood.dataReceived(line * LINES_PER_ITERATION)
+    # After one iteration's lines reading goes on, so a close is noticed.
+    assert not wire.paused and not flood._pending_lines
     world.settle()
     world.actors["c2"].inbox.clear()
-    flood.dataReceived(line * (2 * LINES_PER_TURN + 1))
-    assert len(world.later) == LINES_PER_TURN and wire.paused
+    flood.dataReceived(line * (2 * LINES_PER_ITERATION + 1))
+    assert len(world.later) == LINES_PER_ITERATION and wire.paused
     world.settle()
-    assert len(world.actors["c2"].inbox) == 2 * LINES_PER_TURN + 1 and not wire.paused
+    assert len(world.actors["c2"].inbox) == 2 * LINES_PER_ITERATION + 1 and not wire.paused
 
 
-def test_in_a_full_table_the_silent_make_room_first_and_those_who_wait_for_an_answer_stay() -> None:
+def test_at_the_limit_silent_connections_are_evicted_and_those_with_open_set_ups_stay() -> None:
     world = play(SET_UP, platform())
     factory, agent = world.reactor.factory, world.agent
     for _ in range(2 * agent.config.sockets):
@@ -796,12 +798,12 @@
         world.step(line)
 
 
-def test_releases_of_made_up_ids_go_on_only_so_often() -> None:
+def test_releases_of_unknown_ids_are_forwarded_at_a_limited_rate() -> None:
     world = play("send c1 ECHO 1 rc=0", platform())
     for number in range(300):
         world.step(f"send c1 FINISH {number:x} rc=16")
-    assert sum(heard[""] == "FINISH" for heard in world.actors["s0"].inbox) == 200
-    assert sum(heard[""] == "FINISHED" for heard in world.actors["c1"].inbox) == 300
+    assert sum(received[""] == "FINISH" for received in world.actors["s0"].inbox) == 200
+    assert sum(received[""] == "FINISHED" for received in world.actors["c1"].inbox) == 300
 
 
 def test_nothing_is_left_after_churn() -> None:
@@ -828,16 +830,14 @@
     world.step("send c1 FINISH f rc=16")
     names = {"h58", "h59"}
     side = agent.side
-    assert set(agent.rules.servers) == set(side.servers.members) == set(side.list.entries) == names
+    assert set(agent.rules.servers) == set(side.route.servers) == set(side.server_list.entries) == names
     assert set(module.controls) == names and not module.calls and not module.held
     assert all(control.pending == 0 for control in module.controls.values())
     assert (
         not agent.broker.slots_by_id and not len(agent.broker.requests) and len(agent.broker.ended_ids) == 1
     )
     assert not side.front.pending_releases and len(side.front.connections) == 1
-    assert len(side.servers.connections) == sum(
-        len(lobby.connections) for lobby in side.servers.members.values()
-    )
+    assert len(side.route.connections) == sum(len(lobby.connections) for lobby in side.route.servers.values())
     assert len(agent.deadlines) < 20
 
 
@@ -848,8 +848,10 @@
     """,
         platform(probes=True),
     )
-    asked = [heard for name in ("s0", "s1") for heard in world.actors[name].inbox]
-    assert asked and all(heard[""] == "ECHO" and heard["rc"] == "1" for heard in asked)
+    received_by_servers = [received for name in ("s0", "s1") for received in world.actors[name].inbox]
+    assert received_by_servers and all(
+        received[""] == "ECHO" and received["rc"] == "1" for received in received_by_servers
+    )
 
 
 def test_an_exception_in_one_call_fails_that_call() -> None:
--- a/tests/test_quiet_list.py
+++ b/tests/test_quiet_list.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("kind", [DeadBus, HangingBus])
-def test_an_agent_is_ready_at_once_without_the_list_service_and_hears_it_when_it_is_back(
+def test_an_agent_is_ready_at_once_without_the_list_service_and_applies_events_when_it_is_back(
     kind: type[World],
 ) -> None:
     run(
@@ -82,7 +82,7 @@
     assert sum(world.agent.gate.descriptors.open.values()) == 4  # two servers, the bus, the port for peers
 
 
-def test_a_list_service_that_answers_after_4_s_is_heard_on_the_connection_that_asked_first() -> None:
+def test_a_list_service_that_answers_after_4_s_is_used_on_the_connection_that_asked_first() -> None:
     world = run(
         World(platform()),
         f"""
--- a/tests/test_real_ends.py
+++ b/tests/test_real_ends.py
@@ -28,8 +28,8 @@
     """A lobby server that queues each set-up; the test answers it."""
 
     def __init__(self) -> None:
-        self.came: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
-        self.heard: list[tuple[str, str]] = []
+        self.set_ups: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
+        self.received: list[tuple[str, str]] = []
         self.bus = free_ports(1)[0]  # without a listener until a case opens one
 
     async def start(self) -> int:
@@ -40,9 +40,9 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await self.line(reader):
             message = json.loads(line)
-            self.heard.append((message["verb"], message["tag"]))
+            self.received.append((message["verb"], message["tag"]))
             if message["verb"] == "START":
-                self.came.put_nowait((message["tag"], writer))
+                self.set_ups.put_nowait((message["tag"], writer))
         writer.close()
 
     async def line(self, reader: asyncio.StreamReader) -> bytes:
@@ -52,7 +52,7 @@
             return b""
 
     async def next(self) -> tuple[str, asyncio.StreamWriter]:
-        return await asyncio.wait_for(self.came.get(), TIMEOUT_S)
+        return await asyncio.wait_for(self.set_ups.get(), TIMEOUT_S)
 
 
 class BacklogFull(Server):
@@ -80,7 +80,7 @@
     return line("START", tag, opts={"class": "race", "left": str(left)}, blob="x")
 
 
-def say(writer: asyncio.StreamWriter, verb: str, tag: str, **more: Any) -> None:
+def send(writer: asyncio.StreamWriter, verb: str, tag: str, **more: Any) -> None:
     writer.write(line(verb, tag, **more))
 
 
@@ -88,7 +88,7 @@
     writer.write(set_up(tag, left))
 
 
-async def hear(reader: asyncio.StreamReader) -> tuple[str, str]:
+async def receive(reader: asyncio.StreamReader) -> tuple[str, str]:
     message = json.loads(await asyncio.wait_for(reader.readline(), TIMEOUT_S))
     return message["verb"], message["tag"]
 
@@ -127,89 +127,91 @@
     start(one, gone)
     _, at = await server.next()
     one.close()  # before the reset arrives: its retry would wait for the release guard without a client
-    say(at, "FINISH", gone, rc=41)
+    send(at, "FINISH", gone, rc=41)
     reader, other = await asyncio.open_connection("127.0.0.1", port)
     start(other, staying)
-    for _ in range(2):  # the second arrives a whole guard after the other's would have
+    for _ in range(2):  # the second arrives a full release guard after the other's would have
         tag, at = await server.next()
         assert tag == staying
-        say(at, "FINISH", staying, rc=41)
+        send(at, "FINISH", staying, rc=41)
     tag, at = await server.next()
-    say(at, "STARTED", tag, blob="y")
-    assert await hear(reader) == ("STARTED", staying)
-    assert [tag for verb, tag in server.heard if verb == "START"].count(gone) == 1
-    say(other, "FINISH", staying, rc=16)
-    assert await hear(reader) == ("FINISHED", staying)
+    send(at, "STARTED", tag, blob="y")
+    assert await receive(reader) == ("STARTED", staying)
+    assert [tag for verb, tag in server.received if verb == "START"].count(gone) == 1
+    send(other, "FINISH", staying, rc=16)
+    assert await receive(reader) == ("FINISHED", staying)
 
 
 async def many_in_one_write(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
-    """Set-ups for more than one turn and their give-ups, all written before any is read."""
+    """Set-ups for more than one event-loop iteration and their give-ups, all written before any is read."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     tags = [f"{number:016x}" for number in range(1, 121)]
     # One write: otherwise over 100 could be read before the first give-up is written, and one be refused.
     writer.write(b"".join([set_up(tag) for tag in tags] + [line("FINISH", tag, rc=16) for tag in tags]))
-    heard = [await hear(reader) for _ in tags]
-    assert sorted(heard) == [("FINISHED", tag) for tag in tags]  # no answer to any of them
+    received = [await receive(reader) for _ in tags]
+    assert sorted(received) == [("FINISHED", tag) for tag in tags]  # no answer to any of them
     start(writer, "00000000000000cc")
     while (come := await server.next())[0] != "00000000000000cc":
         assert come[0] in tags
-    say(come[1], "STARTED", come[0], blob="y")
-    assert await hear(reader) == ("STARTED", come[0])
-    begun = [tag for verb, tag in server.heard if verb == "START"]
+    send(come[1], "STARTED", come[0], blob="y")
+    assert await receive(reader) == ("STARTED", come[0])
+    begun = [tag for verb, tag in server.received if verb == "START"]
     assert len(begun) == len(set(begun)) and set(begun) - {come[0]} <= set(tags)
-    ended_there = [tag for verb, tag in server.heard if verb == "FINISH"]
+    ended_there = [tag for verb, tag in server.received if verb == "FINISH"]
     assert set(begun) - {come[0]} <= set(ended_there)  # what was started is given up there
-    say(writer, "FINISH", come[0], rc=16)
-    assert await hear(reader) == ("FINISHED", come[0])
+    send(writer, "FINISH", come[0], rc=16)
+    assert await receive(reader) == ("FINISHED", come[0])
 
 
 async def closed_behind_a_dial(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
     gone, staying = "00000000000000aa", "00000000000000bb"
     reader, one = await asyncio.open_connection("127.0.0.1", port)
     start(one, gone)
-    say(one, "ECHO", "0" * 16, rc=0)
-    assert (await hear(reader))[0] == "ECHOED"  # by now its set-up waits for the dial
+    send(one, "ECHO", "0" * 16, rc=0)
+    assert (await receive(reader))[0] == "ECHOED"  # by now its set-up waits for the dial
     one.close()
     reader, other = await asyncio.open_connection("127.0.0.1", port)
     start(other, staying)
     assert isinstance(server, BacklogFull)
     await server.accept_connections()
     tag, at = await server.next()
-    say(at, "STARTED", tag, blob="y")
-    assert (tag, await hear(reader)) == (staying, ("STARTED", staying))
-    assert gone not in [tag for _, tag in server.heard]
-    say(other, "FINISH", staying, rc=16)
-    assert await hear(reader) == ("FINISHED", staying)
+    send(at, "STARTED", tag, blob="y")
+    assert (tag, await receive(reader)) == (staying, ("STARTED", staying))
+    assert gone not in [tag for _, tag in server.received]
+    send(other, "FINISH", staying, rc=16)
+    assert await receive(reader) == ("FINISHED", staying)
 
 
-async def told_to_end(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
+async def terminated_twice(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
     tag = "00000000000000dd"
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     start(writer, tag, 2000.0)
     await server.next()
     program.send_signal(signal.SIGTERM)
     program.send_signal(signal.SIGTERM)
-    assert await hear(reader) == ("FINISH", tag)  # the server never answers it
+    assert await receive(reader) == ("FINISH", tag)  # the server never answers it
     assert await asyncio.wait_for(reader.read(), TIMEOUT_S) == b""
     assert await asyncio.wait_for(program.wait(), TIMEOUT_S) == 0
 
 
-async def quiet_in_a_full_table(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
+async def silent_bus_at_the_descriptor_limit(
+    server: Server, port: int, program: asyncio.subprocess.Process
+) -> None:
     """Idle clients use all descriptors while the bus is down; it returns, is silent, and is asked again."""
     idle = []
     for _ in range(4 * SOCKETS):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         idle.append((reader, writer))
-        say(writer, "ECHO", "0" * 16, rc=0)
+        send(writer, "ECHO", "0" * 16, rc=0)
         assert await reader.readline()  # the newest is admitted
         if any(at.at_eof() or at.exception() for at, _ in idle):
             break  # another was closed to make room
     else:
-        raise AssertionError("the table was never full")
-    asked: asyncio.Queue[tuple[bytes, asyncio.StreamWriter]] = asyncio.Queue()
+        raise AssertionError("the limit of connections was never reached")
+    bus_requests: asyncio.Queue[tuple[bytes, asyncio.StreamWriter]] = asyncio.Queue()
 
-    async def told(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        asked.put_nowait((await reader.readline(), writer))
+    async def on_bus_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        bus_requests.put_nowait((await reader.readline(), writer))
 
     other = Server()
     hosts = [
@@ -219,10 +221,10 @@
             (1, await other.start(), "ready"),
         )
     ]
-    bus = await asyncio.start_server(told, "127.0.0.1", server.bus)
-    line, silent = await asyncio.wait_for(asked.get(), TIMEOUT_S)
+    bus = await asyncio.start_server(on_bus_connection, "127.0.0.1", server.bus)
+    line, silent = await asyncio.wait_for(bus_requests.get(), TIMEOUT_S)
     assert line == b"from 1\n"
-    line, at = await asyncio.wait_for(asked.get(), TIMEOUT_S)  # again: the first stays unanswered
+    line, at = await asyncio.wait_for(bus_requests.get(), TIMEOUT_S)  # again: the first stays unanswered
     assert line == b"from 1\n"
     at.write(json.dumps({"offset": 2, "topology": {"hosts": hosts}}).encode() + b"\n")
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -233,11 +235,11 @@
         done, waiting = await asyncio.wait(coming, return_when=asyncio.FIRST_COMPLETED)
         for task in waiting:
             task.cancel()
-        came, on = next(iter(done)).result()
-        say(on, "STARTED", came, blob="y")
-        assert await hear(reader) == ("STARTED", tag)
-        say(writer, "FINISH", tag, rc=16)
-        assert await hear(reader) == ("FINISHED", tag)
+        tag_received, on = next(iter(done)).result()
+        send(on, "STARTED", tag_received, blob="y")
+        assert await receive(reader) == ("STARTED", tag)
+        send(writer, "FINISH", tag, rc=16)
+        assert await receive(reader) == ("FINISHED", tag)
         if coming[next(iter(done))] is other:
             break
         tag = f"{int(tag, 16) + 256:016x}"
@@ -251,9 +253,9 @@
 CASES: dict[str, tuple[Case, float]] = {
     "closed in the guard": (closed_in_the_guard, 4000.0),
     "many in one write": (many_in_one_write, 4000.0),
-    "told to end twice": (told_to_end, 1000.0),
+    "terminated twice": (terminated_twice, 1000.0),
     "closed behind a dial": (closed_behind_a_dial, 4000.0),
-    "quiet in a full table": (quiet_in_a_full_table, 4000.0),
+    "silent bus at the descriptor limit": (silent_bus_at_the_descriptor_limit, 4000.0),
 }
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -115,7 +115,7 @@
     play(
         PENDING
         + """
-        door drain => OK
+        operator drain => OK
         send agent term
         send agent term
         expect agent phase closing
--- a/tests/test_silent_server.py
+++ b/tests/test_silent_server.py
@@ -1,4 +1,8 @@
-"""Servers with established calls that fall silent: vanished, or only cut off; on the manual clock."""
+"""Servers with established calls that fall silent: vanished, or only cut off; on the manual clock.
+
+Guards against calls that stay established after their server has vanished, and against calls that end while
+their server was only unreachable.
+"""
 
 from __future__ import annotations
 
@@ -6,14 +10,14 @@
 
 from tests.scenario import platform, play
 
-STANDS = """
+ESTABLISHED = """
     send c1 START a class=race left=3000 extras=dest:0
     expect s0 START a
     send s0 STARTED a blob=x
     expect c1 STARTED a
 """
 SCENARIOS = {
-    "a server that vanishes: its caller is told within 8 s, and not before 7": STANDS
+    "a server that vanishes: its caller is notified within 8 s, and not before 7": ESTABLISHED
     + """
         close s0 silent
         wait 6900
@@ -21,7 +25,7 @@
         wait 1050
         expect c1 FINISH a rc=41
     """,
-    "one that was only cut off, and speaks on its old connection: the call stays": STANDS
+    "one that was only cut off, and sends on its old connection: the call stays": ESTABLISHED
     + """
         close s0 silent
         wait 6500
@@ -32,7 +36,7 @@
         send c1 FINISH a rc=16
         expect c1 FINISHED a
     """,
-    "one that is back after the limit is told that the call is over": STANDS
+    "one that is back after the limit gets the release of the call": ESTABLISHED
     + """
         close s0 silent
         wait 8000
@@ -42,7 +46,7 @@
         wait 1100
         expect s0 FINISH a rc=16
     """,
-    "a release that no server confirmed is said again where its connection breaks": STANDS
+    "an unconfirmed release is sent again after its connection breaks": ESTABLISHED
     + """
         send c1 FINISH a rc=16
         expect s0 FINISH a rc=16
@@ -54,7 +58,7 @@
         wait 600
         expect s0 nothing
     """,
-    "one that is confirmed is not": STANDS
+    "a confirmed release is not sent again": ESTABLISHED
     + """
         send c1 FINISH a rc=16
         expect s0 FINISH a rc=16
@@ -63,7 +67,7 @@
         wait 600
         expect s0 nothing
     """,
-    "a silent connection that was kept stays while nothing else is heard": STANDS
+    "a silent connection that was kept stays while nothing is received on others": ESTABLISHED
     + """
         send c1 START b class=race left=1200 extras=dest:0
         expect s0 START b
@@ -79,7 +83,7 @@
         send c1 FINISH a rc=16
         expect c1 FINISHED a
     """,
-    "a silent connection that was kept is dropped once others speak": STANDS
+    "a silent connection that was kept is dropped once data arrives on others": ESTABLISHED
     + """
         send c1 START b class=race left=1200 extras=dest:0
         expect s0 START b
@@ -93,7 +97,7 @@
         wait 9000
         expect c1 nothing
     """,
-    "a lost connection is dialed until one comes up, while another is open": STANDS
+    "a lost connection is dialed until one comes up, while another is open": ESTABLISHED
     + """
         send c1 START b class=race left=9000 extras=dest:0
         expect s0 START b
@@ -120,5 +124,5 @@
 
 
 @pytest.mark.parametrize("name", list(SCENARIOS)[2:])
-def test_what_a_server_is_told_later(name: str) -> None:
+def test_releases_and_connections_after_a_silence(name: str) -> None:
     play(SCENARIOS[name], platform())
