--- a/frostport/diameter/peer.py
+++ b/frostport/diameter/peer.py
@@ -40,7 +40,7 @@
 RELAY_APPLICATION = 0xFFFFFFFF  # the Application Id of relay agents, which take any application
 DPA_TIMEOUT_MS = 1_000.0  # for the answer to a Disconnect-Peer-Request
 
-complaints = RateLimitedLog(log)
+limited_log = RateLimitedLog(log)
 
 
 def cancel_if_set(deadline: Deadline | None) -> Deadline | None:
@@ -166,7 +166,7 @@
         try:
             self._pending_frames.extend(self._splitter.feed(data))
         except StreamError as problem:
-            complaints.warn(self.clock.now(), self.host, f"closing the connection: {problem}")
+            limited_log.warn(self.clock.now(), self.host, f"closing the connection: {problem}")
             self.drop()
             return
         self._handle_frames()
@@ -295,7 +295,7 @@
             else:
                 avp.validate_answer(message)
         except AvpError as problem:
-            complaints.warn(self.clock.now(), self.host, f"command {message.command}: {problem}")
+            limited_log.warn(self.clock.now(), self.host, f"command {message.command}: {problem}")
             if not message.is_request:
                 # Guards against waiting for an answer that can't be read: all requests open on this
                 # connection fail at once.
@@ -336,7 +336,7 @@
 
     def _handle_answer(self, message: Message) -> None:
         if message.hop_by_hop not in self._unanswered:
-            complaints.warn(self.clock.now(), self.host, "answer without a request dropped")
+            limited_log.warn(self.clock.now(), self.host, "answer without a request dropped")
             return
         del self._unanswered[message.hop_by_hop]
         if message.command == avp.CE:
@@ -371,7 +371,7 @@
         if result == avp.SUCCESS:
             self._enter_open(message)
         elif self.state is ConnectionState.WAIT_CER:
-            complaints.warn(self.clock.now(), host, error)
+            limited_log.warn(self.clock.now(), host, error)
             self.close_gracefully()
 
     def _handle_cea(self, message: Message) -> None:
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -254,7 +254,7 @@
             elif (handler := self.frame_handlers.get(kind)) is not None:
                 handler(sender, body)
         except msgspec.MsgspecError as problem:
-            self.link.complaints.warn(self.clock.now(), sender, f"{kind}: {problem}")
+            self.link.limited_log.warn(self.clock.now(), sender, f"{kind}: {problem}")
 
     # The agreed log
 
--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -346,7 +346,7 @@
     def record_offence(self, connection: ClientConnection) -> None:
         now = self.broker.clock.now()
         if self.gate.is_known(connection.host, now):
-            connection.complaints.warn(
+            connection.limited_log.warn(
                 now, connection.peer, f"malformed line from a known client, {connection.host}"
             )
         self.gate.penalize(connection.host, now)
@@ -435,7 +435,7 @@
         """Refuses a set-up whose id is in use: it would not be clear which of the two an answer is for.
 
         Repeated on its own connection, the open set-up itself fails. The connection is closed."""
-        connection.complaints.warn(
+        connection.limited_log.warn(
             self.broker.clock.now(), connection.peer, f"set-up {known.id}: id already in use"
         )
         if known.front is not self or known.connection_id != connection.slot:
--- a/frostport/net/gossip.py
+++ b/frostport/net/gossip.py
@@ -67,7 +67,7 @@
         routes: Mapping[str, str],
     ) -> None:
         self.codec, self.on_message, self.clock, self.routes = codec, on_message, clock, routes
-        self.complaints = RateLimitedLog(log)
+        self.limited_log = RateLimitedLog(log)
         self.sent = self.received = self.sent_bytes = self.refused = 0
 
     def send(self, address: str, message: Message) -> None:
@@ -79,14 +79,14 @@
             self.transport.write(data, split(self.routes.get(address, address)))
             self.sent, self.sent_bytes = self.sent + 1, self.sent_bytes + len(data)
         except OSError as problem:  # counts as a lost datagram
-            self.complaints.warn(self.clock.now(), address, f"datagram lost: {problem}")
+            self.limited_log.warn(self.clock.now(), address, f"datagram lost: {problem}")
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
         try:
             message = self.codec.decode(datagram)
         except BadMessageError as problem:
             self.refused += 1
-            self.complaints.warn(self.clock.now(), addr[0], f"datagram dropped: {problem}")
+            self.limited_log.warn(self.clock.now(), addr[0], f"datagram dropped: {problem}")
             return
         self.received += 1
         self.on_message(f"{addr[0]}:{addr[1]}", message)
--- a/frostport/net/jsonl.py
+++ b/frostport/net/jsonl.py
@@ -159,7 +159,7 @@
 
     peer = "?"
     transport: Any = None
-    complaints = RateLimitedLog(log)
+    limited_log = RateLimitedLog(log)
     read_ahead_bytes = 0  # reading pauses once this much waits to be handled
 
     def __init__(self, clock: Clock, deadlines: Deadlines, max_line_bytes: int = MAX_LINE_BYTES) -> None:
@@ -238,7 +238,7 @@
             if line.strip():
                 self.on_line(line)
         except BadLineError as problem:
-            self.complaints.warn(self.clock.now(), self.peer, f"malformed: {problem}")
+            self.limited_log.warn(self.clock.now(), self.peer, f"malformed: {problem}")
             self.on_malformed(problem)
         except Exception:  # must not reach the reactor: it would close the connection
             log.exception("%s: exception while handling a line", self.peer)
--- a/frostport/net/link.py
+++ b/frostport/net/link.py
@@ -149,7 +149,7 @@
                 else:
                     self._on_hello(decode(_hello_decoder, body))
         except BadFrameError as problem:
-            self.link.complaints.warn(
+            self.link.limited_log.warn(
                 self.last_received_at, self.name or "unidentified agent", f"closed: {problem}"
             )
             self.drop()
@@ -241,7 +241,7 @@
         self.connections: dict[str, Connection] = {}
         self.dials: dict[str, PendingDial] = {}
         self.unidentified: set[Connection] = set()
-        self.complaints = RateLimitedLog(log)
+        self.limited_log = RateLimitedLog(log)
         self.stopping = False
         self.sent_bytes = self.refused = 0
         self.deadlines.set(self.clock.now() + HEARTBEAT_MS, self._send_heartbeats)
@@ -354,7 +354,7 @@
         now = self.clock.now()
         for connection in list(self.connections.values()):
             if now - connection.last_received_at > SILENCE_TIMEOUT_MS:
-                self.complaints.warn(now, connection.name, "closed: silent for too long")
+                self.limited_log.warn(now, connection.name, "closed: silent for too long")
                 connection.drop()
             else:
                 connection.send(encode_frame(HEARTBEAT))
--- a/frostport/net/peers.py
+++ b/frostport/net/peers.py
@@ -50,7 +50,7 @@
     transport: Any = None
 
     def __init__(self, broker: Broker, addresses: list[str]) -> None:
-        self.broker, self.complaints = broker, RateLimitedLog(log)
+        self.broker, self.limited_log = broker, RateLimitedLog(log)
         self.addresses = [split(address) for address in addresses]
         self.number_by_address = {address: number for number, address in enumerate(self.addresses)}
 
@@ -67,6 +67,6 @@
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
         sender = self.number_by_address.get((addr[0], addr[1]))
         if sender is None:
-            self.complaints.warn(self.broker.clock.now(), addr[0], "message from an unknown address dropped")
+            self.limited_log.warn(self.broker.clock.now(), addr[0], "message from an unknown address dropped")
         else:
             self.broker.peer_message_received(sender, datagram)
--- a/tests/diameter.py
+++ b/tests/diameter.py
@@ -72,7 +72,7 @@
             message = avp.read_header(frame)
             message.avps = avp.read_avps(frame[avp.HEADER_BYTES :])
             received = self.describe(message)
-            record_event(self, "hears", received)
+            record_event(self, "received", received)
             if message.is_request:
                 self.requests[received[""], received["tag"]] = message
             if received[""] == "CER" and not self.bare:
@@ -116,7 +116,7 @@
         name, *rest = text.split()
         session = rest.pop(0) if rest and "=" not in rest[0] else ""
         given = dict(pair.split("=", 1) for pair in rest)
-        record_event(self, "says", {"": name, "tag": session, **given})
+        record_event(self, "sent", {"": name, "tag": session, **given})
         avps = [make(avp.ORIGIN_HOST, given.get("host", self.name)), make(avp.ORIGIN_REALM, "there")]
         if session:
             avps.insert(0, make(avp.SESSION_ID, session))
@@ -195,17 +195,17 @@
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
         super().connectionLost(reason)
-        record_event(self, "hears", {"": "closed", "tag": ""})
+        record_event(self, "received", {"": "closed", "tag": ""})
 
     def close(self, how: str) -> None:
-        record_event(self, "says", {"": "closed", "tag": ""})
+        record_event(self, "sent", {"": "closed", "tag": ""})
         super().close(how)
 
 
 class DiameterWorld(World):
     """An agent with the Diameter front, and the log of all messages that its peers received and sent.
 
-    An entry has the time, the peer, "hears" or "says", the message, and since when the decision module has
+    An entry has the time, the peer, "received" or "sent", the message, and since when the decision module has
     taken no set-ups there (None: it does)."""
 
     actor = DiameterActor
@@ -215,14 +215,14 @@
         super().__init__(record)
 
 
-def record_event(actor: Actor, way: str, received: MessageFields) -> None:
+def record_event(actor: Actor, direction: str, message: MessageFields) -> None:
     """Adds a message to the log of the world."""
     world = actor.world
     if isinstance(world, DiameterWorld):
         agent = getattr(world, "agent", None)
         server = agent.rules.servers.get(actor.name) if agent is not None else None
         world.log.append(
-            (world.clock.at, actor.name, way, received, server.closed_since_ms if server else None)
+            (world.clock.at, actor.name, direction, message, server.closed_since_ms if server else None)
         )
 
 
@@ -232,8 +232,8 @@
     may_resend_at: dict[str, float] = {}  # session -> when it may be sent again, ms
     final_answers: dict[str, int] = {}
     set_ups: dict[str, int] = {}
-    for at, who, way, received, closed_since_ms in world.log:
-        name, call = received[""], received["tag"]
+    for at, who, direction, message, closed_since_ms in world.log:
+        name, call = message[""], message["tag"]
         if who.startswith("c"):
             set_ups[call] = set_ups.get(call, 0) + (name == "CCR-I")
             final_answers[call] = final_answers.get(call, 0) + (name == "CCA-I")
@@ -246,7 +246,7 @@
             if closed_since_ms is not None and at > closed_since_ms + 2000.0:
                 yield f"{call}: sent to {who}, draining since {at - closed_since_ms:.0f} ms"
             server_by_session[call] = who
-        elif name.startswith("CCA") and way == "says" and server_by_session.get(call) == who:
+        elif name.startswith("CCA") and direction == "sent" and server_by_session.get(call) == who:
             del server_by_session[call]
         elif name == "CCR-T" and server_by_session.get(call) == who:
             del server_by_session[call]
--- a/tests/test_diameter.py
+++ b/tests/test_diameter.py
@@ -429,8 +429,8 @@
     record = config(**{"retry-after": True, "max-retry-after-ms": 2000.0})
     world = play(SCENARIOS[name], record, DiameterWorld)
     assert isinstance(world, DiameterWorld)
-    for at, who, way, received, _ in world.log:
-        print(f"{at:.0f} {who} {way} {received}")
+    for at, who, direction, message, _ in world.log:
+        print(f"{at:.0f} {who} {direction} {message}")
     assert list(audit(world)) == []
     assert len(world.log) > 3
 
@@ -438,12 +438,12 @@
 def test_audit_reports_broken_rules() -> None:
     world = DiameterWorld(config())
     world.log = [
-        (0.0, "s0", "hears", {"": "CCR-I", "tag": "a"}, None),
-        (1.0, "s1", "hears", {"": "CCR-I", "tag": "a"}, None),
-        (2.0, "s1", "hears", {"": "CCR-T", "tag": "a"}, None),
-        (400.0, "s0", "hears", {"": "CCR-I", "tag": "a"}, None),
-        (2500.0, "s0", "hears", {"": "CCR-I", "tag": "b"}, 400.0),
-        (2600.0, "c1", "hears", {"": "CCA-I", "tag": "b"}, None),
+        (0.0, "s0", "received", {"": "CCR-I", "tag": "a"}, None),
+        (1.0, "s1", "received", {"": "CCR-I", "tag": "a"}, None),
+        (2.0, "s1", "received", {"": "CCR-T", "tag": "a"}, None),
+        (400.0, "s0", "received", {"": "CCR-I", "tag": "a"}, None),
+        (2500.0, "s0", "received", {"": "CCR-I", "tag": "b"}, 400.0),
+        (2600.0, "c1", "received", {"": "CCA-I", "tag": "b"}, None),
     ]
     assert len(list(audit(world))) == 4
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -154,8 +154,8 @@
     wanted = diameter.config(**{"retry-after": True, "max-retry-after-ms": 2000.0})
     world = play(test_diameter.SCENARIOS[name], wanted, DiameterLoopback)
     assert isinstance(world, DiameterLoopback)
-    for at, who, way, received, _ in world.log:
-        print(f"{at:.0f} {who} {way} {received}")
+    for at, who, direction, message, _ in world.log:
+        print(f"{at:.0f} {who} {direction} {message}")
     assert list(diameter.audit(world)) == []
 
 
@@ -248,10 +248,11 @@
                 program.wait()
 
 
+# Runs the program with the socket as descriptor 5.
 LAUNCH_WITH_FD_5 = (
     "import os, sys; os.dup2(int(sys.argv[1]), 5); "
     "os.execv(sys.executable, [sys.executable, '-m', 'frostport'])"
-)  # runs the program with the socket as descriptor 5
+)
 
 
 def ask(operator_port: int, line: bytes) -> bytes:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -229,9 +229,8 @@
 def test_handover(name: str) -> None:
     world: Any = play(HANDOVER[name], with_operator_port(), Upgraded)
     assert world.reactor.adopted is not None
-    assert not os.get_blocking(
-        world.held.fileno()
-    )  # the flag belongs to the shared socket; Twisted's accept must not block
+    # The flag belongs to the shared socket; Twisted's accept must not block.
+    assert not os.get_blocking(world.held.fileno())
     assert world.reactor.factory is None  # the old process stopped listening
     world.held.close()
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -814,7 +814,7 @@
     def step(self, line: str) -> None:
         match line.split():
             case ["expect", "agent", "answered", name, result]:
-                heard = [entry[3] for entry in self.log if entry[2] == "hears" and entry[3][""] == name]
+                heard = [entry[3] for entry in self.log if entry[2] == "received" and entry[3][""] == name]
                 assert heard and heard[-1].get("result") == result, heard[-1:]
             case _:
                 super().step(line)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -36,7 +36,7 @@
     return status, output.getvalue(), errors.getvalue()
 
 
-def test_every_event_is_taken_and_calls_are_sent() -> None:
+def test_every_event_is_accepted_and_calls_are_sent() -> None:
     status, out, errors = exchange(
         f"{LAUNCH}\n{LIST}",
         CALL,
@@ -86,7 +86,7 @@
     assert (made.note, made.wait_ms, made.report) == (3, 500.0, (3.0, 4.0))
 
 
-def test_marks_are_told_apart() -> None:
+def test_marks_of_a_call_are_read_separately() -> None:
     made = adapter.read_arrival(adapter.Fields("i c1 a - 5 1000.0 - 0 1 -1 26", 1))
     assert made.redial and made.in_transit and made.cut_before and made.number_called == 5
 
@@ -145,7 +145,7 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.binary(max_size=300), st.integers(-5, 2**40))
-def test_any_peer_message_is_taken(data: bytes, sender: int) -> None:
+def test_any_peer_message_is_accepted(data: bytes, sender: int) -> None:
     made = Controller(api.Settings(classes=(), peers=True), 1)
     made.handle(api.ListUpdate(api.ListKind.COMPLETE, 1, (api.Server("h:1", 1, api.Lifecycle.READY),)), 5.0)
     assert made.handle(api.PeerMessage(sender, data), 6.0) == []
