--- a/frostport/net/peers.py
+++ b/frostport/net/peers.py
@@ -24,9 +24,9 @@
 
 
 class SharedPort(udp.Port):
-    """A datagram port that two processes may bind while an upgrade overlaps (SO_REUSEPORT).
+    """A datagram port that two processes may bind during an upgrade (SO_REUSEPORT).
 
-    Otherwise the new process would fail with `address already in use` until the old one ends."""
+    Otherwise the successor would fail with `address already in use` until its predecessor ends."""
 
     def createInternetSocket(self) -> socket.socket:  # noqa: N802 (Twisted's name)
         made: socket.socket = super().createInternetSocket()
@@ -35,7 +35,7 @@
 
 
 def listen(reactor: Any, address: str, peers: Peers) -> None:
-    """Binds the datagram port; on a reactor with real sockets, shared with the process of an upgrade."""
+    """Binds the datagram port; on a reactor with real sockets, shared by both processes of an upgrade."""
     host, port = split(address)
     if not isinstance(reactor, PosixReactorBase):
         reactor.listenUDP(port, peers, interface=host)
@@ -50,7 +50,7 @@
     transport: Any = None
 
     def __init__(self, broker: Broker, addresses: list[str]) -> None:
-        self.broker, self.complaints = broker, RateLimitedLog(log)
+        self.broker, self.limited_log = broker, RateLimitedLog(log)
         self.addresses = [split(address) for address in addresses]
         self.number_by_address = {address: number for number, address in enumerate(self.addresses)}
 
@@ -67,6 +67,6 @@
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
         sender = self.number_by_address.get((addr[0], addr[1]))
         if sender is None:
-            self.complaints.warn(self.broker.clock.now(), addr[0], "message from an unknown address dropped")
+            self.limited_log.warn(self.broker.clock.now(), addr[0], "message from an unknown address dropped")
         else:
             self.broker.peer_message_received(sender, datagram)
--- a/tests/test_diameter.py
+++ b/tests/test_diameter.py
@@ -265,7 +265,7 @@
         send s0 ASR a cause=1
         expect c1 ASR a
     """,
-    "a peer back cold: its sessions are over, it passes REOPEN": ESTABLISHED
+    "a peer that has restarted: its sessions are over, it passes REOPEN": ESTABLISHED
     + """
         close s0
         send s0 state=2
@@ -279,7 +279,7 @@
         send c1 CCR-I c dest=s0 wait=3000
         expect s0 CCR-I c
     """,
-    "a peer that says goodbye gets nothing new; its set-up goes on": SET_UP
+    "a peer that asks to disconnect gets nothing new; its set-up goes on": SET_UP
     + """
         send s0 DPR why=0
         expect s0 DPA result=2001
@@ -429,8 +429,8 @@
     record = config(**{"retry-after": True, "max-retry-after-ms": 2000.0})
     world = play(SCENARIOS[name], record, DiameterWorld)
     assert isinstance(world, DiameterWorld)
-    for at, who, way, heard, _ in world.log:
-        print(f"{at:.0f} {who} {way} {heard}")
+    for at, who, direction, message, _ in world.log:
+        print(f"{at:.0f} {who} {direction} {message}")
     assert list(audit(world)) == []
     assert len(world.log) > 3
 
@@ -438,12 +438,12 @@
 def test_audit_reports_broken_rules() -> None:
     world = DiameterWorld(config())
     world.log = [
-        (0.0, "s0", "hears", {"": "CCR-I", "tag": "a"}, None),
-        (1.0, "s1", "hears", {"": "CCR-I", "tag": "a"}, None),
-        (2.0, "s1", "hears", {"": "CCR-T", "tag": "a"}, None),
-        (400.0, "s0", "hears", {"": "CCR-I", "tag": "a"}, None),
-        (2500.0, "s0", "hears", {"": "CCR-I", "tag": "b"}, 400.0),
-        (2600.0, "c1", "hears", {"": "CCA-I", "tag": "b"}, None),
+        (0.0, "s0", "received", {"": "CCR-I", "tag": "a"}, None),
+        (1.0, "s1", "received", {"": "CCR-I", "tag": "a"}, None),
+        (2.0, "s1", "received", {"": "CCR-T", "tag": "a"}, None),
+        (400.0, "s0", "received", {"": "CCR-I", "tag": "a"}, None),
+        (2500.0, "s0", "received", {"": "CCR-I", "tag": "b"}, 400.0),
+        (2600.0, "c1", "received", {"": "CCA-I", "tag": "b"}, None),
     ]
     assert len(list(audit(world))) == 4
 
@@ -475,13 +475,13 @@
     play(
         ESTABLISHED
         + """
-        door drain => OK draining
+        operator drain => OK draining
         send c1 CCR-I b dest=s1 wait=3000
         expect c1 CCA-I b result=3004
         expect s1 nothing
         send c1 CCR-T a
         expect s0 CCR-T a
-        door resume => OK serving
+        operator resume => OK serving
         send c1 CCR-I d dest=s1 wait=3000
         expect s1 CCR-I d
     """,
