--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -167,7 +167,7 @@
         if self.durability is not None:
             self.durability.restore(self)
         if self.inherited_fd is not None:
-            # An upgrade: the platform holds the socket, and the previous process still accepts on it.
+            # An upgrade: the platform holds the socket, and the predecessor still accepts on it.
             # Guards the reactor against a blocking accept: the platform hands the socket over in blocking
             # mode, Twisted accepts until no connection is left, and two processes race for each connection.
             os.set_blocking(self.inherited_fd, False)
@@ -269,7 +269,7 @@
     def terminate(self) -> None:
         """SIGTERM: keeps accepting for a short time, answers all open requests, then exits.
 
-        On an upgrade the newer process accepts on the same socket, and this one stops accepting at once."""
+        On an upgrade the successor accepts on the same socket, and this one stops accepting at once."""
         if self.inherited_fd is not None and self.lifecycle.can_enter(Phase.HANDING_OVER):
             self.lifecycle.enter(Phase.HANDING_OVER)
         elif self.lifecycle.can_enter(Phase.CLOSING):
--- a/frostport/config.py
+++ b/frostport/config.py
@@ -242,6 +242,7 @@
     return max(sockets // 2, sockets - RESERVED_SOCKETS)
 
 
+# Fields of the `admission` part, by how their values are checked.
 COUNT_FIELDS = (
     "by_address",
     "by_prefix",
--- a/frostport/diameter_side.py
+++ b/frostport/diameter_side.py
@@ -67,10 +67,10 @@
         """Restores the Origin-State-Id, the sessions, and the releases due to clients."""
         if restored.state_id is not None:
             self.identity.state_id = restored.state_id
-        for call, standing in restored.standing.items():
+        for call, standing in restored.established.items():
             self.adopt_call(call, standing)
         self._restore_ended_sessions(restored)
-        self.front.resume(restored.owed, restored.recorded_answer)
+        self.front.resume(restored.pending_ends, restored.recorded_answer)
 
     def adopt_call(self, call: str, standing: Standing) -> None:
         """Takes over an established call: restores its session."""
@@ -87,7 +87,7 @@
     def restore_from_predecessor(self, restored: Restored) -> None:
         """Takes over what the previous process has left; called while serving."""
         self._restore_ended_sessions(restored)
-        self.front.resume(restored.owed, restored.recorded_answer)
+        self.front.resume(restored.pending_ends, restored.recorded_answer)
         self.route.resume({}, restored.releases)
 
     def restore_owed_releases(self, restored: Restored) -> None:
--- a/frostport/durability.py
+++ b/frostport/durability.py
@@ -57,7 +57,7 @@
         self.config, self.engine, self.worker, self.handover = config, engine, worker, handover
         self.recovered_values = handover.initial_values() if handover is not None else engine.take_recovered()
         self.restored = Restored()
-        self.adopt_call: Callable[[str, records.Standing], None]  # takes over a call of the old process
+        self.adopt_call: Callable[[str, records.Standing], None]  # takes over a call of the predecessor
         self.committer: Committer | None = None
         self.recorder: StoreRecorder | None = None
 
@@ -71,7 +71,7 @@
     ) -> Durability:
         """Opens and recovers the store. Raises StoreError: one line that names file and offset.
 
-        With `upgrade`, an old process may still write to the store and then hands it over."""
+        With `upgrade`, a predecessor may still write to the store and then hands it over."""
         limits = Limits(
             config.segment_bytes, config.record_bytes, config.store_bytes, config.checkpoint_records
         )
@@ -120,7 +120,7 @@
     def _has_room(self) -> bool:
         return self.committer is None or not self.committer.nearly_full
 
-    def _on_store_state(self, state: committer.State, why: str) -> None:
+    def _on_store_state(self, state: committer.State, reason: str) -> None:
         if self.recorder is not None:
             self.recorder.store_open = state is committer.State.OPEN
         if state is not committer.State.OPEN:
@@ -129,10 +129,10 @@
                 if self.config.on_failure == "refuse"
                 else "SERVING WITHOUT IT: a crash now loses calls"
             )
-            log.error("store: %s: %s; %s", state.value, why, consequence)
+            log.error("store: %s: %s; %s", state.value, reason, consequence)
 
     def restore(self, agent: AgentWithStore) -> None:
-        """Passes restored calls, guards, servers, budgets and owed messages to the parts that own them.
+        """Passes restored calls, guards, servers, budgets and pending releases to the parts that own them.
 
         Called before any port or connection is open."""
         restored, broker = self.restored, agent.broker
@@ -142,8 +142,8 @@
                 "store: the clock was set back by %.0f ms since the last record", restored.clock_set_back_ms
             )
         self.committer.write([(key, None) for key in restored.expired_keys])
-        for call, standing in restored.standing.items():
-            restore_call(agent, call, standing)
+        for call, record in restored.established.items():
+            restore_call(agent, call, record)
         for call, over in sorted(restored.over.items(), key=lambda item: item[1].at):
             broker.ended_ids[call] = (over.at, over.not_before)
         for address, (server, _, stop_at) in restored.servers.items():
@@ -153,20 +153,20 @@
         if restored.state_id is None and (identity := getattr(agent.side, "identity", None)) is not None:
             self.recorder.record_node(identity.state_id)
         if self.handover is not None:
-            self.adopt_call = lambda call, standing: adopt_call(agent, call, standing)
+            self.adopt_call = lambda call, record: adopt_call(agent, call, record)
             self.handover.attach(agent, self)
 
     def servers_known(self, agent: AgentWithStore) -> None:
-        """Called once the servers are known: restores owed releases, and ends calls whose server is gone."""
+        """Called once the servers are known: restores pending releases, ends calls whose server is gone."""
         agent.side.restore_owed_releases(self.restored)
         for request in agent.broker.requests:
             if request.attempt is not None and not agent.side.knows_server(request.attempt.server):
                 agent.broker.attempt_ended(request.attempt, Outcome.RESET)
         log.info(
-            "store: restored: %d calls established, %d ids of ended calls known, %d releases owed",
+            "store: restored: %d calls established, %d ids of ended calls known, %d releases pending",
             len(agent.broker.requests),
             len(agent.broker.ended_ids),
-            len(self.restored.releases) + len(self.restored.owed),
+            len(self.restored.releases) + len(self.restored.pending_ends),
         )
         self.restored = Restored()
 
@@ -195,28 +195,28 @@
         }
 
 
-def adopt_call(agent: AgentWithStore, call: str, standing: records.Standing) -> None:
-    """Takes over an established call of the old process, while this one is already serving."""
-    restore_call(agent, call, standing)
-    agent.side.adopt_call(call, standing)
+def adopt_call(agent: AgentWithStore, call: str, record: records.Standing) -> None:
+    """Takes over an established call of the predecessor, while this one is already serving."""
+    restore_call(agent, call, record)
+    agent.side.adopt_call(call, record)
 
 
-def restore_call(agent: AgentWithStore, call: str, standing: records.Standing) -> None:
+def restore_call(agent: AgentWithStore, call: str, record: records.Standing) -> None:
     """Adds an established call from before the restart to the broker; it has no client connection yet."""
     request = Request(
         call,
-        standing.service,
+        record.service,
         "",
         "",
-        standing.at,
+        record.at,
         agent.side.front,
         -1,
-        standing.team,
-        client=standing.client,
-        end_to_end_id=standing.identity,
+        record.team,
+        client=record.client,
+        end_to_end_id=record.identity,
     )
-    request.state, request.established_at_ms, request.answer = State.ESTABLISHED, standing.at, "stands"
-    request.recorded_answer, request.attempts = recovery.recorded_answer(standing), 1
-    request.attempt = Attempt(request, 0, standing.server, standing.at, standing.at, pending=False)
+    request.state, request.established_at_ms, request.answer = State.ESTABLISHED, record.at, "stands"
+    request.recorded_answer, request.attempts = recovery.recorded_answer(record), 1
+    request.attempt = Attempt(request, 0, record.server, record.at, record.at, pending=False)
     request.slot = agent.broker.requests.add(request)
     agent.broker.slots_by_id[call] = request.slot
--- a/frostport/handover.py
+++ b/frostport/handover.py
@@ -1,15 +1,16 @@
-"""Handover of the store on an upgrade: the old process still writes to it while the new one already serves.
+"""Handover of the store on an upgrade: the predecessor still writes to it while its successor, this process,
+already serves.
 
 The steps, each of which may be interrupted by the end of either process:
 
-1. The new process can't lock the store. It locks the folder `next` inside it, and writes all its records
+1. The successor can't lock the store. It locks the folder `next` inside it, and writes all its records
    there: each of the two stores has one writer.
-2. It follows the records of the old process: calls established there can be ended here, recorded answers are
+2. It follows the records of the predecessor: calls established there can be ended here, recorded answers are
    repeated, and a call with an attempt pending there gets none here until that has ended and the release
    guard has passed.
-3. The old process exits or dies, which frees its lock. The new one locks the store, merges the records of
+3. The predecessor exits or dies, which frees its lock. The successor locks the store, merges the records of
    `next` into it by the rule of state/merge.py as one batch, continues to write there and empties `next`.
-4. Pending attempts and owed releases of the old process are handled as after a restart.
+4. Pending attempts and pending releases of the predecessor are handled as after a restart.
 
 A process that starts and finds records in `next` performs step 3 first: whichever process died in between,
 no change is lost or undone.
@@ -40,7 +41,7 @@
 log = logging.getLogger("frostport.store")
 
 NEXT_FOLDER = "next"
-FOLLOW_INTERVAL_MS = 100.0  # between two polls of the old process's store and lock; each call polls too
+FOLLOW_INTERVAL_MS = 100.0  # between two polls of the predecessor's store and lock; each call polls too
 
 
 class HandoverState(Enum):
@@ -86,15 +87,15 @@
     return values
 
 
-def close_next(later: Engine, folder: DiskFolder) -> None:
+def close_next(engine: Engine, folder: DiskFolder) -> None:
     """Closes the store in `next`, empties it while it is locked, and releases the lock."""
-    later.close(unlock=False)
+    engine.close(unlock=False)
     remove_store(folder)
     folder.unlock()
 
 
 class Handover:
-    """The new process's side of a handover; its own records go to `next` through `Durability` meanwhile."""
+    """The successor's side of a handover; its own records go to `next` through `Durability` meanwhile."""
 
     def __init__(self, path: pathlib.Path, limits: Limits) -> None:
         """Raises LockedError if a third process is already taking over; StoreError, OSError."""
@@ -110,24 +111,24 @@
             self.engine.close()
             raise
         self.state = HandoverState.FOLLOWING
-        # Calls that are open in the old process, or established there but not here.
+        # Calls that are open in the predecessor, or established there but not here.
         self.pending_in_predecessor: set[str] = set()
-        # Calls established in the old process that are established here too, or have been ended here since.
+        # Calls established in the predecessor that are established here too, or have been ended here since.
         self.adopted: set[str] = set()
         # By pending call and server: handles that server's message on it, an end or a repeated answer.
         self.deferred: dict[tuple[str, str], Continuation] = {}
 
     def initial_values(self) -> dict[str, bytes]:
-        """Returns the records to start with: its own, and those of the old process except for its calls.
+        """Returns the records to start with: its own, and those of the predecessor except for its calls.
 
-        Of the old process that is the server list, the bus position, the peers and the node."""
+        Of the predecessor that is the server list, the bus position, the peers and the node."""
         own = self.engine.take_recovered()
         tables = (records.SERVER, records.PEER, records.BUS, records.NODE)
         theirs = {key: value for key, value in self.follower.values.items() if key.startswith(tables)}
         return {**theirs, **own}
 
     def attach(self, agent: AgentWithStore, durability: Durability) -> None:
-        """Starts to follow the old process; called once calls can be restored, before any port is open."""
+        """Starts to follow the predecessor; called once calls can be restored, before any port is open."""
         self.agent, self.durability = agent, durability
         assert durability.recorder is not None
         durability.recorder.handover = self
@@ -148,31 +149,31 @@
         except LockedError:
             self._schedule_poll()
             return
-        # Guards against records that the old process wrote between the poll and its end: there is no other
+        # Guards against records that the predecessor wrote between the poll and its end: there is no other
         # poll until this process owns the store.
         self.poll()
         self._take_over()
 
-    # While the old process is alive
+    # While the predecessor is alive
 
     def poll(self) -> None:
-        """Applies what the old process has written since the last poll; an error ends this poll only."""
+        """Applies what the predecessor has written since the last poll; an error ends this poll only."""
         if self.state is HandoverState.FOLLOWING:
             try:
                 for key, value in self.follower.poll().items():
                     self._apply(key, value)
             except (StoreError, OSError) as problem:
-                log.error("store: can't read the old process's records: %s", problem)
+                log.error("store: can't read the predecessor's records: %s", problem)
             self._run_deferred()
 
     def defers(self, call: str, server: str, then: Continuation) -> bool:
-        """Defers a server's message on a call that is pending in the old process; returns whether it did.
+        """Defers a server's message on a call that is pending in the predecessor; returns whether it did.
 
         `then` handles the message; it runs once the call is no longer pending there.
 
-        Guards against an end that overtakes the answer, which the old process has recorded or is about to.
-        Also guards against an answer that is repeated here, on a connection newer than the old process's: a
-        call not known here would be released, while it may be established by the old process's records."""
+        Guards against an end that overtakes the answer, which the predecessor has recorded or is about to.
+        Also guards against an answer that is repeated here, on a connection newer than the predecessor's: a
+        call not known here would be released, while it may be established by the predecessor's records."""
         self.poll()
         if call not in self.pending_in_predecessor:
             return False
@@ -181,13 +182,12 @@
 
     def _run_deferred(self) -> None:
         for key in [key for key in self.deferred if key[0] not in self.pending_in_predecessor]:
-            if (
-                then := self.deferred.pop(key, None)
-            ) is not None:  # an earlier continuation may have polled and run it
+            # An earlier continuation may have polled and run it.
+            if (then := self.deferred.pop(key, None)) is not None:
                 then()
 
     def pending_elsewhere(self, call: str) -> bool:
-        """Whether the old process may have a pending attempt of this call."""
+        """Whether the predecessor may have a pending attempt of this call."""
         return call in self.pending_in_predecessor
 
     def _apply(self, key: str, value: bytes | None) -> None:
@@ -203,7 +203,7 @@
                     self.pending_in_predecessor.add(call)
             case Standing():
                 if request is None and call not in self.adopted:
-                    # Also if an earlier set-up of it has ended: the client repeated it at the old process.
+                    # Also if an earlier set-up of it has ended: the client repeated it at the predecessor.
                     broker.ended_ids.pop(call, None)
                     self.durability.adopt_call(call, record)
                     self.adopted.add(call)
@@ -217,7 +217,7 @@
                 if isinstance(record, Over) and call not in broker.slots_by_id:
                     broker.ended_ids[call] = (self.agent.clock.now(), record.not_before)
 
-    # Once the old process has ended
+    # Once the predecessor has ended
 
     def _take_over(self) -> None:
         self.state = HandoverState.TAKING_OVER
@@ -249,7 +249,7 @@
         self._schedule_poll()
 
     def _taken_over(self, old_values: dict[str, bytes]) -> None:
-        """This process owns the store: takes over the calls and owed messages of the old one."""
+        """This process owns the store: takes over the calls and pending releases of the predecessor."""
         for key in old_values.keys() | self.follower.values.keys():
             if old_values.get(key) != self.follower.values.get(key):
                 self._apply(key, old_values.get(key))
@@ -270,10 +270,10 @@
                 broker.ended_ids[call] = (over.at, max(over.not_before, guard))
         for call in self.pending_in_predecessor:
             if (request := broker.find_request(call)) is not None:
-                # Its attempt ended with the old process, now at the latest. If established, it is released.
+                # Its attempt ended with the predecessor, now at the latest. If established, it is released.
                 request.not_before = now + agent.rules.settings.release_guard_ms
-                if call in restored.standing:
-                    restored.releases[restored.standing[call].server, call] = None
+                if call in restored.established:
+                    restored.releases[restored.established[call].server, call] = None
         agent.side.restore_from_predecessor(restored)
         self.pending_in_predecessor.clear()
         self.adopted.clear()
@@ -281,7 +281,7 @@
         self.durability.recorder.handover_done()
         self._run_deferred()
         log.info(
-            "store: taken over: %d calls established, %d releases owed",
+            "store: taken over: %d calls established, %d releases pending",
             len(broker.requests),
-            len(restored.releases) + len(restored.owed),
+            len(restored.releases) + len(restored.pending_ends),
         )
--- a/frostport/platform_side.py
+++ b/frostport/platform_side.py
@@ -85,7 +85,7 @@
                 restored.version,
                 [(server, dial) for server, dial, _ in restored.servers.values() if dial],
             )
-        self.front.resume(restored.owed, restored.recorded_answer)
+        self.front.resume(restored.pending_ends, restored.recorded_answer)
 
     def restore_owed_releases(self, restored: Restored) -> None:
         """Restores the releases due to servers; called once the servers are known."""
@@ -96,7 +96,7 @@
 
     def restore_from_predecessor(self, restored: Restored) -> None:
         """Takes over the releases that the previous process still had to make; called while serving."""
-        self.front.resume(restored.owed, restored.recorded_answer)
+        self.front.resume(restored.pending_ends, restored.recorded_answer)
         self.servers.resume(restored.releases)
 
     def knows_server(self, server: str) -> bool:
--- a/frostport/replication/settings.py
+++ b/frostport/replication/settings.py
@@ -10,7 +10,7 @@
     """Settings of an owner's streams."""
 
     copies: int = 2  # holders of each stream
-    # Holders that must confirm a record before its effect leaves the agent; with 0, nothing waits (`soon`).
+    # Holders that must confirm a record before its effect leaves the agent; with 0, nothing waits.
     required_acks: int = 1
     retained_batches: int = 4000  # kept in memory to be sent again
     window_batches: int = 256  # unacknowledged batches in flight to a holder
--- a/frostport/replication/stream.py
+++ b/frostport/replication/stream.py
@@ -50,7 +50,7 @@
     round_base: int = 0  # last batch when the round started
     acked: int = 0
     sent: int = 0
-    heard_at_ms: float = 0.0
+    last_received_at_ms: float = 0.0
     sent_at_ms: float = -math.inf
     pending_ranges: deque[int] = field(default_factory=deque)
     pending_entries: list[tuple[str, bytes]] = field(default_factory=list)  # entries of the range being sent
@@ -155,7 +155,7 @@
             case RangesWanted(_, _, batch_number, range_numbers, round_number) if (
                 holder.phase is Phase.NEW and round_number == holder.round
             ):
-                holder.heard_at_ms, holder.acked = now_ms, max(holder.acked, batch_number)
+                holder.last_received_at_ms, holder.acked = now_ms, max(holder.acked, batch_number)
                 holder.pending_ranges.extend(
                     range_number for range_number in range_numbers if 0 <= range_number < 256
                 )
@@ -164,7 +164,7 @@
             case Ack(_, _, batch_number, verified, complete, round_number) if (
                 round_number == holder.round or (round_number == 0 and verified)
             ):
-                holder.heard_at_ms = now_ms
+                holder.last_received_at_ms = now_ms
                 if batch_number > self.batch_number:
                     # it has batches that this process never wrote
                     self._start_round(sender, holder, now_ms, out)
@@ -245,7 +245,7 @@
         for name, holder in self.holders.items():
             if holder.phase is Phase.TRANSFER and holder.pending_ranges:
                 self._send_parts(name, holder, now_ms, out)
-            elif now_ms - max(holder.sent_at_ms, holder.heard_at_ms) < RESEND_INTERVAL_MS:
+            elif now_ms - max(holder.sent_at_ms, holder.last_received_at_ms) < RESEND_INTERVAL_MS:
                 continue
             elif holder.phase is Phase.VERIFICATION and holder.sent == self.batch_number:
                 self._send_verify(name, holder, now_ms, out)
--- a/frostport/state/merge.py
+++ b/frostport/state/merge.py
@@ -1,9 +1,9 @@
-"""Merges two copies of the records: those of the old process, and those that its successor has written.
+"""Merges two copies of the records: those of the predecessor, and those that its successor has written.
 
 If both have a record for a call, `Over` wins over `Standing`, and `Standing` over `Open`. A final answer is
 never replaced by another: of two `Over` records the one with an answer wins, and of two answers the earlier.
 Of two budgets of a team the one with fewer tokens wins, of all other records the newer. A release or an end
-of call that is owed according to either copy remains owed.
+of call that is pending according to either copy remains pending.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
     """Returns the changes that merge `later` into `main`. Raises BadRecordError."""
     needed: list[tuple[str, bytes | None]] = []
     for key, value in later.items():
-        mine = main.get(key)
-        if mine is None:
+        current = main.get(key)
+        if current is None:
             needed.append((key, value))
-        elif mine != value:
-            kept = records.encode(preferred(records.decode(key, mine)[2], records.decode(key, value)[2]))
-            if kept != mine:
+        elif current != value:
+            kept = records.encode(preferred(records.decode(key, current)[2], records.decode(key, value)[2]))
+            if kept != current:
                 needed.append((key, kept))
     return needed
--- a/frostport/state/recorder.py
+++ b/frostport/state/recorder.py
@@ -40,8 +40,8 @@
         """Writes `changes` as one batch, then runs `then`, in the order of the calls."""
 
 
-class OtherProcess(Protocol):
-    """The old process on the same store, which hands the store over (see handover.py)."""
+class Predecessor(Protocol):
+    """The predecessor on the same store, which hands the store over (see handover.py)."""
 
     def poll(self) -> None: ...
 
@@ -59,7 +59,7 @@
 
     def __init__(self, sink: Sink, clock: Clock, on_failure: OnFailure = OnFailure.REFUSE) -> None:
         self.sink, self.clock, self.on_failure = sink, clock, on_failure
-        self.handover: OtherProcess | None = None  # set while an old process still writes to the store
+        self.handover: Predecessor | None = None  # set while a predecessor still writes to the store
         self._deferred_deletions: list[str] = []  # ids of calls forgotten during the handover
         self.store_open = True  # whether the store works and answers in time
         self.has_room: Callable[[], bool] = lambda: True  # whether the store is not nearly full
@@ -107,10 +107,10 @@
             request.end_to_end_id,
         )
 
-    def _over_record(self, request: Request, server: str, owed: bool = False) -> records.Over:
-        """Keeps the answer if a repeated request may still need it, e.g. while the client is owed the end."""
+    def _over_record(self, request: Request, server: str, end_pending: bool = False) -> records.Over:
+        """Keeps the answer if a repeated request may still need it, e.g. until the client is sent the end."""
         given = request.recorded_answer
-        if given is None or (isinstance(given.answer, str) and not owed):
+        if given is None or (isinstance(given.answer, str) and not end_pending):
             return records.Over(
                 request.answer,
                 server,
@@ -173,18 +173,18 @@
         self._put(CALL + request.id, self._over_record(request, server), then)
 
     def record_end(self, request: Request, server: str, outcome: Outcome | None, then: Continuation) -> None:
-        record = self._over_record(request, server, owed=outcome is not None)
+        record = self._over_record(request, server, end_pending=outcome is not None)
         changes: list[Change] = [(CALL + request.id, records.encode(record))]
         if outcome is not None:
-            # In one batch: if the end were recorded without being owed, a crash in between would lose it.
-            changes.append((OWED + request.id, self._encode_owed(request.client, outcome)))
+            # In one batch: a crash between the two records would lose the notification of the client.
+            changes.append((OWED + request.id, self._encode_pending_end(request.client, outcome)))
         self.sink.write(changes, then)
 
-    def _encode_owed(self, client: str, outcome: Outcome) -> bytes:
+    def _encode_pending_end(self, client: str, outcome: Outcome) -> bytes:
         return records.encode(records.Owed(client, outcome.value, self.clock.now()))
 
     def record_owed_end(self, call: str, client: str, outcome: Outcome, then: Continuation) -> None:
-        self.sink.write(((OWED + call, self._encode_owed(client, outcome)),), then)
+        self.sink.write(((OWED + call, self._encode_pending_end(client, outcome)),), then)
 
     def clear_owed_end(self, call: str) -> None:
         self._drop(OWED + call)
@@ -197,7 +197,7 @@
 
     def forget_call(self, call: str) -> None:
         if self.handover is not None:
-            # Guards against a call that the old process's store has as established, and that only this record
+            # Guards against a call that the predecessor's store has as established, and that only this record
             # marks as ended.
             self._deferred_deletions.append(call)
         else:
--- a/frostport/state/records.py
+++ b/frostport/state/records.py
@@ -27,7 +27,7 @@
 
 
 class Standing(msgspec.Struct, tag="s", array_like=True):
-    """A call that is established at `server` since `at`; `answer` is what its client was or is to be told."""
+    """A call that is established at `server` since `at`; `answer` is what its client was or is to be sent."""
 
     server: str
     at: float
@@ -44,7 +44,7 @@
     """A call that is over: its final answer ("stands", "refused", "failed", "gone") and its last server.
 
     `body` is kept only if the front answers repeated requests, or if the client may not have received the
-    answer. `back_ms`: how long the client was told not to ask again."""
+    answer. `back_ms`: the retry-after that the client was sent."""
 
     answer: str
     server: str
@@ -91,7 +91,7 @@
 
 
 class Owed(msgspec.Struct, array_like=True):
-    """A client has to be told of the end of a call; "" if the client is not known."""
+    """A pending end: `client` has to be notified that a call has ended; "" if the client is not known."""
 
     client: str
     outcome: str
@@ -99,7 +99,7 @@
 
 
 class Release(msgspec.Struct, array_like=True):
-    """A server has to be told to release a call."""
+    """A pending release: a server has to be sent the release of a call."""
 
     at: float
 
--- a/frostport/state/recovery.py
+++ b/frostport/state/recovery.py
@@ -1,7 +1,7 @@
 """Restores the state of the agent from its records. Pure functions of the records and the time.
 
-- An attempt that was pending counts as reset now: its release guard starts now, and its server is told to
-  release the call.
+- An attempt that was pending counts as reset now: its release guard starts now, and its server is sent
+  a release of the call.
 - An established call stays established at its server. One older than any call can be is dropped.
 - A call that ended shortly before the last record is released at its server again, since the first release
   may not have been sent.
@@ -22,8 +22,8 @@
 
 ENDED_CALL_RETENTION_MS = 60_000.0  # as long as the broker keeps the ids of ended calls
 RELEASE_REPEAT_WINDOW_MS = 2_000.0  # calls that ended this shortly before the last record are released again
-OWED_END_RETENTION_MS = 60_000.0  # as long as the fronts keep ends that they owe to clients
-OWED_RELEASE_RETENTION_MS = 24 * 3600_000.0  # then the server is taken never to come back
+PENDING_END_RETENTION_MS = 60_000.0  # as long as the fronts keep ends that they have to send to clients
+PENDING_RELEASE_RETENTION_MS = 24 * 3600_000.0  # then the server is assumed never to come back
 MAX_CALL_AGE_MS = 24 * 3600_000.0  # no call lasts longer: the end of an older one was missed
 
 
@@ -44,11 +44,11 @@
 class Restored:
     """The restored state. Times are corrected for a clock that was set back."""
 
-    standing: dict[str, Standing] = field(default_factory=dict)
+    established: dict[str, Standing] = field(default_factory=dict)
     over: dict[str, Over] = field(default_factory=dict)  # including attempts that were pending
-    # By call: client, outcome, since.
-    owed: dict[str, tuple[str, Outcome, float]] = field(default_factory=dict)
-    releases: dict[tuple[str, str], None] = field(default_factory=dict)  # (server, call)
+    # Ends that clients have to be notified of. By call: client, outcome, since.
+    pending_ends: dict[str, tuple[str, Outcome, float]] = field(default_factory=dict)
+    releases: dict[tuple[str, str], None] = field(default_factory=dict)  # pending: (server, call)
     # By address: server, dial address, since when it takes no new calls.
     servers: dict[str, tuple[api.Server, str, float | None]] = field(default_factory=dict)
     # By team and service: tokens, at.
@@ -106,7 +106,7 @@
             if now_ms - at > MAX_CALL_AGE_MS:
                 return False
             record.at = at
-            restored.standing[name] = record
+            restored.established[name] = record
         case Over():
             if record.server and last_at - at <= RELEASE_REPEAT_WINDOW_MS:
                 restored.releases[record.server, name] = None
@@ -116,11 +116,11 @@
             record.answered_at += shift if record.answered_at else 0.0
             restored.over[name] = record
         case records.Owed():
-            if now_ms - at > OWED_END_RETENTION_MS:
+            if now_ms - at > PENDING_END_RETENTION_MS:
                 return False
-            restored.owed[name] = (record.client, Outcome(record.outcome), at)
+            restored.pending_ends[name] = (record.client, Outcome(record.outcome), at)
         case records.Release():
-            if now_ms - at > OWED_RELEASE_RETENTION_MS:
+            if now_ms - at > PENDING_RELEASE_RETENTION_MS:
                 return False
             server, _, call = name.partition(KEY_SEPARATOR)
             restored.releases[server, call] = None
--- a/frostport/store/committer.py
+++ b/frostport/store/committer.py
@@ -1,5 +1,5 @@
-"""Group commit: all changes written in one turn of the reactor are made durable together, on a separate
-thread.
+"""Group commit: all changes written in one iteration of the event loop are made durable together, on a
+separate thread.
 
 The reactor's side only fills a queue and runs callbacks. The state says how far the store can be trusted.
 OPEN: it works. STALLED: a commit takes longer than `stall_ms` because the disk hangs. FAILED: a write or
@@ -196,8 +196,8 @@
             self._stall_timer = self.deadlines.set(self._commit_started_at + self.stall_ms, self._on_stall)
 
         def job() -> Callable[[], None]:
-            outcome = commit(self.engine, groups, sync)
-            return lambda: self._on_commit_done(outcome, count)
+            result = commit(self.engine, groups, sync)
+            return lambda: self._on_commit_done(result, count)
 
         self.worker.submit(job)
 
@@ -217,21 +217,21 @@
         self._background_running = True
 
         def job() -> Callable[[], None]:
-            outcome = run_background_steps(self.engine, steps)
-            return lambda: self._on_background_done(outcome)
+            result = run_background_steps(self.engine, steps)
+            return lambda: self._on_background_done(result)
 
         self.worker.submit(job)
 
-    def _on_background_done(self, outcome: CommitResult) -> None:
+    def _on_background_done(self, result: CommitResult) -> None:
         self._background_running = False
         if self.state is State.CLOSED:
             return
-        if outcome.failure is not None:
-            self._fail(outcome.failure)
-        elif outcome.more_work and self._running_callbacks is None:
+        if result.failure is not None:
+            self._fail(result.failure)
+        elif result.more_work and self._running_callbacks is None:
             self._start_background_work(1)
 
-    def _on_commit_done(self, outcome: CommitResult, count: int) -> None:
+    def _on_commit_done(self, result: CommitResult, count: int) -> None:
         if self.state is State.CLOSED:
             return
         callbacks, self._running_callbacks = self._running_callbacks or [], None
@@ -240,21 +240,21 @@
             self._stall_timer.cancel()
             self._stall_timer = None
         self.commits, self.written = self.commits + 1, self.written + count
-        if outcome.failure is not None:
+        if result.failure is not None:
             self._queued_callbacks[:0] = callbacks
             self._running_groups = groups
-            self._fail(outcome.failure)
+            self._fail(result.failure)
             return
         if groups and self.durability is not Durability.ALWAYS:
-            self._unsynced_groups.append((outcome.written, groups))
-        while self._unsynced_groups and self._unsynced_groups[0][0] <= outcome.synced:
+            self._unsynced_groups.append((result.written, groups))
+        while self._unsynced_groups and self._unsynced_groups[0][0] <= result.synced:
             self._unsynced_groups.popleft()
-        if outcome.rejected is not None:
-            log.error("store: batch not written: %s", outcome.rejected)
+        if result.rejected is not None:
+            log.error("store: batch not written: %s", result.rejected)
         self.nearly_full = self.engine.live_bytes > NEARLY_FULL_RATIO * self.engine.limits.store_bytes
         if self.state is State.STALLED:
             self._set_state(State.OPEN, "the disk answers again")
-        if outcome.more_work:
+        if result.more_work:
             self._start_background_work(1 + count // CHANGES_PER_BACKGROUND_STEP)
         for callback in callbacks:
             run_callback(callback)
--- a/frostport/store/follower.py
+++ b/frostport/store/follower.py
@@ -70,7 +70,7 @@
         try:
             size = file.size()
             if size < segment.size:
-                raise DamagedError(frames.segment_name(segment.number), size, "cut back")
+                raise DamagedError(frames.segment_name(segment.number), size, "truncated")
             if size > segment.size:
                 recovery.apply_batches(
                     contents, segment, file.read_at(segment.size, size - segment.size), 0, segment.size
--- a/frostport/store/index.py
+++ b/frostport/store/index.py
@@ -112,9 +112,9 @@
             # The digest exceeds SQLite's 64-bit integers and is stored as text.
             if not all(isinstance(value, int) for value in (*row[:5], row[6])) or not isinstance(row[5], str):
                 raise ValueError("the checkpoint's row has a wrong type")
-            written, sequence, segment, offset, count, digest, crc = row
-            checkpoint = Checkpoint(written, sequence, segment, offset, count, int(digest))
-            if crc != checkpoint.crc() or written != store_id:
+            found_store_id, sequence, segment, offset, count, digest, crc = row
+            checkpoint = Checkpoint(found_store_id, sequence, segment, offset, count, int(digest))
+            if crc != checkpoint.crc() or found_store_id != store_id:
                 raise ValueError("the checkpoint is damaged or belongs to another store")
         except (sqlite3.Error, ValueError, OSError, OverflowError) as problem:
             self.discard(f"damaged, rebuilding it from the log: {problem}")
--- a/frostport/store/recovery.py
+++ b/frostport/store/recovery.py
@@ -42,7 +42,7 @@
     tail."""
 
     store_id: int
-    acknowledged: int
+    acknowledged: int  # sequence number in the watermark
     segments: list[Segment] = field(default_factory=list)
     locations: dict[str, Location] = field(default_factory=dict)
     values: dict[str, bytes] = field(default_factory=dict)
@@ -94,10 +94,10 @@
     if (
         data[:8] == frames.MANIFEST_MAGIC
         and len(data) >= 12
-        and (written := int.from_bytes(data[8:12], "little")) != frames.FORMAT_VERSION
+        and (found_version := int.from_bytes(data[8:12], "little")) != frames.FORMAT_VERSION
     ):
         raise UnknownFormatError(
-            f"{MANIFEST_NAME}:8: format {written}, only {frames.FORMAT_VERSION} is known here"
+            f"{MANIFEST_NAME}:8: format {found_version}, only {frames.FORMAT_VERSION} is known here"
         )
     fields = frames.unpack_with_crc(MANIFEST, frames.MANIFEST_MAGIC, data)
     if fields is None or len(data) != MANIFEST.size:
--- a/frostport/store/watermark.py
+++ b/frostport/store/watermark.py
@@ -19,11 +19,11 @@
 def read_slots(data: bytes) -> tuple[int, int, int] | None:
     """Returns store id, sequence and slot number of the intact slot with the highest sequence; None if
     neither is intact."""
-    locations = [
+    slots = [
         unpack_with_crc(WATERMARK_SLOT, WATERMARK_MAGIC, data[offset : offset + WATERMARK_SLOT.size])
         for offset in (0, WATERMARK_SLOT.size)
     ]
-    sound = [(*slot, number) for number, slot in enumerate(locations) if slot is not None]
+    sound = [(*slot, number) for number, slot in enumerate(slots) if slot is not None]
     return max(
         ((store_id, sequence, number) for store_id, sequence, number in sound),
         key=lambda slot: slot[1],
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -886,10 +886,10 @@
     values = {key: records.encode(record) for key, record in kept.items()}
     restored = recovery.restore(values, now, 500.0)
     assert set(restored.expired_keys) == {"call/old", "call/over", "owed/x"}
-    assert restored.standing.keys() == {"new"} and list(restored.releases) == [("s0", "late")]
+    assert restored.established.keys() == {"new"} and list(restored.releases) == [("s0", "late")]
     earlier = recovery.restore(values, now - 1e6, 500.0)
     assert earlier.clock_set_back_ms == 1e6 - 10
-    assert earlier.standing["new"].at == now - 5000 - earlier.clock_set_back_ms
+    assert earlier.established["new"].at == now - 5000 - earlier.clock_set_back_ms
     assert earlier.over["late"].not_before == now + 100 - earlier.clock_set_back_ms
     assert earlier.budgets["t", "race"] == (1.5, now - 10 - earlier.clock_set_back_ms)
 
