--- a/tests/restart.py
+++ b/tests/restart.py
@@ -107,8 +107,8 @@
                 self.disk.state = how
                 self.disk.schedule()
             case ["expect", "agent", "standing", count]:
-                standing = [request.id for request in self.agent.broker.requests]
-                assert len(standing) == int(count), f"{standing} stand"
+                established = [request.id for request in self.agent.broker.requests]
+                assert len(established) == int(count), f"{established} are established"
             case ["expect", "agent", "store", state]:
                 state_found = self.agent.durability.snapshot()["state"]
                 assert state_found == state, f"the store is {state_found}"
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,6 +1,6 @@
 """Handover of the store between two processes.
 
-Covers the merge rule for records that differ, messages of servers on calls of the old process, and two real
+Covers the merge rule for records that differ, messages of servers on calls of the predecessor, and two real
 processes on one store and one listening socket, with either of them killed at each step.
 """
 
@@ -93,9 +93,9 @@
 
 
 class HandoverWorld(World):
-    """The new process of an upgrade, on a manual clock.
+    """The successor of an upgrade, on a manual clock.
 
-    `send old open a`, `stands a`, `over a`: the old process writes such a record; `ends`: it has ended."""
+    `send old open a`, `stands a`, `over a`: the predecessor writes such a record; `ends`: it has ended."""
 
     def __init__(self, record: dict[str, Any]) -> None:
         self.path = pathlib.Path(record["store"]["path"])
@@ -141,8 +141,8 @@
     expect s0 nothing
 """
 END_SCRIPTS = {
-    "heard since the last look at an answer": "send old stands a\nsend s0 FINISH a rc=16\n" + REPEATED,
-    "heard before the answer is on record": """
+    "received after the answer is recorded": "send old stands a\nsend s0 FINISH a rc=16\n" + REPEATED,
+    "received before the answer is recorded": """
         send old open a
         send s0 FINISH a rc=16
         wait 200
@@ -152,7 +152,7 @@
         wait 100
     """
     + REPEATED,
-    "and the old process has given the call up": """
+    "and the predecessor has given up the call": """
         send old open a
         send s0 FINISH a rc=16
         send old over a
@@ -164,7 +164,7 @@
         expect c1 nothing
         send old ends
     """,
-    "and an answer told again, with the old process gone before its last look": """
+    "and a repeated answer, with the predecessor gone before the next poll": """
         send old open a
         wait 100
         send s0 STARTED a blob=x
@@ -176,7 +176,7 @@
         send s0 FINISH a rc=16
         expect agent standing 0
     """,
-    "and the old process is gone with the attempt out": """
+    "and the predecessor has ended with the attempt pending": """
         send old open a
         send s0 FINISH a rc=16
         send old ends
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("name", END_SCRIPTS)
-def test_the_servers_end_of_a_call_of_the_old_process(name: str, tmp_path: pathlib.Path) -> None:
+def test_the_servers_end_of_a_call_of_the_predecessor(name: str, tmp_path: pathlib.Path) -> None:
     world = play(
         END_SCRIPTS[name], {**platform(), "store": {"path": str(tmp_path / "s.store")}}, HandoverWorld
     )
@@ -261,7 +261,7 @@
             except ConnectionError:
                 pass
             await asyncio.sleep(0.01)
-        raise TimeoutError("the operator port does not report ready")
+        raise TimeoutError("the operators' port does not report ready")
 
     async def wait_for_log(self, words: str, times: int = 1) -> None:
         """Waits until the log has `words` at least `times` times."""
@@ -273,7 +273,7 @@
 
 
 async def run_upgrade(folder: pathlib.Path, step: str, seed: int) -> Books:
-    """Runs an old and a new process under load and kills one at the given step; the rest must go on."""
+    """Runs a predecessor and a successor under load and kills one at the given step; the rest must go on."""
     rng, books = random.Random(f"{step} {seed}"), Books()
     lobbies = [Lobby(f"h{number}", books, random.Random(number), ends=0.3) for number in (0, 1)]
     ports = [await lobby.start() for lobby in lobbies]
@@ -348,10 +348,10 @@
     assert "Traceback" not in log and "stopped:" not in log, log[-2000:]
     found = tools.contents(tmp_path / "s.store")
     assert found.torn_bytes == 0
-    standing = [
+    established = [
         key
         for key, value in found.values.items()
         if isinstance(records.decode(key, value)[2], records.Standing)
     ]
-    assert standing == []
+    assert established == []
     assert not (DiskFolder(tmp_path / "s.store" / "next").names() - {"lock"})
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -119,7 +119,7 @@
         expect s0 FINISHED a
         expect s0 nothing
     """,
-    "the end held back to its limit, then told, then the repeat: no answer after the release": ANSWER_UNSENT
+    "the end held back to its limit, then sent, then the repeat: no answer after the release": ANSWER_UNSENT
     + """
         send c1 ECHO b
         expect c1 ECHOED b
@@ -139,7 +139,7 @@
         expect c1 FINISH a rc=41
         expect s0 nothing
     """,
-    "the client's release before the end: neither is told": ANSWER_UNSENT
+    "the client's release before the end: neither is notified": ANSWER_UNSENT
     + REPEAT
     + """
         expect c1 STARTED a
@@ -161,7 +161,7 @@
         expect c1 nothing
         expect s0 nothing
     """,
-    "another client's connection hears nothing of it meanwhile": ANSWER_UNSENT
+    "another client's connection receives nothing of it meanwhile": ANSWER_UNSENT
     + """
         send c2 ECHO b
         expect c2 ECHOED b
@@ -185,7 +185,7 @@
         expect c1 closed
         expect s0 nothing
     """,
-    "no restart, the connection broken: the end is told at once, and is the last word": ESTABLISHED
+    "no restart, the connection broken: the end is sent at once, and nothing after it": ESTABLISHED
     + """
         close c1
         send s0 FINISH a rc=16
@@ -252,7 +252,7 @@
         expect s0 CCR-T a
         expect s0 nothing
     """,
-    "the end held back to its limit, then told, then the repeat: it has failed": D_ANSWER_UNSENT
+    "the end held back to its limit, then sent, then the repeat: it has failed": D_ANSWER_UNSENT
     + """
         send c1 bare
         send c1 CER
@@ -267,7 +267,7 @@
         expect c1 CCA-I a result=5012
         expect s0 nothing
     """,
-    "no restart, the connection broken: the end is told at once, and is the last word": """
+    "no restart, the connection broken: the end is sent at once, and nothing after it": """
         send c1 CCR-I a dest=s0 wait=8000 key=500
         expect s0 CCR-I a
         send s0 CCA a result=2001 key=table-7
@@ -287,7 +287,7 @@
     """,
 }
 PLATFORM = {
-    "a call stands on; its client ends it at its server, and at no other": ESTABLISHED
+    "a call stays established; its client ends it at its server, and at no other": ESTABLISHED
     + RESTART
     + """
         expect agent standing 1
@@ -298,7 +298,7 @@
         expect s1 nothing
         expect agent standing 0
     """,
-    "a call stands on; its server ends it": ESTABLISHED
+    "a call stays established; its server ends it": ESTABLISHED
     + RESTART
     + """
         send c1 ECHO b
@@ -314,7 +314,7 @@
         expect c1 nothing
         expect agent standing 0
     """,
-    "an attempt out at the crash: released at its server, sent again after the guard alone": PENDING
+    "an attempt pending at the crash: released at its server, sent again after the guard alone": PENDING
     + RESTART
     + """
         expect s0 FINISH a rc=16
@@ -343,7 +343,7 @@
         send c1 FINISH a rc=16
         expect s0 FINISH a
     """,
-    "another set-up under the id of a call that stands is no repetition": ESTABLISHED
+    "another set-up under the id of an established call is no repetition": ESTABLISHED
     + RESTART
     + """
         send c1 START a class=race left=8000 blob=y
@@ -351,7 +351,7 @@
         expect c1 closed
         expect s0 nothing
     """,
-    "killed before the record of an answer: the server is told to release the call": PENDING
+    "killed before the record of an answer: the call is released at its server": PENDING
     + """
         send disk hold
         send s0 STARTED a blob=table
@@ -372,7 +372,7 @@
         expect s0 FINISH a rc=16
         expect agent standing 0
     """,
-    "a release owed to a client outlives the crash": ESTABLISHED
+    "a pending release to a client outlives the crash": ESTABLISHED
     + """
         close c1
         send s0 FINISH a rc=16
@@ -392,7 +392,7 @@
         expect c1 ECHOED b
         expect c1 nothing
     """,
-    "a release owed to a server outlives the crash": ESTABLISHED
+    "a pending release to a server outlives the crash": ESTABLISHED
     + """
         close s0 silent
         wait 100
@@ -406,7 +406,7 @@
         send agent start
         expect s0 FINISH a rc=16
     """,
-    "a server heard draining stays draining since then, and the bus goes on from its number": """
+    "a server listed as draining stays draining since then, and the bus goes on from its number": """
         expect bus from 1
         send bus {"offset": 2, "topology": {"seq": 2, "whole": false, "hosts": [%(draining)s]}}
         wait 1500
@@ -421,7 +421,7 @@
         expect s0 closed
         expect s0 nothing
     """,
-    "a server replaced while the agent was down: what stood there is over": ESTABLISHED
+    "a server replaced while the agent was down: its calls are over": ESTABLISHED
     + """
         send agent kill
         expect c1 closed
@@ -466,7 +466,7 @@
         expect s0 FINISH a
         expect agent standing 0
     """,
-    "a repeated set-up and its give-up in one write: what stands is released": ESTABLISHED
+    "a repeated set-up and its give-up in one write: the established call is released": ESTABLISHED
     + RESTART
     + """
         send c1 raw """
@@ -497,7 +497,7 @@
         expect s1 nothing
         expect agent standing 1
     """,
-    "a client that closes unheard while its set-up waits for the disk: nothing goes": """
+    "a client that closes unnoticed while its set-up waits for the disk: nothing goes": """
         send c1 ECHO 1 rc=0
         expect c1 ECHOED
         send disk hold
@@ -552,7 +552,7 @@
         wait 1000
         expect agent exit
     """,
-    "a disk that was full and has room again: the store goes on, and knows what happened meanwhile": PENDING
+    "a disk that was full and has room again: the store recovers, with all changes since": PENDING
     + """
         send c1 START d class=race left=8000 extras=dest:0 blob=d
         expect s0 START d
@@ -583,7 +583,7 @@
         send c1 START a class=race left=8000 extras=dest:0 blob=x
         expect c1 STARTED a blob=table
     """,
-    "a clock that has gone back: no guard is cut short, no drain made young": PENDING
+    "a clock that is set back: no guard is shortened, no drain begins anew": PENDING
     + """
         send clock -3600000
     """
@@ -596,7 +596,7 @@
         wait 100
         expect s0 START a
     """,
-    "power lost twice: what was answered stands": ESTABLISHED
+    "power lost twice: an answered call stays established": ESTABLISHED
     + """
         send agent power
         send agent start
@@ -612,12 +612,12 @@
 
 
 @pytest.mark.parametrize("name", ONE_FINAL_ANSWER)
-def test_one_final_word_after_a_kill(name: str) -> None:
+def test_one_final_answer_after_a_kill(name: str) -> None:
     play(ONE_FINAL_ANSWER[name], platform(), PlatformRestarts)
 
 
 @pytest.mark.parametrize("name", D_ONE_FINAL_ANSWER)
-def test_one_final_word_after_a_kill_diameter(name: str) -> None:
+def test_one_final_answer_after_a_kill_diameter(name: str) -> None:
     world = play(D_ONE_FINAL_ANSWER[name], diameter.config(), DiameterRestarts)
     assert isinstance(world, DiameterRestarts)
     assert list(diameter.audit(world)) == []
@@ -764,7 +764,7 @@
         expect c1 CCA-I a result=5012
         expect s0 nothing
     """,
-    "an attempt out at the crash is ended at its server, and set up again after the guard": D_PENDING
+    "an attempt pending at the crash is ended at its server, and set up again after the guard": D_PENDING
     + D_RESTART
     + """
         expect s0 CCR-T a
@@ -814,8 +814,8 @@
     def step(self, line: str) -> None:
         match line.split():
             case ["expect", "agent", "answered", name, result]:
-                heard = [entry[3] for entry in self.log if entry[2] == "hears" and entry[3][""] == name]
-                assert heard and heard[-1].get("result") == result, heard[-1:]
+                answers = [entry[3] for entry in self.log if entry[2] == "hears" and entry[3][""] == name]
+                assert answers and answers[-1].get("result") == result, answers[-1:]
             case _:
                 super().step(line)
 
@@ -911,8 +911,8 @@
         platform(),
         PlatformRestarts,
     )
-    told = world.agent.rules.servers["h0"]
-    assert told.closed_since_ms == START_MS
+    listed = world.agent.rules.servers["h0"]
+    assert listed.closed_since_ms == START_MS
     assert world.agent.durability is not None
     assert not [key for key in world.agent.durability.engine.locations if key.startswith("call/")]
 
@@ -937,11 +937,11 @@
         "end": "FINISH {} rc=16",
         "release": "FINISH {} rc=16",
         "released": "FINISH",
-        "release heard": "FINISHED {}",
+        "release answer": "FINISHED {}",
         "answer": "STARTED",
         "refusal": "FINISH",
         "over": "FINISH",
-        "over heard": "FINISHED {}",
+        "over answer": "FINISHED {}",
     },
     "diameter": {
         "ask": "CCR-I {} dest=s{} wait=8000 key=500",
@@ -952,11 +952,11 @@
         "end": "ASR {} cause=1",
         "release": "CCR-T {}",
         "released": "CCR-T",
-        "release heard": "CCA-T {} result=2001",
+        "release answer": "CCA-T {} result=2001",
         "answer": "CCA-I",
         "refusal": "CCA-I",
         "over": "ASR",
-        "over heard": "ASA {} result=2001",
+        "over answer": "ASA {} result=2001",
     },
 }
 
@@ -975,19 +975,19 @@
         self.established: dict[str, str] = {}  # calls that their clients know as established
         self.unsure: set[str] = set()  # whose connection broke before the answer
         self.failed: set[str] = set()  # ended before they were answered
-        self.ended: set[str] = set()  # ended by their server; their client has to be told
+        self.ended: set[str] = set()  # ended by their server; their client has to be notified
         self.free_at: dict[str, float] = {}
         self.count = self.kills = 0
 
-    def say(self, who: str, word: str, *fields: str) -> None:
-        self.world.step(f"send {who} " + self.messages[word].format(*fields))
-        self.hear()
+    def send(self, who: str, kind: str, *fields: str) -> None:
+        self.world.step(f"send {who} " + self.messages[kind].format(*fields))
+        self.receive()
 
-    def hear(self) -> None:
+    def receive(self) -> None:
         while any(actor.inbox for actor in self.world.actors.values()):
             for name, actor in self.world.actors.items():
-                heard, actor.inbox = actor.inbox, []
-                for message in heard:
+                received, actor.inbox = actor.inbox, []
+                for message in received:
                     if name in self.held:
                         self.at_server(name, message)
                     elif name in ("c1", "c2"):
@@ -1008,7 +1008,7 @@
         elif verb == self.messages["released"]:
             if self.held[name].pop(call, "") == "out":
                 self.free_at[call] = self.world.clock.at + 500.0
-            self.world.step(f"send {name} " + self.messages["release heard"].format(call))
+            self.world.step(f"send {name} " + self.messages["release answer"].format(call))
 
     def at_client(self, name: str, message: dict[str, str]) -> None:
         verb, call = message[""], message.get("tag", "")
@@ -1028,9 +1028,9 @@
                 assert call in self.ended or self.kills, f"{call} is over, and nobody ended it"
             self.established.pop(call, None)
             self.unsure.discard(call)
-            self.world.step(f"send {name} " + self.messages["over heard"].format(call))
+            self.world.step(f"send {name} " + self.messages["over answer"].format(call))
         else:
-            assert verb not in (self.messages["answer"],), f"{name} hears {message} unasked"
+            assert verb not in (self.messages["answer"],), f"{name} received {message} unasked"
 
     def step(self) -> None:
         rng = self.rng
@@ -1043,47 +1043,47 @@
                 self.count += 1
                 call, client = f"{self.count:x}", rng.choice(("c1", "c2"))
                 self.waiting[call] = client
-                self.say(client, "ask", call, str(rng.randrange(2)))
+                self.send(client, "ask", call, str(rng.randrange(2)))
             case "answer" if out:
                 server, call = rng.choice(out)
-                word = rng.choices(("stands", "busy", "fault"), (6, 1, 1))[0]
-                word = "stands" if self.held[server][call] == "lost" else word
-                if word == "stands":
+                kind = rng.choices(("stands", "busy", "fault"), (6, 1, 1))[0]
+                kind = "stands" if self.held[server][call] == "lost" else kind
+                if kind == "stands":
                     self.held[server][call] = "stands"
                 else:
                     del self.held[server][call]
-                self.say(server, word, call)
+                self.send(server, kind, call)
             case "release" if self.established:
                 call, client = rng.choice(sorted(self.established.items()))
                 del self.established[call]
-                self.say(client, "release", call)
+                self.send(client, "release", call)
             case "end":
-                standing = [(server, call) for server, call, how in held if how == "stands"]
-                if standing:
-                    server, call = rng.choice(standing)
+                established = [(server, call) for server, call, how in held if how == "stands"]
+                if established:
+                    server, call = rng.choice(established)
                     del self.held[server][call]
                     self.ended.add(call)
-                    self.say(server, "end", call)
+                    self.send(server, "end", call)
             case "kill":
                 self.kills += 1
                 self.world.step("send agent " + rng.choice(("kill", "power")))
-                self.hear()
+                self.receive()
                 self.world.clock.at += rng.choice((5.0, 300.0, 2000.0))
                 self.world.step("send agent start")
-                self.hear()
+                self.receive()
                 self.wait(1200.0)
             case "again" if self.unsure:
                 call, client = rng.choice(sorted(self.unsure)), rng.choice(("c1", "c2"))
                 if client == self.asker(call):
                     self.unsure.discard(call)
                     self.waiting[call] = client
-                    self.say(client, "ask", call, "0")
+                    self.send(client, "ask", call, "0")
             case "disk":
                 self.world.step("send disk hold")
                 for _ in range(rng.randrange(3)):
                     self.step()
                 self.world.step("send disk free")
-                self.hear()
+                self.receive()
             case _:
                 self.wait(rng.choice((1.0, 200.0, 3000.0)))
 
@@ -1093,7 +1093,7 @@
     def wait(self, ms: float) -> None:
         while ms > 0.0:
             self.world.step(f"wait {min(ms, 50.0)}")
-            self.hear()
+            self.receive()
             ms -= 50.0
 
     def end(self) -> None:
@@ -1101,25 +1101,25 @@
         self.wait(12_000.0)
         assert not self.waiting, f"{self.waiting} were never answered"
         for call, client in sorted(self.established.items()):
-            self.say(client, "release", call)
+            self.send(client, "release", call)
         self.wait(1000.0)
         for server, calls in self.held.items():
             for call in [call for call, how in calls.items() if how == "lost"]:
                 calls[call] = "stands"
-                self.say(server, "stands", call)
+                self.send(server, "stands", call)
         left = {call: how for calls in self.held.values() for call, how in calls.items()}
         assert left.keys() <= self.unsure and "out" not in left.values(), f"{left} left at servers"
         for server, calls in self.held.items():
             for call in list(calls):
                 del calls[call]
-                self.say(server, "end", call)
+                self.send(server, "end", call)
         self.wait(100.0)
         agent = self.world.agent
         assert not agent.broker.requests and not agent.broker.open_count
         assert agent.rules.violations.total() == 0
         self.wait(130_000.0)
         self.waiting["ffff"] = "c1"  # another call expires the ids of calls that ended long ago
-        self.say("c1", "ask", "ffff", "0")
+        self.send("c1", "ask", "ffff", "0")
         self.wait(10_000.0)
         assert agent.durability is not None
         tables = ("call/", "owed/", "release/")
@@ -1129,7 +1129,7 @@
 
 @pytest.mark.parametrize("protocol", PROTOCOLS)
 @pytest.mark.parametrize("seed", range(30))
-def test_random_lives(protocol: str, seed: int) -> None:
+def test_random_runs(protocol: str, seed: int) -> None:
     run = RandomRun(protocol, seed)
     for _ in range(60):
         run.step()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -90,11 +90,11 @@
     st.tuples(st.integers(1, 4), st.frozensets(st.sampled_from(VALUES), min_size=1, max_size=2)),
     max_size=3,
 )
-whole_copies = st.dictionaries(st.sampled_from(["call/1", "call/2", "owed/1"]), versions, max_size=3)
+complete_copies = st.dictionaries(st.sampled_from(["call/1", "call/2", "owed/1"]), versions, max_size=3)
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
-@given(whole_copies, whole_copies, whole_copies)
+@given(complete_copies, complete_copies, complete_copies)
 def test_the_rule_is_a_join_over_drawn_copies(
     one: dict[str, dict[int, LastWrite]],
     other: dict[str, dict[int, LastWrite]],
@@ -105,7 +105,7 @@
     assert merge_copies(merge_copies(one, other), third) == merge_copies(one, merge_copies(other, third))
 
 
-def test_what_holds_is_the_table_of_the_rule() -> None:
+def test_effective_values_follow_the_table_of_the_rule() -> None:
     def one(*entries: tuple[int, int, bytes | None]) -> bytes | None:
         found: Mapping[int, LastWrite] = {}
         for epoch, number, value in entries:
@@ -120,17 +120,19 @@
     assert one((1, 2, STANDING), (2, 1, None)) is None  # deleted in the later epoch
     assert one((1, 4, None), (2, 1, STANDING)) == STANDING
     copy = {CALL: {1: (2, frozenset({STANDING, OVER}))}, "call/2": {1: (1, frozenset({OPEN}))}}
-    found, aside = resolve_copy(copy, better)
+    found, conflicts = resolve_copy(copy, better)
     assert found == {"call/2": OPEN}
-    assert len(aside) == 1 and "call/1" in aside[0] and "2 values of epoch 1, number 2" in aside[0]
+    assert (
+        len(conflicts) == 1 and "call/1" in conflicts[0] and "2 values of epoch 1, number 2" in conflicts[0]
+    )
 
 
 def test_digests_tell_which_ranges_differ_whatever_the_order_of_writes() -> None:
-    chance, one, other = random.Random(1), DigestTable(), DigestTable()
+    rng, one, other = random.Random(1), DigestTable(), DigestTable()
     entries = [(f"call/{number}", bytes([number % 251])) for number in range(500)]
     for key, value in entries:
         one.put(key, 1, value)
-    for key, value in chance.sample(entries, len(entries)):
+    for key, value in rng.sample(entries, len(entries)):
         other.put(key, 9, b"before")
         other.put(key, 10, value)
     assert one.root() == other.root() and one.differing_ranges(other.leaf_bytes()) == []
@@ -142,7 +144,7 @@
 # Epochs
 
 
-words = st.one_of(
+any_command = st.one_of(
     st.builds(Own, st.sampled_from(["a", "b"]), st.integers(1, 3), st.integers(0, 12)),
     st.builds(
         Succeed,
@@ -158,21 +160,23 @@
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
-@given(st.lists(words, max_size=30))
-def test_an_epoch_has_one_owner_and_one_successor_and_is_kept_until_taken_over(said: list[Command]) -> None:
+@given(st.lists(any_command, max_size=30))
+def test_an_epoch_has_one_owner_and_one_successor_and_is_kept_until_taken_over(
+    commands: list[Command],
+) -> None:
     epochs, owners, lost = Epochs(), dict[int, tuple[str, int]](), set[tuple[str, int]]()
-    for index, word in enumerate(said, start=1):
+    for index, command in enumerate(commands, start=1):
         before = {key: (stream.successor, stream.ended) for key, stream in epochs.streams.items()}
-        epochs.apply(index, word)
+        epochs.apply(index, command)
         for (owner, epoch), stream_ in epochs.streams.items():
             assert owners.setdefault(epoch, (owner, stream_.incarnation)) == (owner, stream_.incarnation)
             by, over = before.get((owner, epoch), ("", False))
             assert not over or stream_.ended  # an ended epoch stays ended
             if by and stream_.successor != by:
-                assert isinstance(word, Succeed)
+                assert isinstance(command, Succeed)
         for key in before.keys() - epochs.streams.keys():  # R3
-            assert (isinstance(word, TakeoverDone) and before[key][0] == word.successor) or (
-                isinstance(word, Own) and word.continued_epoch == key[1] and not before[key][1]
+            assert (isinstance(command, TakeoverDone) and before[key][0] == command.successor) or (
+                isinstance(command, Own) and command.continued_epoch == key[1] and not before[key][1]
             )
             lost.add(key)
         assert not lost & epochs.streams.keys()
@@ -228,7 +232,7 @@
         self.wires: dict[tuple[str, str], list[Message]] = {}
         self.written = 0
         self.effects = 0  # batches whose effects have left the owner
-        self.lease = True  # the owner has recently heard from the leader of the agreed log
+        self.lease = True  # the owner has recently received a message from the agreed log's leader
         self.cut = False  # the owner is partitioned from the log, or its process is stopped
         self.successor = ""
         self.takeover: Takeover | None = None
@@ -384,16 +388,18 @@
             settled = self.owner.confirmed()
             assert settled <= self.written
             if settled > self.effects:
-                assert self.taken_over is None, "effects of an epoch that another has taken over"
+                assert self.taken_over is None, "an effect left the owner after the takeover"
                 self.effects = settled
         for host in self.hosts.values():
             copy = host.holder.copies.get(("a", 1))
             if copy is not None and copy.verified:
                 entries = {key: value for key, (_, value) in copy.table.entries.items()}
                 assert entries == self.state(copy.batch_number), (
-                    f"{host.name} is no prefix: {copy.batch_number}"
+                    f"{host.name} does not have the state after batch {copy.batch_number}"
+                )
+                assert Holder(host.disk).copies["a", 1].table.root() == copy.table.root(), (
+                    "differs from its disk"
                 )
-                assert Holder(host.disk).copies["a", 1].table.root() == copy.table.root(), "not what it kept"
         if self.taken_over is not None and self.lost < max(1, self.settings.required_acks):
             known = [self.state(count) for count in range(self.effects, self.written + 1)]
             assert self.taken_over in known, f"lost: {self.taken_over} after {self.effects} of {self.written}"
@@ -476,7 +482,7 @@
             world.step("tick", "", "")
         else:
             world.step("deliver", *wire)
-    raise AssertionError("never settles")
+    raise AssertionError("the holders never catch up")
 
 
 BEGINNINGS: dict[str, Callable[[int], World]] = {"empty": World, "begun": begun, "written": written}
@@ -488,23 +494,23 @@
     assert explored(BEGINNINGS[name](required_acks), 6, 2_000) > 1_000
 
 
-def run_life(seed: int, steps: int = 150) -> None:
+def run_random(seed: int, steps: int = 150) -> None:
     """A random run; at its end, either the owner's holders are verified or a successor has taken over."""
-    chance = random.Random(seed)
-    world = World(chance.choice((1, 2)))
+    rng = random.Random(seed)
+    world = World(rng.choice((1, 2)))
     weights = {"deliver": 6.0, "write": 1.0, "owner dies": 0.02, "owner cut": 0.1, "tick": 0.5, "learn": 2.0}
     for _ in range(steps):
         world.faults = 2
         events = list(world.events())
         if not events:
             break
-        world.step(*chance.choices(events, [weights.get(what, 0.5) for what, _, _ in events])[0])
+        world.step(*rng.choices(events, [weights.get(what, 0.5) for what, _, _ in events])[0])
     world.faults = 0
     for _ in range(400):
         events = [event for event in world.events() if event[0] not in ("owner dies", "owner cut", "write")]
         if not events or world.taken_over is not None:
             break
-        world.step(*events[0] if chance.random() < 0.3 else chance.choice(events))
+        world.step(*events[0] if rng.random() < 0.3 else rng.choice(events))
     if world.owner is not None and not world.successor and not world.cut:
         settle(world)
     elif world.successor and world.takeover is not None:
@@ -512,11 +518,11 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_long_lives_lose_nothing_that_was_confirmed(seed: int) -> None:
-    run_life(seed)
+def test_long_random_runs_lose_nothing_confirmed(seed: int) -> None:
+    run_random(seed)
 
 
-def taken_by_one_that_is_caught_up() -> None:
+def taken_over_while_catching_up() -> None:
     """`b` has lost its disk and is catching up when the owner dies. `c` has all records, `b` is the
     successor."""
     for required_acks in (1, 2):
@@ -524,7 +530,7 @@
             world = written(required_acks)
             settle(world)
             world.step("restart empty", "b", "")
-            world.lost = 0  # the loss is no excuse: another holder has a verified copy
+            world.lost = 0  # nothing may be lost: another holder has a verified copy
             world.step("write", "", "")
             for _ in range(after):
                 wire = next((pair for pair, messages in world.wires.items() if messages), None)
@@ -536,12 +542,12 @@
                 continue
             while world.wires["a", "c"]:
                 world.step("deliver", "a", "c")
-            taken_by_b(world)
+            take_over_by_b(world)
 
 
-def taken_by_one_that_is_behind() -> None:
+def taken_over_while_behind() -> None:
     """`b` has received only some batches, `c` all five; the last ones contain deletions."""
-    for required_acks, heard in itertools.product((1, 2), range(6)):
+    for required_acks, received in itertools.product((1, 2), range(6)):
         world = begun(required_acks)
         for _ in BATCHES:
             world.step("write", "", "")
@@ -551,15 +557,15 @@
                 if world.wires["c", "a"]:
                     world.step("deliver", "c", "a")
             while world.wires["a", "b"]:
-                if world.hosts["b"].holder.copies["a", 1].batch_number < heard:
+                if world.hosts["b"].holder.copies["a", 1].batch_number < received:
                     world.step("deliver", "a", "b")
                     world.step("deliver", "b", "a")
                 else:
                     world.wires["a", "b"].clear()
-        taken_by_b(world)
+        take_over_by_b(world)
 
 
-def taken_by_b(world: World) -> None:
+def take_over_by_b(world: World) -> None:
     """The owner dies and `b` takes over."""
     world.step("owner dies", "", "")
     world.step("succeed", "b", "")
@@ -573,9 +579,9 @@
     assert world.taken_over is not None
 
 
-def test_a_successor_that_is_behind_or_being_caught_up_has_it_from_another() -> None:
-    taken_by_one_that_is_caught_up()
-    taken_by_one_that_is_behind()
+def test_a_successor_that_is_behind_or_catching_up_gets_the_rest_from_another() -> None:
+    taken_over_while_catching_up()
+    taken_over_while_behind()
 
 
 # Catching up with each message lost and each byte flipped
@@ -585,7 +591,7 @@
 
 
 def caught_up(
-    spoil: Callable[[int, Message], Message | None], alone: bool = False, most: int = 400
+    spoil: Callable[[int, Message], Message | None], alone: bool = False, max_steps: int = 400
 ) -> tuple[Stream, Holder, int]:
     """Runs an owner and one holder until the holder is verified. `spoil` gets each message to the holder
     with its number and returns what arrives. None: it is lost, and unless `alone`, also all other messages
@@ -594,7 +600,7 @@
     out: stream.Out = []
     owner.set_holders(["b"], now, out)
     wire, count = deque(message for _, message in out), 0
-    for _ in range(most):
+    for _ in range(max_steps):
         if count in (4, 9):
             out = []
             owner.write((("call/3", b"new"), (f"call/{20 + count}", b"later"), ("call/5", None)), now, out)
@@ -616,7 +622,7 @@
         for _, answer in host.handle("a", delivered).messages:
             owner.handle("b", answer, now, out)
         wire.extend(message for _, message in out)
-    raise AssertionError("never whole")
+    raise AssertionError("the holder is never verified")
 
 
 def verified(owner: Stream, host: Holder) -> None:
@@ -627,7 +633,7 @@
     }
 
 
-def test_a_catch_up_that_is_cut_at_any_message_ends_whole_and_sends_no_range_twice_for_it() -> None:
+def test_a_catch_up_interrupted_at_any_message_completes_without_resending_ranges() -> None:
     owner, host, count = caught_up(lambda number, message: message)
     verified(owner, host)
     assert count > 12
@@ -650,7 +656,7 @@
     assert max(ranges.count(each) for each in ranges) <= 2  # received ranges are not sent again
 
 
-def test_a_byte_that_is_flipped_on_the_way_is_never_taken_for_whole() -> None:
+def test_a_byte_flipped_in_transit_never_verifies_a_wrong_copy() -> None:
     encoder, decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
     _, _, count = caught_up(lambda number, message: message)
     flipped = 0
@@ -682,13 +688,13 @@
 # Planted faults: the tests above must detect each
 
 
-def eager_whole(self: Holder, copy: holder.StreamCopy, message: object, out: holder.Output) -> None:
+def verified_unchecked(self: Holder, copy: holder.StreamCopy, message: object, out: holder.Output) -> None:
     copy.verified = True  # without verification
     self._save_progress(copy, out)
     self._ack(copy, out)
 
 
-def deletions_not_told(self: holder.StreamCopy, number: int) -> list[tuple[str, int, bytes | None]]:
+def deletions_not_sent(self: holder.StreamCopy, number: int) -> list[tuple[str, int, bytes | None]]:
     return [(name, at, value) for name, (at, value) in self.table.entries.items() if at > number]
 
 
@@ -696,7 +702,7 @@
     return True
 
 
-def gap_passed_over(self: Holder, copy: holder.StreamCopy, message: Append, out: holder.Output) -> None:
+def gap_ignored(self: Holder, copy: holder.StreamCopy, message: Append, out: holder.Output) -> None:
     for number, batch in enumerate(message.batches, start=message.first):
         for name, value in batch:
             self._put_record(copy, name, number, value, out)
@@ -705,18 +711,18 @@
     self._ack(copy, out)
 
 
-def not_kept(
+def not_stored(
     self: Holder, copy: holder.StreamCopy, name: str, number: int, value: bytes | None, out: holder.Output
 ) -> None:
     copy.table.put(name, number, value)
 
 
 PLANTED: dict[str, tuple[type, str, object]] = {
-    "a copy counted whole unchecked": (Holder, "_verify", eager_whole),
-    "deletions not told to a successor": (holder.StreamCopy, "written_after", deletions_not_told),
-    "the successor's own copy alone": (Takeover, "ready", own_copy_alone),
-    "a gap passed over": (Holder, "_apply_batches", gap_passed_over),
-    "confirmed and not kept": (Holder, "_put_record", not_kept),
+    "a copy counted as verified without verification": (Holder, "_verify", verified_unchecked),
+    "deletions not sent to a successor": (holder.StreamCopy, "written_after", deletions_not_sent),
+    "only the successor's own copy is used": (Takeover, "ready", own_copy_alone),
+    "a gap in the batches ignored": (Holder, "_apply_batches", gap_ignored),
+    "records confirmed but not stored": (Holder, "_put_record", not_stored),
 }
 
 
@@ -727,10 +733,10 @@
 
     def caught() -> bool:
         try:
-            taken_by_one_that_is_caught_up()
-            taken_by_one_that_is_behind()
+            taken_over_while_catching_up()
+            taken_over_while_behind()
             for seed in range(60):
-                run_life(seed)
+                run_random(seed)
         except AssertionError:
             return True
         return False
--- a/tests/test_sigkill.py
+++ b/tests/test_sigkill.py
@@ -123,9 +123,9 @@
     assert "Traceback" not in log and "stopped:" not in log
     found = tools.contents(tmp_path / "s.store")
     assert found.sequence > 1000 and found.torn_bytes == 0
-    standing = [
+    established = [
         key
         for key, value in found.values.items()
         if isinstance(records.decode(key, value)[2], records.Standing)
     ]
-    assert standing == []
+    assert established == []
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -47,15 +47,15 @@
     return after
 
 
-def batches(chance: random.Random, count: int, keys: int = 9) -> Iterator[list[frames.Change]]:
+def batches(rng: random.Random, count: int, keys: int = 9) -> Iterator[list[frames.Change]]:
     """Draws batches of changes, with deletions."""
     for number in range(count):
         yield [
             (
-                f"call/{chance.randrange(keys)}",
-                None if chance.random() < 0.3 else b"%d-%d" % (number, chance.randrange(10**6)),
+                f"call/{rng.randrange(keys)}",
+                None if rng.random() < 0.3 else b"%d-%d" % (number, rng.randrange(10**6)),
             )
-            for _ in range(chance.randint(1, 4))
+            for _ in range(rng.randint(1, 4))
         ]
 
 
@@ -173,17 +173,17 @@
 
 def run_store(folder: MemoryFolder, seed: int, progress: dict[str, int], models: list[Model]) -> None:
     """Creates a store, writes, syncs, cleans, checkpoints and closes it, then starts it once more."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     for _ in range(2):
         engine = Engine.open(folder, SMALL, store_id=5)
-        for changes in batches(chance, 14):
+        for changes in batches(rng, 14):
             models.append(applied(models[-1], changes))
             engine.append(changes)
-            if chance.random() < 0.5:
+            if rng.random() < 0.5:
                 engine.sync()
                 progress["acknowledged"] = len(models) - 1
             engine.run_background_step()
-        if chance.random() < 0.5:
+        if rng.random() < 0.5:
             engine.compact()
         engine.close()
         assert engine.failure is None
@@ -191,24 +191,24 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_power_lost_at_every_step_of_a_life(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_power_lost_at_every_file_operation(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Power fails at each file operation, and again during the restarts that follow."""
     monkeypatch.setattr(recovery, "INDEX_MIN_LOG_RATIO", seed)
     monkeypatch.setattr(watermark, "WRITES_PER_SYNC", 2)
-    whole = MemoryFolder()
-    run_store(whole, seed, {}, [{}])
-    assert {"replace manifest", "remove log-0000000001", "image index.db"} <= set(whole.log)
-    for step in range(1, whole.steps + 1):
+    complete = MemoryFolder()
+    run_store(complete, seed, {}, [{}])
+    assert {"replace manifest", "remove log-0000000001", "image index.db"} <= set(complete.log)
+    for step in range(1, complete.steps + 1):
         folder = MemoryFolder(chance=random.Random(step))
         folder.fail(step, PowerLostError)
         progress, models = {"acknowledged": 0}, [Model()]
         with pytest.raises(PowerLostError):
             run_store(folder, seed, progress, models)
         for restart in range(4):
-            chance = random.Random(f"{seed} {step} {restart}")
-            found = folder.crash(chance)
+            rng = random.Random(f"{seed} {step} {restart}")
+            found = folder.crash(rng)
             if restart < 3:
-                found.fail(chance.randint(1, 6), PowerLostError)
+                found.fail(rng.randint(1, 6), PowerLostError)
             try:
                 engine = Engine.open(found, SMALL, store_id=5)
                 folder = found
@@ -231,8 +231,8 @@
 
     @initialize(seed=st.integers(0, 2**32))
     def begin(self, seed: int) -> None:
-        self.chance = random.Random(seed)
-        self.folder = MemoryFolder(chance=self.chance)
+        self.rng = random.Random(seed)
+        self.folder = MemoryFolder(chance=self.rng)
         self.models: list[Model] = [{}]
         self.acknowledged = 0  # the oldest model that a restart may bring back
         self.engine = Engine.open(self.folder, SMALL, store_id=9)
@@ -285,7 +285,7 @@
 
     @rule(power=st.booleans())
     def crash(self, power: bool) -> None:
-        self.folder = self.folder.crash(self.chance) if power else self.folder.killed()
+        self.folder = self.folder.crash(self.rng) if power else self.folder.killed()
         self.come_back()
 
     @rule()
@@ -346,7 +346,7 @@
     engine.close()
 
 
-def test_a_failed_sync_is_never_followed_by_a_promise() -> None:
+def test_after_a_failed_sync_nothing_is_acknowledged() -> None:
     folder = MemoryFolder()
     engine = Engine.open(folder, SMALL)
     engine.append([("a", b"1")])
@@ -378,42 +378,42 @@
 
 @pytest.mark.parametrize("how", committer.Durability)
 @pytest.mark.parametrize("seed", range(20))
-def test_a_store_that_failed_goes_on_with_all_that_changed(seed: int, how: committer.Durability) -> None:
+def test_a_failed_store_recovers_with_all_changes(seed: int, how: committer.Durability) -> None:
     """I/O errors at random operations, some lasting. Whenever the store reports that it is open again, a
     restart after power loss brings back all that was written before the last acknowledgement, and nothing
     older."""
-    chance = random.Random(seed)
-    folder, worker, revived = MemoryFolder(chance=chance), ManualWorker(), 0
+    rng = random.Random(seed)
+    folder, worker, revived = MemoryFolder(chance=rng), ManualWorker(), 0
     limits = Limits(segment_bytes=2048, record_bytes=256, store_bytes=64 * 1024, checkpoint_records=20)
     clock, deadlines = ManualClock(), Deadlines()
     store_committer = committer.Committer(Engine.open(folder, limits), worker, clock, deadlines, how)
-    model, promised = Model(), Model()
+    model, acknowledged_model = Model(), Model()
     for _ in range(300):
-        if chance.random() < 0.03:
-            folder.fail(chance.randint(1, 12), lambda: OSError(28, "no space"), chance.random() < 0.5)
-        if store_committer.state is committer.State.FAILED and chance.random() < 0.2:
+        if rng.random() < 0.03:
+            folder.fail(rng.randint(1, 12), lambda: OSError(28, "no space"), rng.random() < 0.5)
+        if store_committer.state is committer.State.FAILED and rng.random() < 0.2:
             folder.fails_at, folder.lasting = -1, False
         changes: list[frames.Change] = [
-            (f"k{chance.randrange(9)}", None if chance.random() < 0.3 else chance.randbytes(20))
-            for _ in range(chance.randint(1, 4))
+            (f"k{rng.randrange(9)}", None if rng.random() < 0.3 else rng.randbytes(20))
+            for _ in range(rng.randint(1, 4))
         ]
         model = applied(model, changes)
         current = dict(model)
-        heard: list[bool] = []
+        callbacks_run: list[bool] = []
         before = store_committer.state
-        store_committer.write(changes, lambda heard=heard: heard.append(True))  # type: ignore[misc]
-        clock.at += chance.choice((1.0, 200.0, 1100.0))
+        store_committer.write(changes, lambda callbacks_run=callbacks_run: callbacks_run.append(True))  # type: ignore[misc]
+        clock.at += rng.choice((1.0, 200.0, 1100.0))
         for _ in range(3):
             deadlines.run(clock.at)
             worker.run()
         revived += before is committer.State.FAILED and store_committer.state is committer.State.OPEN
-        assert heard
+        assert callbacks_run
         if store_committer.state is committer.State.OPEN and (
             how is committer.Durability.ALWAYS or before is committer.State.FAILED
         ):
-            promised = current
+            acknowledged_model = current
             if store_committer.engine.synced == store_committer.engine.sequence:
-                assert reopened(folder.crash(chance)) == promised
+                assert reopened(folder.crash(rng)) == acknowledged_model
     assert revived > 1
     folder.fails_at, folder.lasting = -1, False
     while store_committer.state is committer.State.FAILED:
@@ -424,7 +424,7 @@
     assert reopened(folder.killed()) == model
 
 
-def test_past_its_limit_a_failed_store_says_that_a_restart_is_needed(
+def test_past_its_limit_a_failed_store_reports_that_it_needs_a_restart(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(committer, "MAX_UNWRITTEN_KEYS", 5)
@@ -519,7 +519,7 @@
     assert reopened(folder) == {f"call/{number}": b"%d" % number for number in range(8)}
 
 
-def test_with_an_index_a_restart_reads_what_is_live(tmp_path: pathlib.Path) -> None:
+def test_with_an_index_a_restart_reads_only_live_records(tmp_path: pathlib.Path) -> None:
     limits = Limits(segment_bytes=32 * 1024, checkpoint_records=500)
     engine = Engine.open(DiskFolder(tmp_path), limits)
     for number in range(3000):
