--- a/frostport/diameter_side.py
+++ b/frostport/diameter_side.py
@@ -67,10 +67,10 @@
         """Restores the Origin-State-Id, the sessions, and the pending releases to clients."""
         if restored.state_id is not None:
             self.identity.state_id = restored.state_id
-        for call, record in restored.standing.items():
+        for call, record in restored.established.items():
             self.adopt_call(call, record)
         self._restore_ended_sessions(restored)
-        self.front.resume(restored.owed, restored.recorded_answer)
+        self.front.resume(restored.pending_ends, restored.recorded_answer)
 
     def adopt_call(self, call: str, record: Standing) -> None:
         """Takes over an established call: restores its session."""
@@ -87,7 +87,7 @@
     def restore_from_predecessor(self, restored: Restored) -> None:
         """Takes over the ended sessions and pending releases of the predecessor; called while serving."""
         self._restore_ended_sessions(restored)
-        self.front.resume(restored.owed, restored.recorded_answer)
+        self.front.resume(restored.pending_ends, restored.recorded_answer)
         self.route.resume({}, restored.releases)
 
     def restore_pending_releases(self, restored: Restored) -> None:
