--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -186,7 +186,7 @@
             if self.startup is not None:
                 extra.update(self.startup.operations())
             if self.fleet is not None:
-                operations.why_kept_out = self.fleet.work.held_reason
+                operations.why_kept_out = self.fleet.maintenance.held_reason
             self.operator_port = OperatorPort(
                 {**operations.operations(), **extra}, self.clock, self.deadlines
             )
@@ -201,7 +201,7 @@
             self.startup.attach(self)
         self.side.start()
         if self.fleet is not None:
-            self.fleet.work.attach(self)
+            self.fleet.maintenance.attach(self)
             self.fleet.start()
         if self.startup is not None:
             self.startup.start()
@@ -324,7 +324,7 @@
     def on_phase(self, phase: Phase) -> None:
         """Listener of the life cycle: performs what the new phase requires."""
         if self.fleet is not None and phase is not Phase.STOPPED:
-            self.fleet.phase(phase.value)
+            self.fleet.announce_phase(phase.value)
         match phase:
             case Phase.CLOSING:
                 plan = self._schedule_shutdown(MAX_RESTART_DEADLINE_MS)
--- a/frostport/agreement/applier.py
+++ b/frostport/agreement/applier.py
@@ -1,4 +1,4 @@
-"""Applies committed entries to the state machine: in order, and a bounded number in one turn."""
+"""Applies committed entries to the state machine: in order, and a bounded number in each step."""
 
 from __future__ import annotations
 
--- a/frostport/agreement/leader.py
+++ b/frostport/agreement/leader.py
@@ -30,10 +30,10 @@
 class Progress:
     """What the leader knows of one voter, or of a server that catches up to become one."""
 
-    next_index: int
+    next_index: int  # of the next entry to send
     match_index: int = 0
     acknowledged_round: int = 0
-    last_heard_at: float = -NEVER
+    last_received_at: float = -NEVER
     disk_id: int = -1  # -1 until the server has answered
     snapshot_offset: int = 0  # next byte of the snapshot to send
 
@@ -138,7 +138,7 @@
         peer.disk_id = reply.disk_id
         if sender in self.voters and self.voters[sender] != reply.disk_id:
             return  # the voter has lost its disk: it must be removed and added again
-        peer.last_heard_at, peer.acknowledged_round = now, max(peer.acknowledged_round, reply.round)
+        peer.last_received_at, peer.acknowledged_round = now, max(peer.acknowledged_round, reply.round)
         if reply.success:
             peer.match_index = max(peer.match_index, reply.match_index)
             peer.next_index = max(peer.next_index, peer.match_index + 1)
@@ -154,7 +154,7 @@
     def _handle_install_snapshot_reply(self, sender: str, reply: InstallSnapshotReply, now: float) -> None:
         peer = self.progress.get(sender) or self.joining.get(sender)
         if self.role is Role.LEADER and peer is not None and reply.term == self.term:
-            peer.last_heard_at, peer.disk_id = now, reply.disk_id
+            peer.last_received_at, peer.disk_id = now, reply.disk_id
             if reply.index != self.log.snapshot_meta.index:
                 peer.snapshot_offset = 0
             elif reply.offset >= self.log.snapshot_meta.size_bytes:
--- a/frostport/agreement/learner.py
+++ b/frostport/agreement/learner.py
@@ -23,7 +23,7 @@
 
     next_index: int
     expires_at: float  # ms
-    snapshot_offset: int = 0
+    snapshot_offset: int = 0  # next byte of the snapshot to send
 
 
 def assigned_feeder(name: str, learners: list[str], voters: list[str], max_fed: int) -> str:
@@ -60,10 +60,10 @@
         self.members: tuple[str, ...] = ()
         self.fed_learners: dict[str, FedLearner] = {}
         self.feed_request_at = now + self.rng.random() * self.settings.feed_request_interval_ms
-        self.feeder, self.feeder_heard_at, self.feeder_term = "", now, 0
+        self.feeder, self.feeder_last_received_at, self.feeder_term = "", now, 0
 
     def latest_leader_term(self) -> int:
-        """The latest term in which this agent knows of a leader, by its own term or by its feeder's word."""
+        """The latest term in which this agent knows of a leader, by its own term or from its feeder."""
         return max(self.term, self.feeder_term)
 
     def is_voter(self) -> bool:
@@ -74,8 +74,8 @@
     def _send_feed_request(self, now: float) -> None:
         self.feed_request_at = now + self.settings.feed_request_interval_ms
         voters = sorted(set(self.voters or self.founding_voters) - {self.name})
-        if now - self.feeder_heard_at > self.settings.feeder_timeout_ms and self.feeder:
-            self.feeder_heard_at = now
+        if now - self.feeder_last_received_at > self.settings.feeder_timeout_ms and self.feeder:
+            self.feeder_last_received_at = now
             self.feeder = self.rng.choice(voters) if voters else ""
         elif not self.feeder or self.feeder not in voters:
             learners = sorted(set(self.members) - set(voters) | {self.name})
@@ -94,7 +94,7 @@
         if self.role is Role.LEADER:
             return
         if sender == self.feeder:
-            self.feeder_heard_at = now
+            self.feeder_last_received_at = now
         if message.term >= max(self.term, self.feeder_term) and not self.is_voter():
             # Kept apart from `term`, which must be durable before any message mentions it.
             self.feeder_term, self.leader = message.term, message.leader
--- a/frostport/agreement/log.py
+++ b/frostport/agreement/log.py
@@ -120,7 +120,7 @@
         )
 
     def install(self, meta: SnapshotMeta, snapshot: bytes) -> list[Write]:
-        """Replaces what another agent's snapshot covers, or the whole log if that differs at `meta.index`."""
+        """Replaces what another agent's snapshot covers, or the entire log if it differs at `meta.index`."""
         matches = self.term_at(meta.index) == meta.term
         covered = meta.index - self.snapshot_meta.index if matches else len(self.entries)
         removed, self.entries = self.entries[:covered], self.entries[covered:]
--- a/frostport/agreement/raft.py
+++ b/frostport/agreement/raft.py
@@ -7,8 +7,8 @@
   are acknowledged (3.5).
 - A leader commits by counting replicas only entries of its own term (3.6.2); it appends an empty entry when
   its term begins.
-- A pre-vote changes no state, and a server that hears a live leader grants no vote (4.2.3, 9.6).
-- A leader that does not hear from a majority steps down (6.2).
+- A pre-vote changes no state, and a server that has a live leader grants no vote (4.2.3, 9.6).
+- A leader that receives no messages from a majority steps down (6.2).
 - One voter is added or removed at a time, and only once the previous change and an entry of the current term
   are committed (4.1, and the correction of 2015).
 - A voter is identified by its name and its disk id: after the loss of its disk it neither votes nor counts
@@ -95,7 +95,7 @@
         self.voters, self.voters_index = self.log.latest_voters()
         self.role, self.leader = Role.FOLLOWER, ""
         self.commit_index = self.last_applied = self.log.snapshot_meta.index
-        self.leader_heard_at = -NEVER
+        self.leader_last_received_at = -NEVER
         self.votes_granted: set[str] = set()
         self.progress: dict[str, Progress] = {}
         self.joining: dict[str, Progress] = {}  # new servers that catch up before they become voters
@@ -104,7 +104,7 @@
         self.pending_reads: list[PendingRead] = []
         self.local_reads: dict[str, tuple[int, float]] = {}  # by id: read index (-1: unknown), when to retry
         self.pending_commands: dict[str, PendingCommand] = {}
-        self.bootstrap_hellos: dict[str, tuple[int, float]] = {}  # by name: disk id, when heard
+        self.bootstrap_hellos: dict[str, tuple[int, float]] = {}  # by name: disk id, when received
         self.snapshot_receiver = SnapshotReceiver()
         self.election_at = now_ms + self._election_timeout_ms()
         self.heartbeat_at = NEVER
@@ -177,12 +177,12 @@
         if self.role is Role.LEADER:
             # Checked before the heartbeat: a leader that was paused must not send anything as leader.
             reachable = sum(
-                self.progress[name].last_heard_at > now - self.settings.election_timeout_ms
+                self.progress[name].last_received_at > now - self.settings.election_timeout_ms
                 for name in self.voters
                 if name in self.progress
             )
             if reachable + self.is_voter() <= len(self.voters) // 2:
-                self._become_follower(self.term, "", now, "it hears no majority")
+                self._become_follower(self.term, "", now, "no majority of the voters answers")
             elif self.heartbeat_at <= now:
                 self._broadcast(now)
         elif self.is_voter() and self.election_at <= now:
@@ -206,8 +206,8 @@
                 self.output.messages.append((name, BootstrapHello(self.disk_id)))
         present = {
             name: disk_id
-            for name, (disk_id, heard_at) in self.bootstrap_hellos.items()
-            if heard_at > now - 3.0 * self.settings.heartbeat_interval_ms
+            for name, (disk_id, received_at) in self.bootstrap_hellos.items()
+            if received_at > now - 3.0 * self.settings.heartbeat_interval_ms
         }
         if self.name == self.founding_voters[0] and set(self.founding_voters) == {self.name, *present}:
             self._bootstrap({**present, self.name: self.disk_id}, now)
@@ -245,7 +245,7 @@
         self.role, self.leader, self.votes_granted = Role.PRE_CANDIDATE, "", {self.name}
         self.election_at = now + self._election_timeout_ms()
         self._send_vote_requests(self.term + 1, True)
-        if now - self.leader_heard_at > 3.0 * self.settings.election_timeout_ms:
+        if now - self.leader_last_received_at > 3.0 * self.settings.election_timeout_ms:
             # A voter that was removed while partitioned is sent no entries by the new voters; it learns of
             # its removal only by asking to be fed.
             self.request_feed_from_any()
@@ -268,10 +268,10 @@
             self._become_leader(now)
 
     def _become_leader(self, now: float) -> None:
-        self.role, self.leader, self.leader_heard_at = Role.LEADER, self.name, now
+        self.role, self.leader, self.leader_last_received_at = Role.LEADER, self.name, now
         self.heartbeat_round, self.pending_reads, self.joining, self.join_command_ids = 0, [], {}, {}
         self.progress = {
-            name: Progress(self.log.last_index + 1, last_heard_at=now)
+            name: Progress(self.log.last_index + 1, last_received_at=now)
             for name in self.voters
             if name != self.name
         }
@@ -296,7 +296,7 @@
     def _handle_request_vote(self, sender: str, request: RequestVote, now: float) -> None:
         # No vote while a leader is alive, so that a removed or partitioned server cannot disrupt it (4.2.3).
         leader_is_alive = (
-            self.role is Role.LEADER or now - self.leader_heard_at < self.settings.election_timeout_ms
+            self.role is Role.LEADER or now - self.leader_last_received_at < self.settings.election_timeout_ms
         )
         log_is_current = (request.last_term, request.last_index) >= (self.log.last_term, self.log.last_index)
         if leader_is_alive or request.term < self.term or not self.is_voter():
@@ -340,7 +340,7 @@
             return
         if message.term > self.term or self.role is not Role.FOLLOWER or self.leader != sender:
             self._become_follower(message.term, sender, now)
-        self.leader_heard_at, self.election_at = now, now + self._election_timeout_ms()
+        self.leader_last_received_at, self.election_at = now, now + self._election_timeout_ms()
         match_index = self._merge_entries(message.prev_index, message.prev_term, message.entries)
         if match_index is None:
             # Where the leader should retry: not past the end of this log, and not before its commit index.
@@ -408,7 +408,10 @@
                     self._become_follower(message.term, sender, now)
                 if message.term in (0, self.term):
                     if message.term:
-                        self.leader_heard_at, self.election_at = now, now + self._election_timeout_ms()
+                        self.leader_last_received_at, self.election_at = (
+                            now,
+                            now + self._election_timeout_ms(),
+                        )
                     self._handle_install_snapshot(sender, message, now)
             case InstallSnapshotReply():
                 self._handle_install_snapshot_reply(sender, message, now)
--- a/frostport/agreement/snapshots.py
+++ b/frostport/agreement/snapshots.py
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self.meta: SnapshotMeta | None = None
         self.data = bytearray()
-        self.last_heard_at = 0.0
+        self.last_received_at = 0.0
 
     @property
     def offset(self) -> int:
@@ -33,9 +33,13 @@
     def accepts(self, meta: SnapshotMeta, now: float, timeout_ms: float) -> bool:
         """Whether to take a chunk of this snapshot. Two senders of different snapshots would each reset the
         other's transfer: the later snapshot wins, unless nothing of it has arrived for `timeout_ms`."""
-        if self.meta is not None and meta.index < self.meta.index and now - self.last_heard_at < timeout_ms:
+        if (
+            self.meta is not None
+            and meta.index < self.meta.index
+            and now - self.last_received_at < timeout_ms
+        ):
             return False
-        self.last_heard_at = now
+        self.last_received_at = now
         return True
 
     def add(self, message: InstallSnapshot) -> bytes | None:
--- a/frostport/agreement/state_machine.py
+++ b/frostport/agreement/state_machine.py
@@ -16,7 +16,7 @@
 from frostport.agreement.messages import Entry
 
 MAX_NUMBERS_PER_ORIGIN = 1000  # remembered; an origin never has more commands in flight
-MAX_ORIGINS = 4096  # remembered, the most recently active ones; an origin is one run of an agent
+MAX_ORIGINS = 4096  # remembered, the most recently active ones; an origin is one process of an agent
 MAX_NOTES = 1000  # older notes are dropped, but stay counted
 
 
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -48,8 +48,8 @@
 log = logging.getLogger("frostport.fleet")
 
 FRAME_RAFT, FRAME_VIEW, FRAME_VIEW_REPLY = "raft", "view", "view-back"
-CAUGHT_UP_KEY = "whole"  # key of the record that says that the log was complete once
-MAX_APPLIED_PER_TURN = 100  # entries; applying them takes about 3 ms
+CAUGHT_UP_KEY = "whole"  # key of the record that says that the log was complete here once
+MAX_APPLIED_PER_ITERATION = 100  # entries; applying them takes about 3 ms
 NEVER = float("inf")
 _raft_decoder: msgspec.msgpack.Decoder[RaftMessage] = msgspec.msgpack.Decoder(RaftMessage)
 _view_decoder = msgspec.msgpack.Decoder(tuple[Update, ...])
@@ -71,7 +71,7 @@
         reason if another process of this name is alive. Raises StoreError."""
         self.config, self.reactor, self.on_refused = config, reactor, on_refused
         self.clock, self.deadlines = MonotonicClock(), Deadlines()
-        self.pump = DeadlineRunner(reactor, self.clock, self.deadlines)
+        self.deadline_runner = DeadlineRunner(reactor, self.clock, self.deadlines)
         rng = random.Random(secrets.randbits(64))
         incarnation = int(time.time() * 1000.0)
         self.origin = f"{config.agent}/{incarnation:x}"
@@ -94,7 +94,7 @@
                 config.agent, disk_id, config.voters, RaftSettings(), rng, records, self.clock.now()
             )
             self.state_machine = StateMachine()
-            self.work = FleetMaintenance(self, records)
+            self.maintenance = FleetMaintenance(self, records)
             self.applier = Applier(
                 self.state_machine, self.raft.log.snapshot_meta.index, self.raft.log.snapshot
             )
@@ -146,9 +146,10 @@
         self.record.event("started", voter=self.raft.is_voter(), last=self.raft.log.last_index)
         self._handle_swim(swim_events.Started())
         self._schedule_raft_tick()
-        self.work.start()
+        self.maintenance.start()
 
     def stop(self) -> None:
+        """Announces that this agent leaves, and closes the ports, the store and the event record."""
         self._handle_swim(swim_events.Leave())
         self.link.stop()
         for port in self.ports:
@@ -159,7 +160,7 @@
         self.record.event("stopped")
         self.record.close()
 
-    def phase(self, phase: str) -> None:
+    def announce_phase(self, phase: str) -> None:
         """Announces the agent's own phase to all members."""
         self._handle_swim(swim_events.InfoChanged(msgspec.structs.replace(self.swim.info, phase=phase)))
 
@@ -291,11 +292,12 @@
             self._apply_batch()
 
     def _apply_batch(self) -> None:
-        """Applies a bounded batch and the rest in later turns: an agent that catches up keeps serving."""
+        """Applies a bounded batch and the rest in later event-loop iterations: an agent that catches up keeps
+        serving."""
         previous_reason = self.applier.blocked_reason
-        done = self.applier.step(MAX_APPLIED_PER_TURN)
+        done = self.applier.step(MAX_APPLIED_PER_ITERATION)
         if ids := {str(index): id for id, index in done if index >= 0}:
-            # One line per turn. In a long catch-up, a line per entry overflowed the record's queue, which
+            # One line per batch. In a long catch-up, a line per entry overflowed the record's queue, which
             # loses lines, and filled its files, which rotated out the earlier lines.
             self.record.event("applied", ids=ids, digest=self.state_machine.digest)
         for id, _ in done:
@@ -370,7 +372,7 @@
             "note": self._propose_note,
             "add-voter": self._add_voter,
             "remove-voter": self._remove_voter,
-            **self.work.operations(),
+            **self.maintenance.operations(),
         }
 
     def _show_members(self, _: str) -> list[str]:
--- a/frostport/fleet_maintenance.py
+++ b/frostport/fleet_maintenance.py
@@ -45,7 +45,7 @@
 
 KIND = "work"
 ACTION_PHASES: dict[type, Phase] = {Drain: Phase.DRAINING, TurnAway: Phase.TURNING_AWAY}
-RECONCILE_MS = 250.0  # interval of reconciliation; each turn that applies a command reconciles as well
+RECONCILE_MS = 250.0  # interval of reconciliation; applied commands cause one as well
 LOAD_WINDOW_MS = 60_000.0  # the load is the mean rate over this
 READ_RETRY_MS = 2000.0  # an unanswered read of the leader's commit index is repeated after this
 
@@ -71,11 +71,11 @@
 class FleetMaintenance:
     """Owns the plan as this agent has applied it, and the reconciler that carries it out here."""
 
-    def __init__(self, fleet: Fleet, found: Mapping[str, bytes]) -> None:
-        """`found`: the log's records on disk, by key. Raises BadLogError, msgspec.MsgspecError."""
+    def __init__(self, fleet: Fleet, records: Mapping[str, bytes]) -> None:
+        """`records`: the log's records on disk, by key. Raises BadLogError, msgspec.MsgspecError."""
         self.fleet, self.plan = fleet, Plan()
         register_plan(fleet.state_machine, self.plan, self._apply)
-        self.disk_plan: Plan | None = plan_from_disk(found)  # None once caught up
+        self.disk_plan: Plan | None = plan_from_disk(records)  # None once caught up
         self.ticket_states: dict[int, TicketState] = {}
         self.agent: MaintainedAgent | None = None
         self.answer_samples: deque[tuple[float, int]] = deque()
@@ -135,7 +135,7 @@
                     state=ticket.state.value,
                     forced=ticket.forced_by,
                 )
-        if self._reconcile_timer is None:  # once for all commands applied in a turn
+        if self._reconcile_timer is None:  # once for all commands of one event-loop iteration
             self._reconcile_timer = self.fleet.deadlines.set(self.fleet.clock.now(), self.reconcile)
 
     def reconcile(self) -> None:
@@ -262,7 +262,7 @@
     # The operators' port
 
     def held_reason(self, name: str) -> str:
-        """Why an operator may not return a machine to service by hand; "" where they may.
+        """Why an operator may not return a machine to service by hand; "" if they may.
 
         `name`: a server, or "" for this agent.
         """
@@ -273,10 +273,10 @@
 
     def operations(self) -> dict[str, Operation]:
         """The `work-...` commands of the operators' port."""
-        found: dict[str, Operation] = {"work-status": self._status}
+        operations: dict[str, Operation] = {"work-status": self._status}
         for verb in ("request", "ready", "hold", "go-on", "cancel", "force", "limits"):
-            found[f"work-{verb}"] = self._operation(verb)
-        return found
+            operations[f"work-{verb}"] = self._operation(verb)
+        return operations
 
     def _operation(self, verb: str) -> Operation:
         def operation(rest: str) -> list[str]:
@@ -294,9 +294,9 @@
         return [first, *operator_commands.status_lines(self.effective_plan), "END"]
 
 
-def plan_from_disk(found: Mapping[str, bytes]) -> Plan:
+def plan_from_disk(records: Mapping[str, bytes]) -> Plan:
     """The plan after all entries on disk, committed or not: this agent may have acted on any of them."""
-    plan, state_machine, stored_log = Plan(), StateMachine(), Log(found)
+    plan, state_machine, stored_log = Plan(), StateMachine(), Log(records)
     register_plan(state_machine, plan, lambda entry, command: plan.apply(entry.index, entry.term, command))
     applier = Applier(state_machine, stored_log.snapshot_meta.index, stored_log.snapshot)
     applier.add(stored_log.entries, ())
--- a/frostport/maintenance/commands.py
+++ b/frostport/maintenance/commands.py
@@ -23,9 +23,8 @@
     servers: int = 1
     zone: int = 1  # per zone
     agent_calls: float = 0.0  # calls a second that one agent carries; 0: capacity is not checked
-    share_calls: float = (
-        0.0  # calls a second that a lobby server carries per unit of its share; 0: not checked
-    )
+    # Calls a second that a lobby server carries per unit of its share; 0: not checked.
+    share_calls: float = 0.0
     margin: float = 0.2  # spare capacity over the measured load, as a fraction of it
     warm_ms: float = 15_000.0  # from a machine's return until its place is free for another
     overtakes: int = 3  # tickets of other requests that may overtake a blocked one
@@ -33,7 +32,7 @@
 
 
 class MaintenanceRequest(msgspec.Struct, array_like=True, frozen=True, tag="request"):
-    """Asks for maintenance of machines, by name or of a whole zone."""
+    """Asks for maintenance of machines, by name or all of a zone."""
 
     names: tuple[str, ...]
     zone: str  # "": no zone
--- a/frostport/maintenance/plan.py
+++ b/frostport/maintenance/plan.py
@@ -1,8 +1,8 @@
 """The plan of maintenance: a replicated state machine, identical at every agent after the same log entry.
 
-`Plan.apply(index, term, command)` applies one committed command, moves tickets on, and lets every machine go
-that the limits allow; nothing else changes the state. Time is the sum of the leader's ticks (see
-docs/design/maintenance.md): the plan reads no clock and no random numbers, as all replicas must agree.
+`Plan.apply(index, term, command)` applies one committed command, advances the tickets, and starts every
+waiting ticket that the limits allow; nothing else changes the state. Time is the sum of the leader's ticks
+(see docs/design/maintenance.md): the plan reads no clock and no random numbers, as all replicas must agree.
 """
 
 from __future__ import annotations
@@ -88,7 +88,7 @@
     due_at_ms: float = 0.0  # in plan time; 0: no due time
     state: TicketState = TicketState.WAITING
     since_ms: float = 0.0  # when the state began, in plan time
-    start_index: int = 0  # the log entry that made it go; names the drain in confirmations
+    start_index: int = 0  # the log entry that started it; identifies the drain in confirmations
     confirmations: dict[str, int] = {}  # by agent, the life of the process that has confirmed the drain
     overtaken: int = 0  # how many tickets of other requests have overtaken it
     forced_by: str = ""  # "OPERATOR: REASON" of a `Force`
@@ -109,7 +109,7 @@
 
 
 class Plan:
-    """Owns the tickets and what the log says of machines."""
+    """Owns the tickets and the state of the machines according to the log."""
 
     def __init__(self) -> None:
         self.now_ms = 0.0  # plan time
@@ -138,6 +138,7 @@
         )
 
     def restore(self, data: bytes) -> None:
+        """Replaces the state by one that `save` has returned. Raises msgspec.MsgspecError."""
         saved = msgspec.msgpack.decode(data, type=PlanSnapshot)
         self.now_ms, self.limits, self.held_by, self.last_number = (
             saved.now_ms,
@@ -365,7 +366,7 @@
         return ticket.state not in ENDED_STATES and 0.0 < ticket.due_at_ms < self.now_ms
 
     def is_up(self, machine: Machine) -> bool:
-        """Whether a machine serves, by the log; a server that half of the agents can't use doesn't."""
+        """Whether a machine serves, by the log; a server that half of the agents can't use does not."""
         if machine.kind == AGENT or not machine.up:
             return machine.up and not machine.left
         return self._is_reachable(machine, self._reporting_agents())
@@ -474,7 +475,7 @@
         return self._capacity_reason(machine, out)
 
     def _capacity_reason(self, machine: Machine, out: dict[str, Machine]) -> str:
-        """Why the machines that remain without this one would not do; "" where they carry the load."""
+        """Why the machines that remain without this one would not suffice; "" where they carry the load."""
         limits = self.limits
         remaining = [
             each
--- a/frostport/maintenance/reconciler.py
+++ b/frostport/maintenance/reconciler.py
@@ -29,7 +29,7 @@
 LOAD_REPORT_MS = 60_000.0  # interval of reports of an unchanged load
 CHANGED_LOAD_REPORT_MS = 5000.0  # least interval of reports of a changed load
 LOAD_CHANGE_RATIO = 0.2  # hysteresis: less (or under one call a second) is no change of the load
-NO_LEADER_START_MS = 5000.0  # an agent that hears no leader at its start goes by its disk after this
+NO_LEADER_START_MS = 5000.0  # an agent that reaches no leader at its start relies on its disk after this
 
 
 @dataclass(frozen=True, slots=True)
--- a/frostport/startup/feed.py
+++ b/frostport/startup/feed.py
@@ -1,5 +1,5 @@
-"""Distributes the server list within the fleet: a few feeders in each zone hear the list service and pass its
-events on to the other agents.
+"""Distributes the server list within the fleet: a few feeders in each zone receive it from the list service
+and pass its events on to the other agents, their subscribers.
 
 `handle(event, now_ms)` returns the actions to carry out. Times are this agent's own, in ms; messages between
 agents carry ages only, so their clocks need not agree.
@@ -20,19 +20,18 @@
 from frostport.startup.rendezvous import ranked, weight
 from frostport.startup.settings import Settings
 
-TICK_MS = 250.0
+TICK_MS = 250.0  # between two ticks until the agent is ready
 HEARTBEAT_MS = 1000.0  # subscribers get an update at least so often
 RENEWAL_MS = 4000.0  # a subscription is renewed so often; it expires after three times this
 EXCLUSION_MS = 5000.0  # a feeder that was silent or had an old list is not tried again for this time
 CURRENT_UPDATES = 3  # consecutive current updates after which a standalone agent leaves the list service
 MAX_RETAINED_EVENTS = 1000  # latest events, retained for subscribers that lack them
-PARTIAL_VIEW_FACTOR = (
-    3  # times `feeders` in each zone: so many agents with a partial view may dial the service
-)
+# Times `feeders` in each zone: so many agents with a partial view of the fleet may dial the service.
+PARTIAL_VIEW_FACTOR = 3
 
 
 class Role(Enum):
-    """How this agent hears of the list."""
+    """Where this agent gets the list from."""
 
     WAITING = "waiting"  # no agent has sent it an update yet
     FEEDING = "feeding"  # from the service; it is a feeder of its zone
@@ -58,8 +57,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceHeard:
-    """The service has sent something: an event, or with a negative offset a sign of life."""
+class ServiceDataReceived:
+    """The service has sent something: an event, or with a negative offset only a keep-alive."""
 
     offset: int = -1
     line: bytes = b""
@@ -92,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendSnapshot:
-    """Send the whole list: the events that this agent lacks are no longer retained."""
+    """Send the complete list: the events that `to` lacks are no longer retained."""
 
     to: str
 
@@ -120,7 +119,7 @@
     MembersChanged
     | ServiceConnected
     | ServiceDisconnected
-    | ServiceHeard
+    | ServiceDataReceived
     | EventApplied
     | MessageReceived
     | Tick
@@ -144,11 +143,11 @@
         self.dialer_count = 1  # agents that may dial the service as feeders, rightly or by a partial view
         self.source = ""  # the agent that this one is subscribed to; "": none
         self.connected = self.dialing = False  # to the service
-        self.service_heard_at = -math.inf  # by this agent or any other on the way here
-        self.source_heard_at = -math.inf
-        self.source_lacks_service = (
-            False  # the source's role is to hear the service, and it has no connection
-        )
+        # When the service last sent something, to this agent or to one on the way here.
+        self.service_last_received_at = -math.inf
+        self.source_last_received_at = -math.inf
+        # The source's role is to be connected to the service, and it is not.
+        self.source_lacks_service = False
         self.subscribed_at = self.heartbeat_at = -math.inf  # when each was last sent
         self.current_updates = 0  # consecutive
         self.excluded: dict[str, float] = {}  # feeders not to be tried, and until when
@@ -157,8 +156,9 @@
         self.outdated_since = now_ms  # start of the time without a current list
 
     def age_ms(self, now: float) -> float:
-        """Returns the time since the service was last heard; infinite: never."""
-        return now - self.service_heard_at
+        """Returns the time since the last message of the service that this agent knows of, received by itself
+        or by an agent on the way here; infinite: none."""
+        return now - self.service_last_received_at
 
     def feeders(self) -> list[str]:
         """Returns this zone's feeders, best first, then the others'; without this agent and excluded ones."""
@@ -185,28 +185,26 @@
         )
 
     def handle(self, event: Event, now: float) -> list[Action]:
+        """Processes one event; returns the actions to carry out, in order. `now` is in ms, and monotonic."""
         actions: list[Action] = []
         match event:
             case MembersChanged(zones):
                 self._update_members(zones)
                 if self.source and self.source not in self.zones:
-                    self.source = (
-                        ""  # known to be down: the next feeder is asked without waiting for a time-out
-                    )
+                    # Known to be down: the next feeder is asked without waiting for a time-out.
+                    self.source = ""
                 self._update_source(now, actions)
             case ServiceConnected():
-                self.connected, self.dialing, self.service_heard_at = True, False, now
+                self.connected, self.dialing, self.service_last_received_at = True, False, now
                 self._send_heartbeat(now, actions)
             case ServiceDisconnected():
                 self.connected = False
-                self.dialing = self.role in (
-                    Role.FEEDING,
-                    Role.STANDALONE,
-                )  # the connection redials by itself
+                # The connection redials by itself.
+                self.dialing = self.role in (Role.FEEDING, Role.STANDALONE)
                 self._update_source(now, actions)
                 self._send_heartbeat(now, actions)
-            case ServiceHeard(offset, line):
-                self.service_heard_at = now
+            case ServiceDataReceived(offset, line):
+                self.service_last_received_at = now
                 if offset >= 0:
                     self._retain(offset, line, now, actions)
                 else:
@@ -234,8 +232,8 @@
             times.append(self.subscribed_at + RENEWAL_MS)
             if self.source:
                 times += (
-                    self.source_heard_at + self.settings.old_ms,
-                    self.service_heard_at + self.settings.old_ms + HEARTBEAT_MS,
+                    self.source_last_received_at + self.settings.old_ms,
+                    self.service_last_received_at + self.settings.old_ms + HEARTBEAT_MS,
                 )
         return min(time for time in times if time > now)
 
@@ -295,9 +293,9 @@
     def _receive_update(self, sender: str, update: FeedUpdate, now: float, actions: list[Action]) -> None:
         if update.age_ms >= 0.0:
             # An update that arrives late must not make the list look older than it is known to be (S3).
-            self.service_heard_at = max(self.service_heard_at, now - update.age_ms)
+            self.service_last_received_at = max(self.service_last_received_at, now - update.age_ms)
         if sender == self.source:
-            self.source_heard_at, self.source_lacks_service = (
+            self.source_last_received_at, self.source_lacks_service = (
                 now,
                 update.dials_service and not update.connected,
             )
@@ -318,7 +316,7 @@
         elif self.role in (Role.WAITING, Role.FED) and not self.source and current:
             self._set_role(Role.FED, sender, now, actions)
 
-    # Where this agent hears of the list
+    # Where this agent gets the list from
 
     def _set_role(self, role: Role, source: str, now: float, actions: list[Action]) -> None:
         before, self.role = self.role, role
@@ -326,7 +324,7 @@
             actions.append(Send(self.source, Unsubscribe()))
         self.source, self.current_updates = source, 0
         if source:
-            self.source_heard_at = now
+            self.source_last_received_at = now
         dials_service = role in (Role.FEEDING, Role.STANDALONE)
         if dials_service and not (self.connected or self.dialing):
             self.dialing = True
@@ -342,7 +340,7 @@
         actions.append(Send(name, Subscribe(self.offset, pressures=self.pressures)))
 
     def _update_source(self, now: float, actions: list[Action]) -> None:
-        """Chooses where this agent hears of the list from now on."""
+        """Chooses where this agent gets the list from."""
         if self.age_ms(now) < self.settings.old_ms:
             self.outdated_since = now
         if self.is_feeder:
@@ -364,7 +362,7 @@
                     Role.WAITING if self.role is Role.WAITING else Role.FED, candidates[0], now, actions
                 )
                 self._subscribe(candidates[0], now, actions)
-                # All feeders of this zone may have fallen silent: one of another zone is asked as well.
+                # All feeders of this zone may have become silent: one of another zone is asked as well.
                 other = next((name for name in candidates if self.zones[name] != self.zone), "")
                 if other not in ("", candidates[0]):
                     self._subscribe(other, now, actions)
@@ -377,14 +375,14 @@
         """Drops a source that is silent, or that has an old list without saying that it lacks the service."""
         if not self.source:
             return
-        silent = now - self.source_heard_at >= self.settings.old_ms
+        silent = now - self.source_last_received_at >= self.settings.old_ms
         outdated = self.age_ms(now) >= self.settings.old_ms + HEARTBEAT_MS and not self.source_lacks_service
         if silent or outdated:
             self.excluded[self.source] = now + EXCLUSION_MS
             self.source = ""
 
     def _needs_service(self, now: float) -> bool:
-        """Whether to dial the service itself: no feeder is in reach, or the list is outdated for long."""
+        """Whether to dial the service itself: no feeder is in reach, or the list is outdated for too long."""
         waited = now - self.outdated_since
         if not self.source and not self.feeders() and self.sees_half:
             return waited >= self.settings.old_ms
--- a/frostport/startup/messages.py
+++ b/frostport/startup/messages.py
@@ -24,7 +24,7 @@
 class FeedUpdate(msgspec.Struct, array_like=True, frozen=True, tag="told"):
     """The events after `after_offset`, in order; without events it only says how old the list is.
 
-    `age_ms`: time since any agent on the way last heard the list service; negative: never.
+    `age_ms`: time since an agent on the way last received anything from the list service; negative: never.
     `connected`: the sender has a connection to the service. `dials_service`: its role is to have one."""
 
     after_offset: int
--- a/frostport/startup/readiness.py
+++ b/frostport/startup/readiness.py
@@ -43,7 +43,8 @@
                 self.prepared_at = now
             expected = max(self.settings.agents, progress.members)
             able = 1 + progress.prepared + progress.serving
-            # The first agents up, and the cold servers behind them, would otherwise get the calls of all.
+            # Otherwise the first agents up, and the cold servers behind them, would get the calls of the
+            # whole fleet.
             enough = able >= self.settings.wave * expected
             timed_out = now - self.prepared_at >= self.settings.wave_ms
             self.waits_for = f"its wave: {able} of {expected} are prepared or serve"
--- a/frostport/startup/rendezvous.py
+++ b/frostport/startup/rendezvous.py
@@ -27,9 +27,9 @@
 def initial_servers(servers: Sequence[str], name: str, agents: Sequence[str], count: int) -> set[str]:
     """Returns the servers that agent `name` connects to at first; all of them if there are at most `count`.
 
-    An agent that sees others goes by its position among them, which spreads the load evenly: over the same
-    agents no server gets more than one connection more than another. One that sees nobody goes by its own
-    hash."""
+    An agent that sees others chooses by its position among them, which spreads the load evenly: over the same
+    agents no server gets more than one connection more than another. One that sees no other agent chooses by
+    its own hash."""
     if len(servers) <= count:
         return set(servers)
     order = ranked("servers", servers, len(servers))
--- a/frostport/startup/settings.py
+++ b/frostport/startup/settings.py
@@ -9,8 +9,8 @@
 class Settings:
     """The field names are configuration keys; times are in ms.
 
-    `agents` is the size of the whole fleet. Each agent's share of the dial budget goes by it even while the
-    membership shows fewer agents."""
+    `agents` is the size of the whole fleet. Each agent's share of the dial budget follows from it even while
+    the membership shows fewer agents."""
 
     agents: int = 1
     dials_a_second: float = 80.0  # of the whole fleet, to each lobby server
@@ -20,7 +20,7 @@
     redials: float = 10.0  # size of the token bucket for redials of one target
     redial_ms: float = 5_000.0  # time in which one of these tokens is refilled
     feeders: int = 2  # in each zone
-    old_ms: float = 1500.0  # after this time without news of the service, the list is sought elsewhere
+    old_ms: float = 1500.0  # after this time without a message of the service, the list is sought elsewhere
     # An agent that is no feeder dials the list service itself after this time without a current list, if the
     # feeders can't reach the service either or the membership shows few agents yet.
     patience_ms: float = 20_000.0
--- a/frostport/startup_coordinator.py
+++ b/frostport/startup_coordinator.py
@@ -40,14 +40,14 @@
 FRAME_KIND = "feed"
 PREPARED = "prepared"  # phase shown to the other members: able to serve, but waiting for enough others
 MIN_TICK_MS = 20.0  # between two ticks once this agent is ready
-IDLE_TICK_MS = 1000.0  # the same without a feed
+IDLE_TICK_MS = 1000.0  # between two ticks of a ready agent that has no feed
 EARLY_CLOSE_MS = 500.0  # a connection that is lost so soon after it was made is a sign of overload
 _decoder: msgspec.msgpack.Decoder[messages.Message] = msgspec.msgpack.Decoder(messages.Message)
 _encoder = msgspec.msgpack.Encoder()
 
 
 class StartingAgent(Protocol):
-    """What the coordinator uses of the agent; `side` is the platform's side."""
+    """What the coordinator uses of the agent; `side` is a PlatformSide."""
 
     clock: Clock
     deadlines: Deadlines
@@ -72,7 +72,7 @@
         self.chosen_from: frozenset[str] = frozenset()  # the servers that they were chosen from
         self.connected_at: dict[str, float] = {}  # by target
         self.members_changed, self.logged_role = True, ""
-        self.serving_agents = 0  # number that the broker was last told, with this agent
+        self.serving_agents = 0  # count last passed to the broker, this agent included
         self.update_sender = ""  # the agent whose message is being handled; "": the list service
         self.agent: StartingAgent | None = None
 
@@ -105,7 +105,7 @@
         return self.agent
 
     def _on_membership_changed(self) -> None:
-        """Schedules one update for all changes of the same reactor turn.
+        """Schedules one update for all changes of the same event-loop iteration.
 
         During the start, when many members change, they wait for the next tick."""
         if not self.members_changed:
@@ -299,11 +299,11 @@
             self._handle_feed_event(feeding.ServiceDisconnected())
 
     def list_unchanged(self) -> None:
-        self._handle_feed_event(feeding.ServiceHeard())
+        self._handle_feed_event(feeding.ServiceDataReceived())
 
     def list_event_received(self, offset: int, line: bytes) -> None:
         self._record_list_offset(offset)
-        self._handle_feed_event(feeding.ServiceHeard(offset, line))
+        self._handle_feed_event(feeding.ServiceDataReceived(offset, line))
 
     # Initial connections to lobby servers
 
@@ -348,7 +348,7 @@
         ready = self.readiness.update(progress, now)
         if self.fleet is not None:
             if before is None and self.readiness.prepared_at is not None and not ready:
-                self.fleet.phase(PREPARED)
+                self.fleet.announce_phase(PREPARED)
             if ready:
                 self.fleet.record.event("able", waited_ms=round(now - self.readiness.started_at))
         elif ready and agent.lifecycle.can_enter(Phase.SERVING):
--- a/standins/starts.py
+++ b/standins/starts.py
@@ -414,9 +414,9 @@
             told = agent.offset < self.last
             while agent.offset < self.last:
                 agent.takes(agent.offset + 1)
-                agent.do(feeding.ServiceHeard(agent.offset, b"event %d" % agent.offset))
+                agent.do(feeding.ServiceDataReceived(agent.offset, b"event %d" % agent.offset))
             if not told:
-                agent.do(feeding.ServiceHeard())
+                agent.do(feeding.ServiceDataReceived())
 
         self.later(WAY_MS, arrive)
 
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -31,9 +31,8 @@
 from frostport.agreement.state_machine import Note, StateMachine
 
 VOTERS = ("a", "b", "c")
-SMALL_MESSAGES = RaftSettings(
-    max_batch_bytes=1, snapshot_chunk_bytes=4
-)  # one entry per message, four bytes per chunk
+# One entry per message, four bytes per chunk.
+SMALL_MESSAGES = RaftSettings(max_batch_bytes=1, snapshot_chunk_bytes=4)
 
 
 class CopyableRandom(random.Random):
@@ -343,9 +342,8 @@
     cluster.in_flight.clear()
     del cluster.agents[third]
     cluster.start(first)
-    for _ in range(
-        6
-    ):  # the first is elected again with the vote of the second, which gets one entry per message
+    # The first is elected again with the vote of the second, which gets one entry per message.
+    for _ in range(6):
         if cluster.agents[first].role is not Role.LEADER:
             cluster.now = max(cluster.now + 1.0, cluster.agents[first].next_ms())
             cluster.in_flight.clear()
@@ -444,7 +442,7 @@
 
 
 def vote_despite_leader(self: Raft, sender: str, request: messages.RequestVote, now: float) -> None:
-    self.leader_heard_at = -1e18
+    self.leader_last_received_at = -1e18
     if self.role is Role.LEADER and request.term > self.term and not request.pre_vote:
         self._become_follower(request.term, "", now)
     real_handle_request_vote(self, sender, request, now)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -378,7 +378,7 @@
                 handle(feeding.ServiceDisconnected())
             case "word" if connected:
                 offset += 1
-                handle(feeding.ServiceHeard(offset, b"event %d" % offset))
+                handle(feeding.ServiceDataReceived(offset, b"event %d" % offset))
             case "tick":
                 handle(feeding.Tick())
             case "time":
