--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,4 +1,4 @@
-"""Scenarios ("histories") of real processes with faults on the links between them.
+"""Scenarios of real processes with faults on the links between them.
 
 Each ends with all faults repaired and all processes up; the verdict comes from the processes' event records.
 """
@@ -17,21 +17,21 @@
 from standins.ports import free_ports
 from tests.test_sigkill import end_calls_at_servers, stop_callers
 
-History = Callable[[Rig], Awaitable[None]]
+Scenario = Callable[[Rig], Awaitable[None]]
 
 
-async def some(rig: Rig, names: list[str], count: int = 5) -> None:
+async def propose_notes(rig: Rig, names: list[str], count: int = 5) -> None:
     for number in range(count):
         await rig.note(names[number % len(names)])
 
 
 async def a_leader_killed(rig: Rig) -> None:
     leader = await rig.leader()
-    await some(rig, rig.names)
+    await propose_notes(rig, rig.names)
     await rig.kill(leader)
     others = [name for name in rig.names if name != leader]
     await rig.leader(others)
-    await some(rig, others)
+    await propose_notes(rig, others)
     await rig.start(leader)
 
 
@@ -40,16 +40,16 @@
     rig.freeze(leader)
     others = [name for name in rig.names if name != leader]
     await rig.leader(others)
-    await some(rig, others)
+    await propose_notes(rig, others)
     rig.wake(leader)
-    await some(rig, [leader])
+    await propose_notes(rig, [leader])
 
 
 async def a_link_cut_one_way(rig: Rig) -> None:
     leader = await rig.leader()
     other = next(name for name in rig.voters if name != leader)
     rig.cut(leader, other)  # messages from the leader are lost, those to the leader are not
-    await some(rig, rig.names, 10)
+    await propose_notes(rig, rig.names, 10)
     await rig.leader()
     await asyncio.sleep(4.0)
     assert rig.injected("cut")
@@ -61,7 +61,7 @@
     lost = [name for name in rig.voters if name != leader]
     for name in lost:
         await rig.kill(name)
-    await some(rig, [leader])
+    await propose_notes(rig, [leader])
 
     async def steps_down() -> bool:
         return (await rig.agreed(leader)).get("role") != "leader"
@@ -73,7 +73,7 @@
 
 async def all_killed_at_once(rig: Rig) -> None:
     await rig.leader()
-    await some(rig, rig.names, 10)
+    await propose_notes(rig, rig.names, 10)
     for name in rig.names:
         await rig.kill(name)
     for name in rig.names:
@@ -83,7 +83,7 @@
 async def three_datagrams_in_ten_lost(rig: Rig) -> None:
     await rig.leader()
     rig.every("lost 0.3, doubled 0.1, reordered", loss=0.3, double=0.1, jitter_ms=50.0)
-    await some(rig, rig.names, 10)
+    await propose_notes(rig, rig.names, 10)
     await asyncio.sleep(6.0)
     assert rig.injected("lost") and rig.injected("doubled") and rig.injected("delayed")
     rig.heal()
@@ -93,7 +93,7 @@
     """A voter that lost its disk may not vote until it has been added again."""
     leader = await rig.leader()
     lost = next(name for name in rig.voters if name != leader)
-    await some(rig, rig.names)
+    await propose_notes(rig, rig.names)
     await rig.kill(lost, disk=False)
     await rig.start(lost)
 
@@ -122,11 +122,11 @@
     for _ in range(5):
         for _, link in rig.relays.values():
             link.reset()
-        await some(rig, rig.names, 3)
+        await propose_notes(rig, rig.names, 3)
     other = next(name for name in rig.names if name != leader)
     for pair in ((leader, other), (other, leader)):  # either side may have opened the connection
         rig.relays[pair][1].stalled = True
-    await some(rig, rig.names)
+    await propose_notes(rig, rig.names)
 
     async def stalled() -> bool:
         return rig.injected("stalled") > 0
@@ -152,7 +152,7 @@
         return removed not in voters and others[-1] in voters
 
     await rig.until("the voters are changed", changed)
-    await some(rig, others)
+    await propose_notes(rig, others)
     term = (await rig.agreed(leader))["term"]
     for name in others:  # messages from the removed voter arrive again, those to it do not
         for relay_way in rig.way(removed, name):
@@ -166,7 +166,7 @@
 async def a_log_with_a_byte_flipped(rig: Rig) -> None:
     """A damaged log file is named and refused at the start; with a new folder the agent is a learner."""
     leader = await rig.leader()
-    await some(rig, rig.names, 10)
+    await propose_notes(rig, rig.names, 10)
     await rig.together(10)
     damaged = next(name for name in rig.voters if name != leader)
     await rig.kill(damaged)
@@ -185,7 +185,7 @@
 async def a_second_process_of_one_name(rig: Rig) -> None:
     """The second process is refused with an error in the log; the first goes on."""
     await rig.leader()
-    await some(rig, rig.names)
+    await propose_notes(rig, rig.names)
     first, ports = rig.programs["n1"], rig.ports["n1"]
     for pair in [pair for pair in rig.relays if "n1" in pair]:
         rig.say(f"the second process is reached without the relays {pair}")
@@ -208,7 +208,7 @@
     for name in rig.names:
         await rig.start(name)
     await rig.leader()
-    await some(rig, rig.names)
+    await propose_notes(rig, rig.names)
     await rig.together(5)
     for number, name in enumerate(rig.voters):
         others = [other for other in rig.voters if other != name]
@@ -220,12 +220,12 @@
 
         await rig.until(f"{name} notices that its disk is full", noticed)
         await rig.leader(others)
-        await some(rig, others)
+        await propose_notes(rig, others)
         assert rig.refused(name) > 0
         if number == 0:  # restarted with a full disk, it exits with an error or waits; nothing is lost
             await rig.kill(name)
             await rig.start(name)
-            await some(rig, others)
+            await propose_notes(rig, others)
         rig.room(name)
         if rig.programs[name].returncode is not None:
             await rig.start(name)
@@ -262,7 +262,7 @@
 async def a_follower_back_after_100000_entries(rig: Rig) -> None:
     """The follower catches up by snapshot and log, and answers operators meanwhile."""
     await rig.leader()
-    await some(rig, rig.names)
+    await propose_notes(rig, rig.names)
     await rig.together(5)
     for name in rig.names:
         await rig.kill(name)
@@ -270,7 +270,7 @@
     for name in rig.voters:
         await rig.start(name)
     await rig.leader(rig.voters)
-    await some(rig, rig.voters)
+    await propose_notes(rig, rig.voters)
     late = rig.names[-1]
     await rig.start(late)
 
@@ -296,7 +296,7 @@
         rig.say(f"the clock of {name}: {rig.machines[name]}")
         await rig.start(name)
     await rig.together(0)
-    await some(rig, rig.names, 10)
+    await propose_notes(rig, rig.names, 10)
     await rig.together(10)
     restarted = rig.names[1]
     await rig.kill(restarted)
@@ -317,7 +317,7 @@
     books, rng = outside.books, random.Random(rig.seed)
     outside.call()
     await rig.leader()
-    await some(rig, rig.names)
+    await propose_notes(rig, rig.names)
 
     async def more(count: int = 30) -> None:
         before = books.answers
@@ -325,7 +325,7 @@
         async def answered() -> bool:
             return books.answers >= before + count
 
-        await rig.until(f"{count} answers more", answered)
+        await rig.until(f"{count} more answers", answered)
 
     async def shown(name: str, where: str, what: str) -> None:
         async def recorded() -> bool:
@@ -383,15 +383,15 @@
         text = (rig.folder / "log").read_text(encoding="utf-8")
         return text.count("h1 draining") >= len(rig.names)
 
-    await rig.until("all hear of the drain", drained)
+    await rig.until("all receive the drain", drained)
     await stop_callers(outside.callers)
     await end_calls_at_servers(outside.lobbies, books)
     assert books.faults == []
     assert books.answers > 150 and books.ended > 10
 
 
-async def drawn(rig: Rig) -> None:
-    """A random history, determined by the rig's seed."""
+async def random_faults(rig: Rig) -> None:
+    """Random faults, determined by the rig's seed."""
     await rig.leader()
     rng, down, frozen = random.Random(rig.seed), set[str](), set[str]()
     for _ in range(12):
@@ -415,7 +415,9 @@
             for other_name in down:
                 await rig.start(other_name)
             down, frozen = set(), set()
-        await some(rig, [other_name for other_name in rig.names if other_name not in down | frozen], 2)
+        await propose_notes(
+            rig, [other_name for other_name in rig.names if other_name not in down | frozen], 2
+        )
         await asyncio.sleep(rng.uniform(0.0, 1.5))
     for other_name in frozen:
         rig.wake(other_name)
@@ -424,9 +426,9 @@
     rig.heal()
 
 
-HISTORIES: dict[str, tuple[History, int]] = {
-    history.__name__: (history, count)
-    for history, count in (
+SCENARIOS: dict[str, tuple[Scenario, int]] = {
+    scenario.__name__: (scenario, count)
+    for scenario, count in (
         (a_leader_killed, 3),
         (a_leader_that_stalls_and_goes_on, 3),
         (a_link_cut_one_way, 4),
@@ -435,7 +437,7 @@
         (three_datagrams_in_ten_lost, 4),
         (a_voter_without_its_disk, 4),
         (links_reset_and_stalled, 3),
-        (drawn, 5),
+        (random_faults, 5),
         (voters_changed_while_some_are_cut_off, 5),
         (a_log_with_a_byte_flipped, 3),
         (a_second_process_of_one_name, 3),
@@ -448,16 +450,16 @@
 }
 
 
-async def played(folder: pathlib.Path, name: str, seed: int) -> None:
-    history, count = HISTORIES[name]
+async def run_scenario(folder: pathlib.Path, name: str, seed: int) -> None:
+    scenario, count = SCENARIOS[name]
     (folder / name).mkdir()
     outside = Outside() if name.startswith("calls") else None
     async with Rig(folder / name, count, min(3, count), seed, outside=outside) as rig:
         try:
             await rig.together(0)
-            await history(rig)
+            await scenario(rig)
             await rig.together(1)
-            await some(rig, rig.names)  # after the repairs each agent's commands are applied
+            await propose_notes(rig, rig.names)  # after the repairs each agent's commands are applied
             await rig.together(6)
             await rig.check()
         except AssertionError as problem:
@@ -465,10 +467,10 @@
 
 
 @pytest.mark.parametrize(
-    "names", [tuple(HISTORIES)[at : at + 6] for at in (0, 6, 12)], ids=["first", "second", "third"]
+    "names", [tuple(SCENARIOS)[at : at + 6] for at in (0, 6, 12)], ids=["first", "second", "third"]
 )
-def test_histories_of_real_processes(names: tuple[str, ...], tmp_path: pathlib.Path) -> None:
+def test_scenarios_of_real_processes(names: tuple[str, ...], tmp_path: pathlib.Path) -> None:
     async def all_of_them() -> None:
-        await asyncio.gather(*(played(tmp_path, name, 1) for name in names))
+        await asyncio.gather(*(run_scenario(tmp_path, name, 1) for name in names))
 
     asyncio.run(all_of_them())
--- a/tests/fleet/test_startup.py
+++ b/tests/fleet/test_startup.py
@@ -78,7 +78,7 @@
 
     def assert_not_overloaded(self, since: int, max_connections: int) -> None:
         """Asserts that the list service accepted few connections after the first `since`, that it sent no
-        whole list, and that nothing collapsed."""
+        complete list, and that nothing collapsed."""
         assert len(self.list.accepted) - since <= max_connections, len(self.list.accepted) - since
         assert self.list.whole_lists == 0
         assert [name for name, party in self.site.parties().items() if party.processor.collapsed] == []
--- a/tests/fleet/test_work.py
+++ b/tests/fleet/test_work.py
@@ -284,8 +284,8 @@
     await rig.kill("n0")
 
     async def nobody_leads() -> bool:
-        said = [await status(rig, name) for name in ("n1", "n2")]
-        return all(lines and "no leader is heard" in lines[0] for lines in said)
+        answers = [await status(rig, name) for name in ("n1", "n2")]
+        return all(lines and "no leader is heard" in lines[0] for lines in answers)
 
     await rig.until("both sides say that nothing goes on", nobody_leads)
     await wait_for_answers(rig)
@@ -367,11 +367,11 @@
 
 async def random_faults(rig: Rig) -> None:
     """Seeded random kills, stalls and partitions while four machines are to go out."""
-    chance, down = random.Random(rig.seed), set[str]()
+    rng, down = random.Random(rig.seed), set[str]()
     await request(rig, "n0", "h0,n1,h1,n2")
     for _ in range(10):
-        name = chance.choice(rig.names)
-        match chance.choice(("kill", "apart", "freeze", "ready", "ready")):
+        name = rng.choice(rig.names)
+        match rng.choice(("kill", "apart", "freeze", "ready", "ready")):
             case "kill" if not down:
                 await rig.kill(name)
                 down.add(name)
@@ -379,7 +379,7 @@
                 rig.apart([name])
             case "freeze" if name not in down:
                 rig.freeze(name)
-                await asyncio.sleep(chance.uniform(0.0, 2.0))
+                await asyncio.sleep(rng.uniform(0.0, 2.0))
                 rig.wake(name)
             case _:
                 rig.heal()
@@ -387,7 +387,7 @@
                     await rig.start(each)
                 down.clear()
                 await report_ready(rig)
-        await asyncio.sleep(chance.uniform(0.0, 1.0))
+        await asyncio.sleep(rng.uniform(0.0, 1.0))
     rig.heal()
     for each in down:
         await rig.start(each)
@@ -420,7 +420,7 @@
     async def answered() -> bool:
         return books.answers >= before + count
 
-    await rig.until(f"{count} answers more", answered)
+    await rig.until(f"{count} more answers", answered)
 
 
 def check_tickets(rig: Rig, most: int) -> list[tuple[int, int, str, str]]:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -47,9 +47,8 @@
         self.scheduled: list[tuple[float, int, Callable[[], None]]] = []
         self.rate, self.agents = rate, agents
         self.started_ms = dict.fromkeys(range(SERVERS), 0.0)
-        self.received: dict[int, list[tuple[float, float]]] = {
-            number: [] for number in range(SERVERS)
-        }  # time, cost
+        # By server: time and cost of each request.
+        self.received: dict[int, list[tuple[float, float]]] = {number: [] for number in range(SERVERS)}
         self.weights = [self.rng.paretovariate(1.5) for _ in range(agents)]
         self.list_delay_ms = [self.rng.choice((50.0, 300.0, 1500.0)) for _ in range(agents)]
         self.incarnations = [0] * agents
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,7 @@
     ]
 
 
-def tell_lines(proxies: list[Proxy], number: int, free: float, size: float) -> None:
+def report_lines(proxies: list[Proxy], number: int, free: float, size: float) -> None:
     for proxy in proxies:
         proxy.give(api.ServerReport(server(number).address, api.Outcome.OK, 0.0, (free, size, -1.0)))
 
@@ -65,7 +65,7 @@
     total_per_second = 60.0  # offered by all proxies, half to each of two servers with equally many lines
     all_proxies = fleet(proxies)
     for number in (0, 1):
-        tell_lines(all_proxies, number, 1000.0, 1000.0)
+        report_lines(all_proxies, number, 1000.0, 1000.0)
     run(all_proxies, 8.0, total_per_second / 2.0 / proxies, first=1)
     for proxy in all_proxies:
         proxy.give(api.ListUpdate(api.ListKind.CHANGES, 2, (server(0, started=proxy.now),)))
@@ -81,10 +81,10 @@
     # time on refusals.
     all_proxies = fleet(proxies)
     run(all_proxies, 2.0, 120.0 / proxies)
-    tell_lines(all_proxies, 0, 0.0, 200.0)
-    tell_lines(all_proxies, 1, 200.0, 200.0)
+    report_lines(all_proxies, 0, 0.0, 200.0)
+    report_lines(all_proxies, 1, 200.0, 200.0)
     run(all_proxies, 1.0, 120.0 / proxies)  # spends the tokens that have accumulated
-    tell_lines(all_proxies, 0, 0.0, 200.0)
+    report_lines(all_proxies, 0, 0.0, 200.0)
     assert (
         run(all_proxies, 4.0, 120.0 / proxies)[server(0).address] <= 1.3 * 4.0 * 200.0 / 10.0 + 0.3 * proxies
     )
@@ -104,7 +104,8 @@
 
 
 def test_messages_and_probes_of_a_proxy_do_not_grow_with_the_fleet() -> None:
-    # Guards against broadcasts to all peers: with 285 proxies, test days were cut off for their number.
+    # Guards against broadcasts to all peers: with 285 proxies, test runs were aborted because of
+    # the number of messages.
     messages, probes = traffic(5)
     assert messages > 0 and probes > 0
     assert traffic(500) == (messages, probes)
@@ -118,27 +119,29 @@
     assert len(proxy.log) <= 10 * 6
 
 
-def news(number: int, answers: int, share: int, age: int) -> bytes:
+def peer_summary(number: int, answers: int, share: int, age: int) -> bytes:
     return decide.PEER_SUMMARY.pack(number, answers, share, age)
 
 
-def test_news_of_peers_starts_control_and_old_news_does_not() -> None:
+def test_peer_summaries_start_control_and_old_ones_do_not() -> None:
     for age, started in ((10, True), (250, False)):
         proxy = Proxy()
         for sender in range(1, 4):
-            proxy.give(api.PeerMessage(sender, news(0, 16, 255, age)))
+            proxy.give(api.PeerMessage(sender, peer_summary(0, 16, 255, age)))
         assert (proxy.control().ceiling is not None) is started
 
 
-def test_news_from_before_the_last_cut_counts_for_nothing() -> None:
+def test_peer_summaries_from_before_the_last_cut_do_not_count() -> None:
     proxy = Proxy()
     proxy.control().lower(2.0, proxy.now)
     proxy.run(300.0)
-    proxy.give(api.PeerMessage(1, news(0, 48, 255, 5)))
+    proxy.give(api.PeerMessage(1, peer_summary(0, 48, 255, 5)))
     assert proxy.control().answers == 0.0
 
 
-@pytest.mark.parametrize("data", [b"", b"x", b"abcdefg", news(999, 48, 255, 0), news(0, 0, 0, 255) * 51])
+@pytest.mark.parametrize(
+    "data", [b"", b"x", b"abcdefg", peer_summary(999, 48, 255, 0), peer_summary(0, 0, 0, 255) * 51]
+)
 def test_messages_that_do_not_decode_or_name_no_server_do_no_harm(data: bytes) -> None:
     proxy = Proxy()
     assert proxy.give(api.PeerMessage(3, data)) == []
@@ -151,7 +154,7 @@
     proxy.load(6.0, 4.0, 1500.0)
     ceiling = proxy.control().ceiling
     assert ceiling is not None
-    proxy.run(3000.0)  # no messages arrive, so no good news either
+    proxy.run(3000.0)  # without messages, nothing from a peer raises the ceiling
     assert 0.0 < (proxy.control().ceiling or 0.0) <= ceiling
     proxy.run(decide.PENDING_TERMINATION_MS + 20_000.0)
     assert proxy.control().ceiling is None
@@ -174,7 +177,7 @@
     # Guards against a surge of dear calls that finds one token at each of 286 proxies (incident i99cb61).
     all_proxies = fleet(286)
     for number in (0, 1):
-        tell_lines(all_proxies, number, 1000.0, 1000.0)
+        report_lines(all_proxies, number, 1000.0, 1000.0)
     run(all_proxies, 6.0, 40.0 / 286, first=1)
     for proxy in all_proxies:
         proxy.give(api.ListUpdate(api.ListKind.CHANGES, 2, (server(0, started=proxy.now),)))
@@ -185,7 +188,7 @@
     assert sent <= 0.5 * 1.5 * 20.0 * SETTINGS.fall_multiple
 
 
-def test_probes_turned_away_are_rejects() -> None:
+def test_rejected_probes_count_as_rejects() -> None:
     # Guards against judging an overloaded server by the few probes that it accepts: it rejected most of them
     # and answered the others in 50 ms.
     proxy = Proxy(probes=True, report_columns=COLUMNS)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -102,7 +102,7 @@
     return bool(remaining) and not plan.held_by and (capacity == 0 or capacity >= load * (1 + limits.margin))
 
 
-def checked(plan: Plan, index: int, term: int, command: Command) -> None:
+def apply_checked(plan: Plan, index: int, term: int, command: Command) -> None:
     """Applies a command; the reference model must allow the tickets that start by it, one after the other."""
     waiting = {ticket.number for ticket in plan.tickets if ticket.state is TicketState.WAITING}
     plan.apply(index, term, command)
@@ -192,7 +192,7 @@
     for name, zone in ZONES.items():
         plan.apply(0, 1, AgentStatus(name, zone, 1, True, False, True))
     for index, command in enumerate(applied, start=1):
-        checked(plan, index, 1, command)
+        apply_checked(plan, index, 1, command)
         other = Plan()
         other.restore(plan.save())
         assert other.save() == plan.save()
@@ -290,7 +290,7 @@
     def read(self, node: Node) -> None:
         if node.applied < len(self.log):
             node.applied += 1
-            checked(node.plan, node.applied, 1, self.log[node.applied - 1])
+            apply_checked(node.plan, node.applied, 1, self.log[node.applied - 1])
             self.reconcile(node)
 
     def settle(self) -> None:
@@ -443,30 +443,30 @@
         )
 
 
-def asked(*requests: MaintenanceRequest) -> Fleet:
+def with_requests(*requests: MaintenanceRequest) -> Fleet:
     fleet = Fleet()
     fleet.log += requests
     return fleet
 
 
-def going() -> Fleet:
+def with_draining_server() -> Fleet:
     """All agents hold the server out, and one call is open there: its agent has not confirmed."""
     fleet = Fleet()
     fleet.step("call", "a1 h0")
-    fleet.log += [one("h0"), one("a1")]
+    fleet.log += [request_for("h0"), request_for("a1")]
     fleet.settle()
     return fleet
 
 
-def out() -> Fleet:
-    fleet = asked(one("h0"), one("a1"))
+def with_server_out() -> Fleet:
+    fleet = with_requests(request_for("h0"), request_for("a1"))
     fleet.settle()
     return fleet
 
 
-def again() -> Fleet:
+def with_server_requested_again() -> Fleet:
     """The server's ticket was cancelled and requested anew; a confirmation of the first is in flight."""
-    fleet = asked(one("h0"))
+    fleet = with_requests(request_for("h0"))
     while not (ticket := fleet.nodes["a0"].plan.open_ticket("h0")) or ticket.state is not TicketState.GOING:
         fleet.read(fleet.nodes["a0"])
     fleet.late = [DrainConfirmed("a1", 1, "h0", ticket.start_index)]
@@ -476,16 +476,21 @@
     fleet.settle()
     assert fleet.nodes["a0"].plan.open_ticket("h0") is None
     fleet.step("call", "a1 h0")
-    fleet.log.append(one("h0"))
+    fleet.log.append(request_for("h0"))
     fleet.settle()
     return fleet
 
 
-def one(*machines: str, urgent: bool = False) -> MaintenanceRequest:
+def request_for(*machines: str, urgent: bool = False) -> MaintenanceRequest:
     return MaintenanceRequest(machines, "", "kernel", "ann", 60_000.0, urgent)
 
 
-BEGINNINGS = {"asked": lambda: asked(one("h0"), one("a1")), "going": going, "out": out, "again": again}
+BEGINNINGS = {
+    "asked": lambda: with_requests(request_for("h0"), request_for("a1")),
+    "going": with_draining_server,
+    "out": with_server_out,
+    "again": with_server_requested_again,
+}
 
 
 @pytest.mark.parametrize("name", BEGINNINGS)
@@ -495,18 +500,18 @@
 
 def random_run(seed: int, steps: int = 250) -> Fleet:
     """A random run; at its end all faults are repaired, and every ticket must have ended."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     fleet = Fleet(
-        Limits(all=chance.randint(1, 2), servers=1, zone=2, warm_ms=1000.0, overtakes=chance.randint(1, 3))
+        Limits(all=rng.randint(1, 2), servers=1, zone=2, warm_ms=1000.0, overtakes=rng.randint(1, 3))
     )
     for number in range(steps):
         fleet.calls, fleet.deaths, fleet.cuts = 2, 1, 1
         events = list(fleet.events())
         weights = [{"kill": 0.1, "cut": 0.2, "alone": 0.3}.get(what, 1.0) for what, _ in events]
-        fleet.step(*chance.choices(events, weights)[0])
+        fleet.step(*rng.choices(events, weights)[0])
         if number % 25 == 0:
-            machines = chance.sample(["a0", "a1", "a2", "h0", "h1"], 2)
-            fleet.log.append(one(*machines, urgent=chance.random() < 0.3))
+            machines = rng.sample(["a0", "a1", "a2", "h0", "h1"], 2)
+            fleet.log.append(request_for(*machines, urgent=rng.random() < 0.3))
     for _ in range(60):
         for node in fleet.nodes.values():
             if not node.alive:
@@ -538,14 +543,14 @@
 
 
 def stale_confirmations_do_not_count() -> None:
-    plan = asked(one("h0")).nodes["a0"].plan
-    setup: list[Command] = [
+    plan = with_requests(request_for("h0")).nodes["a0"].plan
+    commands_before: list[Command] = [
         ServerList(tuple(SERVERS.values())),
         AgentStatus("a0", "z", 2, True, False),
         AgentStatus("a1", "z", 5, True, False),
-        one("h0"),
+        request_for("h0"),
     ]
-    for index, command in enumerate(setup, start=100):
+    for index, command in enumerate(commands_before, start=100):
         plan.apply(index, 1, command)
     ticket = plan.open_ticket("h0")
     assert ticket is not None
@@ -645,7 +650,7 @@
 
 
 def test_operators_commands_are_validated_and_status_gives_reasons() -> None:
-    plan = out().nodes["a0"].plan
+    plan = with_server_out().nodes["a0"].plan
     assert plan.open_ticket("h0") is not None and "may be touched" in "\n".join(
         operator_commands.status_lines(plan)
     )
@@ -676,7 +681,7 @@
 
 
 def test_force_keeps_operator_and_reason_and_an_overdue_machine_stops_the_plan() -> None:
-    plan = out().nodes["a0"].plan
+    plan = with_server_out().nodes["a0"].plan
     index = 1000
     for tick in (Tick(1, 5000.0),) * 14:
         plan.apply(index := index + 1, 1, tick)
@@ -696,7 +701,7 @@
     for index, (name, zone) in enumerate(ZONES.items(), start=1):
         plan.apply(index, 1, AgentStatus(name, zone, 1, True, False, True))
     assert plan.budget_factor() == 1.0
-    plan.apply(4, 1, one("a2"))
+    plan.apply(4, 1, request_for("a2"))
     plan.apply(5, 1, AgentStatus("a2", "y", 1, False, False, True))
     assert plan.budget_factor() == 1.5
     # An operator has stopped the process: the agent has left, but its ticket still counts.
