--- a/tests/fleet/test_startup.py
+++ b/tests/fleet/test_startup.py
@@ -117,9 +117,10 @@
         number, others = self.publish_event(), [name for name in self.rig.names if name not in stalled]
         found = await self.wait_for_event(number, others)
         for name in stalled:
+            # The feeders were stopped all the time.
             assert not any(
                 line["event"] == "list" and line["offset"] == number for line in self.rig.records(name)
-            )  # they were indeed stopped
+            )
             self.rig.wake(name)
         assert not {line["source"] for line in found.values()} & set(stalled)
         await self.wait_for_event(number)
