--- a/standins/cold_start_simulation.py
+++ b/standins/cold_start_simulation.py
@@ -451,9 +451,9 @@
             behind = agent.offset < self.last_event
             while agent.offset < self.last_event:
                 agent.advance_to(agent.offset + 1)
-                agent.handle(feeding.ServiceHeard(agent.offset, b"event %d" % agent.offset))
+                agent.handle(feeding.ServiceDataReceived(agent.offset, b"event %d" % agent.offset))
             if not behind:
-                agent.handle(feeding.ServiceHeard())
+                agent.handle(feeding.ServiceDataReceived())
 
         self.call_after_random(NETWORK_DELAY_MS, arrive)
 
--- a/tests/fleet/test_startup.py
+++ b/tests/fleet/test_startup.py
@@ -78,7 +78,7 @@
 
     def assert_not_overloaded(self, since: int, max_connections: int) -> None:
         """Asserts that the list service accepted few connections after the first `since`, that it sent no
-        whole list, and that nothing collapsed."""
+        complete list, and that nothing collapsed."""
         assert len(self.list.accepted_at) - since <= max_connections, len(self.list.accepted_at) - since
         assert self.list.whole_lists == 0
         assert [name for name, party in self.site.endpoints().items() if party.processor.collapsed] == []
@@ -117,9 +117,10 @@
         number, others = self.publish_event(), [name for name in self.rig.names if name not in stalled]
         found = await self.wait_for_event(number, others)
         for name in stalled:
+            # The feeders were stopped all the time.
             assert not any(
                 line["event"] == "list" and line["offset"] == number for line in self.rig.records(name)
-            )  # they were indeed stopped
+            )
             self.rig.unfreeze(name)
         assert not {line["source"] for line in found.values()} & set(stalled)
         await self.wait_for_event(number)
