--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -195,7 +195,7 @@
         seed: int,
     ) -> None:
         """`rate` is each server's capacity in set-ups per second."""
-        self.clock, self.rng, self.rate = clock, random.Random(seed), calls_per_second
+        self.clock, self.rng, self.calls_per_second = clock, random.Random(seed), calls_per_second
         self.servers = {
             f"h{number}": SimulatedLobbyServer(clock, f"h{number}", number, rate) for number in range(servers)
         }
@@ -208,7 +208,7 @@
         self.arrive()
 
     def arrive(self) -> None:
-        self.clock.call_after(self.rng.expovariate(self.rate) * 1000.0, self.arrive)
+        self.clock.call_after(self.rng.expovariate(self.calls_per_second) * 1000.0, self.arrive)
         self.call_count += 1
         call, second = f"c{self.call_count}", int(self.clock.now / 1000.0)
         while len(self.arrived_by_second) <= second:
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -86,7 +86,7 @@
                 f"{label}: all serve after {all_ready:.1f} s; {describe_accepted(servers, started_unix_s)}; "
                 f"longest queue at the list service "
                 f"{servers['list'].processor.longest_queue_ms / 1000.0:.1f} s; "
-                f"whole lists sent {site.limited_list.whole_lists}",
+                f"whole lists sent {site.limited_list.complete_lists}",
                 flush=True,
             )
             site.start_callers()
@@ -95,7 +95,7 @@
                 sum(caller.set_up_count for caller in site.callers),
                 len(site.observed.answer_times_ms),
             )
-            pending = sum(len(caller.pending) for caller in site.callers)
+            pending = sum(len(caller.unanswered) for caller in site.callers)
             print(
                 f"{label}: of {set_ups - pending} calls {established / max(1, set_ups - pending):.4f} stand",
                 flush=True,
@@ -127,8 +127,8 @@
                 f"last connection at the lobby servers after "
                 f"{max(last[name] for name in last if name != 'list'):.1f} s; longest queue at the list "
                 f"service {servers['list'].processor.longest_queue_ms / 1000.0:.1f} s; "
-                f"whole lists sent {site.limited_list.whole_lists}; "
-                f"protocol violations {len(site.observed.faults)}",
+                f"whole lists sent {site.limited_list.complete_lists}; "
+                f"protocol violations {len(site.observed.violations)}",
                 flush=True,
             )
 
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -206,7 +206,7 @@
         if agent.phase == "draining" and not agent.busy():
             agent.phase = "drained"
         self.phase[name] = agent.phase
-        calls = self.call_simulation.rate / max(
+        calls = self.call_simulation.calls_per_second / max(
             1, sum(other.phase == "serving" for other in self.call_simulation.agents.values())
         )
         return LocalState(
@@ -285,7 +285,7 @@
         ]
         if still_waiting:
             self.at_load = self.now
-            self.call_simulation.rate = QUIET_LOAD * SERVER_RATE * SERVER_COUNT
+            self.call_simulation.calls_per_second = QUIET_LOAD * SERVER_RATE * SERVER_COUNT
             self.run(lambda: not self.plan.has_open_tickets())
         return (
             f"; {len(still_waiting)} servers waited for the quiet hour ({still_waiting[0]})"
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -182,11 +182,11 @@
                     for _ in range(3):
                         engine.run_background_step()
 
-            idle_turns = loop_turns_ms(3.0)
+            idle_turns = loop_iterations_ms(3.0)
             before = engine.cleaned
             thread = threading.Thread(target=churn)
             thread.start()
-            busy_turns = loop_turns_ms(6.0)
+            busy_turns = loop_iterations_ms(6.0)
             stop.set()
             thread.join()
             print(
@@ -196,7 +196,7 @@
             )
 
 
-def loop_turns_ms(seconds: float) -> list[float]:
+def loop_iterations_ms(seconds: float) -> list[float]:
     """The durations in ms of the turns of a loop that does a little work and yields, like the reactor's."""
     turns, end = [], time.perf_counter() + seconds
     last = time.perf_counter()
@@ -265,7 +265,7 @@
         for lobby in lobbies:
             assert lobby.server is not None
             lobby.server.close()
-        assert not observed.faults, observed.faults
+        assert not observed.violations, observed.violations
         return observed.answer_times_ms, cpu / count, memory
 
 
--- a/standins/cold_site.py
+++ b/standins/cold_site.py
@@ -99,7 +99,7 @@
         self.ask_ms = ask_ms
         self.dials: dict[str, str] = {}
         self.oldest_kept_event = 0  # a request from before this offset counts as one for the whole list
-        self.whole_lists = 0
+        self.complete_lists = 0
         self.published_at: dict[int, float] = {}  # Unix ms, by event
 
     def publish(self, hosts: list[dict[str, Any]]) -> None:
@@ -115,7 +115,7 @@
                 self.go_down()
                 return
             await asyncio.sleep(wait_s)
-            self.whole_lists += offset < self.oldest_kept_event
+            self.complete_lists += offset < self.oldest_kept_event
             while not writer.is_closing():
                 changed = self.changed
                 while offset < len(self.events):
--- a/standins/cold_start_simulation.py
+++ b/standins/cold_start_simulation.py
@@ -81,9 +81,9 @@
         )
         self.zone = site.zone(name)
         now = self.clock()
-        self.turns = DialPacer(site.settings, random.Random(site.rng.random()), now)
+        self.pacer = DialPacer(site.settings, random.Random(site.rng.random()), now)
         self.feed = Feed(name, self.zone, offset, site.settings, now)
-        self.waves = StagedReadiness(site.settings, now)
+        self.readiness = StagedReadiness(site.settings, now)
         self.offset = offset
         self.members: dict[str, str] = {}
         self.births = self.deaths = 0  # how many of the site's it has processed
@@ -93,7 +93,7 @@
         self.dial_at: dict[str, float] = {}  # scheduled dials, by target
         self.chosen: set[str] = set()
         self.frozen_until = -math.inf
-        self.list_heard_at = -math.inf
+        self.list_last_received_at = -math.inf
         self.event_received_at: dict[int, float] = {}  # by offset of the event
 
     def clock(self) -> float:
@@ -131,7 +131,7 @@
     def _refused(self, target: str) -> None:
         if not self.alive():
             return
-        self.turns.raise_pressure(target, self.clock())
+        self.pacer.raise_pressure(target, self.clock())
         self._schedule_redial(target)
 
     def _schedule_redial(self, target: str) -> None:
@@ -141,7 +141,7 @@
             if self.feed.role not in (Role.FEEDING, Role.STANDALONE):
                 return
         if target not in self.dial_at:
-            self.dial_after(target, self.turns.schedule_redial(target, self.clock()))
+            self.dial_after(target, self.pacer.schedule_redial(target, self.clock()))
 
     def _connected(self, target: str, number: int) -> None:
         endpoint = self.site.endpoints[target]
@@ -151,13 +151,13 @@
             del endpoint.connections[self.name]
             return
         self.connected[target] = number
-        self.turns.on_connected(target, self.clock())
+        self.pacer.on_connected(target, self.clock())
         if target == LIST_SERVICE:
             self.handle(feeding.ServiceConnected())
-            self.list_heard_at = self.site.now
+            self.list_last_received_at = self.site.now
             done = endpoint.add_work(endpoint.work_ms)
             if done is not None:
-                self.site.whole_lists += self.offset < self.site.oldest_kept_event
+                self.site.complete_lists += self.offset < self.site.oldest_kept_event
                 self.site.call_at(done, lambda: self.site.send_events(self.name, number))
         elif not endpoint.silent:
             self.answering.add(target)
@@ -189,7 +189,7 @@
                 case feeding.Connect(among):
                     if LIST_SERVICE not in self.dial_at:
                         self.dial_after(
-                            LIST_SERVICE, self.turns.schedule_first(LIST_SERVICE, self.clock(), among)
+                            LIST_SERVICE, self.pacer.schedule_first(LIST_SERVICE, self.clock(), among)
                         )
                 case feeding.Disconnect():
                     self.dial_at.pop(LIST_SERVICE, None)
@@ -207,19 +207,19 @@
         if not self.alive():
             return
         wait = TICK_MS
-        if self.waves.ready:
+        if self.readiness.ready:
             wait = max(20.0, self.feed.next_tick_at(self.clock()) - self.clock())
         self.site.call_after(wait, self.tick)
         if self.site.now < self.frozen_until:
             return
         now = self.clock()
-        if LIST_SERVICE in self.connected and self.site.now - self.list_heard_at > SILENCE_TIMEOUT_MS:
+        if LIST_SERVICE in self.connected and self.site.now - self.list_last_received_at > SILENCE_TIMEOUT_MS:
             number = self.connected[LIST_SERVICE]
             self.site.endpoints[LIST_SERVICE].connections.pop(self.name, None)
             self.connection_broken(LIST_SERVICE, number)
-        self.feed.pressures = self.turns.reportable_pressures(now)
+        self.feed.pressures = self.pacer.reportable_pressures(now)
         if self._update_members():
-            self.turns.update_fleet_size(len(self.members) + 1)
+            self.pacer.update_fleet_size(len(self.members) + 1)
             self.handle(feeding.MembersChanged(self.members))
         members = self.members
         self.handle(feeding.Tick())
@@ -229,8 +229,8 @@
                 servers, self.name, [*members, self.name], self.site.settings.servers
             )
             for server in sorted(self.chosen):
-                self.dial_after(server, self.turns.schedule_first(server, now))
-        if not self.waves.ready:
+                self.dial_after(server, self.pacer.schedule_first(server, now))
+        if not self.readiness.ready:
             prepared = (
                 self.site.prepared
                 if len(members) + 1 >= len(self.site.agents)
@@ -244,9 +244,9 @@
                 0,
                 len(members) + 1,
             )
-            if self.waves.update(local, now):
+            if self.readiness.update(local, now):
                 self.site.served_at[self.name] = self.site.now
-            (self.site.prepared.add if self.waves.prepared_at is not None else self.site.prepared.discard)(
+            (self.site.prepared.add if self.readiness.prepared_at is not None else self.site.prepared.discard)(
                 self.name
             )
 
@@ -317,7 +317,7 @@
         self.published_at: dict[int, float] = {}
         # The last event, and the oldest one from which changes can be sent: older lists are sent complete.
         self.last_event = self.oldest_kept_event = 0
-        self.whole_lists = 0
+        self.complete_lists = 0
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
         self.hidden: Callable[[str, str], bool] = lambda viewer, other: False
         self.eager = eager
@@ -354,10 +354,10 @@
             self, name, self.first_offset(number), self.rng.uniform(-self.skew_ms, self.skew_ms)
         )
         if self.eager:
-            agent.turns.settings = Settings(
+            agent.pacer.settings = Settings(
                 dials_a_second=1e9, lists_a_second=1e9, first_gap_ms=0.1, most_gap_ms=200.0, redials=1e9
             )
-            agent.turns.fleet_size = 1
+            agent.pacer.fleet_size = 1
             agent.feed.is_feeder = True
         self.births.append((self.now, name))
         self.prepared.discard(name)
@@ -413,7 +413,7 @@
                 self.call_at(agent.frozen_until, arrive)
                 return
             for target, level in getattr(message, "pressures", ()):
-                agent.turns.merge_pressure(target, level, agent.clock())
+                agent.pacer.merge_pressure(target, level, agent.clock())
             agent.handle(feeding.MessageReceived(sender, message))
 
         self.call_after_random(NETWORK_DELAY_MS, arrive)
@@ -447,7 +447,7 @@
             if self.now < agent.frozen_until:
                 self.call_at(agent.frozen_until, arrive)
                 return
-            agent.list_heard_at = self.now
+            agent.list_last_received_at = self.now
             behind = agent.offset < self.last_event
             while agent.offset < self.last_event:
                 agent.advance_to(agent.offset + 1)
@@ -464,7 +464,7 @@
     # Queries for tests
 
     def serving_count(self) -> int:
-        return sum(agent.waves.ready for agent in self.agents.values())
+        return sum(agent.readiness.ready for agent in self.agents.values())
 
     def collapsed(self) -> list[str]:
         return [name for name, endpoint in self.endpoints.items() if endpoint.collapsed]
--- a/standins/lobby.py
+++ b/standins/lobby.py
@@ -47,23 +47,23 @@
     refused: int = 0
     ended: int = 0  # calls that servers ended
     answer_times_ms: list[float] = field(default_factory=list)  # from set-up to answer, of established calls
-    faults: list[str] = field(default_factory=list)  # violations of the protocol
+    violations: list[str] = field(default_factory=list)  # violations of the protocol
     set_ups: list[tuple[float, str, str]] = field(default_factory=list)  # Unix ms, server, call
     partitioned: set[str] = field(default_factory=set)  # servers that a test cut off; they miss releases
 
-    def report_fault(self, text: str) -> None:
-        self.faults.append(text)
+    def report_violation(self, text: str) -> None:
+        self.violations.append(text)
 
     def record_set_up(self, server: str, call: str) -> None:
         self.set_ups.append((time.time() * 1000.0, server, call))
         for other, calls in self.calls_by_server.items():
             if calls.get(call, "lost") != "lost" and other not in self.partitioned:
-                self.report_fault(f"{call}: set up at {server} while {calls[call]} at {other}")
+                self.report_violation(f"{call}: set up at {server} while {calls[call]} at {other}")
         self.calls_by_server[server][call] = "out"
 
     def record_answer(self, call: str, requested: bool, established: bool, wait_ms: float) -> None:
         if not requested:
-            self.report_fault(f"{call}: answered without an open set-up")
+            self.report_violation(f"{call}: answered without an open set-up")
         self.answers += 1
         self.uncertain.discard(call)
         if established:
@@ -91,7 +91,7 @@
         self.max_answer_ms, self.refusal_probability = max_answer_ms, refusal_probability
         # The share of established calls that it ends by itself, and after how long at most.
         self.end_probability, self.max_call_ms = end_probability, max_call_ms
-        self.unconfirmed_ends: set[str] = set()  # sent again on each new connection
+        self.pending_releases: set[str] = set()  # sent again on each new connection
         self.calls = observed.calls_by_server.setdefault(name, {})
         self.server: asyncio.Server | None = None
         self.writers: list[asyncio.StreamWriter] = []
@@ -107,7 +107,7 @@
         for call in [call for call, state in self.calls.items() if state == "lost"]:
             self.calls[call] = "stands"
             writer.write(encode("STARTED", call, blob="told again"))
-        for call in sorted(self.unconfirmed_ends):
+        for call in sorted(self.pending_releases):
             writer.write(encode("FINISH", call, rc=16))
         pending: set[str] = set()
         loop = asyncio.get_running_loop()
@@ -127,7 +127,7 @@
                             pending,
                         )
                     case "FINISHED":
-                        self.unconfirmed_ends.discard(message["tag"])
+                        self.pending_releases.discard(message["tag"])
                     case "FINISH":
                         self.calls.pop(message["tag"], None)
                         writer.write(encode("FINISHED", message["tag"]))
@@ -167,7 +167,7 @@
         """Ends an established call on the newest connection, and on each later one until it is confirmed."""
         if self.calls.get(call) == "stands":
             del self.calls[call]
-            self.unconfirmed_ends.add(call)
+            self.pending_releases.add(call)
             self.observed.ended += 1
             if self.writers:
                 self.writers[-1].write(encode("FINISH", call, rc=16))
@@ -176,7 +176,7 @@
         """Ends all calls that it still holds, in whatever state."""
         for call in list(self.calls):
             del self.calls[call]
-            self.unconfirmed_ends.add(call)
+            self.pending_releases.add(call)
             if self.writers:
                 self.writers[-1].write(encode("FINISH", call, rc=16))
 
@@ -205,11 +205,11 @@
             repeat_probability,
         )
         self.set_up_count = 0
-        self.pending: dict[str, float] = {}  # unanswered set-ups, with the loop time at which each was sent
+        self.unanswered: dict[str, float] = {}  # unanswered set-ups, with the loop time at which each was sent
         self.established: set[str] = set()  # calls that stand as far as this client knows
         self.releasing: set[str] = set()  # released, not yet confirmed
         self.to_repeat: list[str] = []  # unanswered set-ups of earlier connections
-        self.active = True  # sends set-ups
+        self.sends_set_ups = True  # sends set-ups
         self.avoids_agent = False  # set by the balancer: it sends no new set-ups to this agent
         self.follows_balancer = True  # whether the balancer may set `avoids_agent`
         self.writer: asyncio.StreamWriter | None = None
@@ -228,7 +228,7 @@
             except ConnectionError:
                 await asyncio.sleep(0.01)
                 continue
-            sending = asyncio.create_task(self.send_set_ups(self.writer))
+            sending = asyncio.create_task(self.generate_set_ups(self.writer))
             try:
                 for call in sorted(self.releasing):
                     self.release(call)
@@ -240,14 +240,14 @@
                 sending.cancel()
                 self.writer.close()
                 self.writer = None
-            for call in self.pending:
+            for call in self.unanswered:
                 self.observed.uncertain.add(call)
                 if self.rng.random() < self.repeat_probability:
                     self.to_repeat.append(call)
-            self.pending.clear()
+            self.unanswered.clear()
 
-    async def send_set_ups(self, writer: asyncio.StreamWriter) -> None:
-        while self.active:
+    async def generate_set_ups(self, writer: asyncio.StreamWriter) -> None:
+        while self.sends_set_ups:
             if self.avoids_agent:
                 await asyncio.sleep(0.01)
                 continue
@@ -256,7 +256,7 @@
             else:
                 self.set_up_count += 1
                 call = f"{self.name:08x}{self.set_up_count:08x}"
-            self.pending[call] = asyncio.get_running_loop().time()
+            self.unanswered[call] = asyncio.get_running_loop().time()
             options: Message = {"class": "race", "left": 8000}
             writer.write(encode("START", call, blob=f"description {call}", **options))
             await asyncio.sleep(self.rng.expovariate(1000.0 / self.mean_gap_ms))
@@ -266,14 +266,14 @@
         loop = asyncio.get_running_loop()
         if verb == "STARTED":
             if call in self.observed.ended_before_answer:
-                self.observed.report_fault(f"{call}: answered after its end")
-            sent_at = self.pending.pop(call, None)
+                self.observed.report_violation(f"{call}: answered after its end")
+            sent_at = self.unanswered.pop(call, None)
             wait_ms = (loop.time() - sent_at) * 1000.0 if sent_at is not None else 0.0
             self.observed.record_answer(call, sent_at is not None, True, wait_ms)
             self.established.add(call)
             loop.call_later(self.rng.uniform(0.0, self.max_hold_ms) / 1000.0, self.release, call)
-        elif verb == "FINISH" and call in self.pending:
-            del self.pending[call]
+        elif verb == "FINISH" and call in self.unanswered:
+            del self.unanswered[call]
             self.observed.record_answer(call, True, False, 0.0)
         elif verb == "FINISH":
             if call in self.observed.uncertain:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -386,7 +386,7 @@
     await rig.wait_until("all hear of the drain", drained)
     await stop_callers(environment.callers)
     await end_calls_at_servers(environment.lobbies, observed)
-    assert observed.faults == []
+    assert observed.violations == []
     assert observed.answers > 150 and observed.ended > 10
 
 
--- a/tests/fleet/test_startup.py
+++ b/tests/fleet/test_startup.py
@@ -80,7 +80,7 @@
         """Asserts that the list service accepted few connections after the first `since`, that it sent no
         whole list, and that nothing collapsed."""
         assert len(self.list.accepted_at) - since <= max_connections, len(self.list.accepted_at) - since
-        assert self.list.whole_lists == 0
+        assert self.list.complete_lists == 0
         assert [name for name, party in self.site.endpoints().items() if party.processor.collapsed] == []
 
     # Faults
@@ -158,7 +158,7 @@
     async def all_agents_serve(self) -> None:
         self.site.start_callers()
         await self.wait_until_all_show("show-stat", "app.answered.race:1")
-        assert self.site.observed.faults == []
+        assert self.site.observed.violations == []
 
 
 async def run_scenario(folder: pathlib.Path, **startup: Any) -> None:
--- a/tests/fleet/test_work.py
+++ b/tests/fleet/test_work.py
@@ -520,7 +520,7 @@
                 await rig.wait_until(f"{each} serves", lambda each=each: serves(rig, each))  # type: ignore[misc]
             await stop_callers(environment.callers)
             await end_calls_at_servers(environment.lobbies, environment.observed)
-            assert environment.observed.faults == []
+            assert environment.observed.violations == []
             await rig.note("n0")
             await rig.wait_for_convergence(1)
             await rig.check_records()
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -111,7 +111,7 @@
     observed, connects, logged, open_now = asyncio.run(flooded(tmp_path))
     log = (tmp_path / "log").read_text(encoding="utf-8")
     print(logged, open_now)
-    assert observed.faults == [] and not observed.uncertain and observed.refused == 0
+    assert observed.violations == [] and not observed.uncertain and observed.refused == 0
     assert connects == [1, 1, 1, 1], "a known client lost its connection"
     assert "Traceback" not in log and "these count" in log
     refused = logged["refused"]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -346,7 +346,7 @@
 def test_either_process_killed_at_each_step_of_a_handover(step: str, tmp_path: pathlib.Path) -> None:
     observed = asyncio.run(run_upgrade(tmp_path, step, 1))
     log = (tmp_path / "log").read_text(encoding="utf-8")
-    assert observed.faults == []
+    assert observed.violations == []
     assert "Traceback" not in log and "stopped:" not in log, log[-2000:]
     found = tools.contents(tmp_path / "s.store")
     assert found.torn_bytes == 0
--- a/tests/test_sigkill.py
+++ b/tests/test_sigkill.py
@@ -83,18 +83,18 @@
     with contextlib.suppress(TimeoutError):  # for release guards, and messages that servers repeat
         await wait_until(lambda: not left())
     for call in left():
-        observed.report_fault(f"{call}: left at a server, and its client knows nothing of it")
+        observed.report_violation(f"{call}: left at a server, and its client knows nothing of it")
     for lobby in lobbies:
         lobby.end_all()
-    await wait_until(lambda: not any(lobby.unconfirmed_ends for lobby in lobbies))
+    await wait_until(lambda: not any(lobby.pending_releases for lobby in lobbies))
 
 
 async def stop_callers(callers: Sequence[Caller]) -> None:
     """Lets clients stop asking, and release all calls that they know to be established."""
     for caller in callers:
-        caller.active = False
+        caller.sends_set_ups = False
     await wait_until(
-        lambda: not any(caller.pending or caller.established or caller.releasing for caller in callers)
+        lambda: not any(caller.unanswered or caller.established or caller.releasing for caller in callers)
     )
 
 
@@ -123,7 +123,7 @@
 def test_fifty_sigkills_under_load(tmp_path: pathlib.Path) -> None:
     observed = asyncio.run(run_with_kills(tmp_path, 4))
     print(f"{observed.answers} answers, {observed.refused} refused, {len(observed.uncertain)} never known")
-    assert observed.faults == []
+    assert observed.violations == []
     assert observed.answers - observed.refused > 5 * KILLS and observed.ended > KILLS
     log = (tmp_path / "log").read_text(encoding="utf-8")
     assert "Traceback" not in log and "stopped:" not in log
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -41,9 +41,9 @@
         if site.serving_count() == len(site.agents) == site.count:
             return
     not_ready = [
-        (name, agent.waves.waits_for, agent.feed.role.value)
+        (name, agent.readiness.waits_for, agent.feed.role.value)
         for name, agent in site.agents.items()
-        if not agent.waves.ready
+        if not agent.readiness.ready
     ]
     raise AssertionError(
         f"{len(not_ready)} agents do not serve: {not_ready[:5]}; collapsed: {site.collapsed()}"
@@ -145,7 +145,7 @@
     wait_until_all_serve(site, 20_000.0)
     site.run(3000.0)
     assert all(agent.offset == site.last_event for agent in site.agents.values())
-    assert site.whole_lists <= 20
+    assert site.complete_lists <= 20
     assert_event_reaches_all(site)
 
 
--- a/trials/checker.py
+++ b/trials/checker.py
@@ -20,7 +20,7 @@
     attempts.one_at_a_time,
     attempts.release_guard,
     attempts.client_gone,
-    ends.told,
+    ends.notified_in_time,
     ends.nothing_left,
     servers.drained,
     processes.no_crash,
--- a/trials/discovery.py
+++ b/trials/discovery.py
@@ -74,7 +74,7 @@
             changed = self.changed
             if self.mode in (Mode.UP, Mode.SLOW) and writer not in self.stalled:
                 for number in range(last_sent + 1, len(self.changes) + 1):
-                    writer.write(self.line(agent, number))
+                    writer.write(self.encode_event(agent, number))
                     self._record_delivery(agent, number)
                 last_sent = len(self.changes)
                 writer.write(b"%d\n" % last_sent)
@@ -86,7 +86,7 @@
         for host in self.changes[number - 1]:
             self.history.add(Kind.DELIVERED, agent, server=host["host"], text=host["health"], number=number)
 
-    def line(self, agent: str, number: int) -> bytes:
+    def encode_event(self, agent: str, number: int) -> bytes:
         """The line of one event for an agent."""
         return json.dumps(self.event(agent, number)).encode() + b"\n"
 
--- a/trials/rules/ends.py
+++ b/trials/rules/ends.py
@@ -14,7 +14,7 @@
 CROSSING_CLOSE_S = 0.1  # an answer written up to this long after a close may have crossed it
 
 
-def told(index: Index) -> Iterator[Violation]:
+def notified_in_time(index: Index) -> Iterator[Violation]:
     """The caller of an ended call is notified in time, even if the server is unreachable."""
     for call, events in index.by_call.items():
         answered = index.first(call, Kind.ANSWERED)
--- a/trials/server.py
+++ b/trials/server.py
@@ -66,7 +66,7 @@
 
     number: int = 1
     calls: dict[str, ServerCall] = field(default_factory=dict)
-    unconfirmed_releases: dict[str, str] = field(default_factory=dict)  # agent by call
+    pending_releases: dict[str, str] = field(default_factory=dict)  # agent by call
     links: list[Link] = field(default_factory=list)
     answers_to_resend: dict[str, tuple[str, bytes]] = field(default_factory=dict)  # agent and line by call
 
@@ -398,7 +398,7 @@
             if tag in self.process.calls:
                 link.answered_at[tag] = self.history.now()
                 link.write(line)
-        for tag, agent in list(self.process.unconfirmed_releases.items()):
+        for tag, agent in list(self.process.pending_releases.items()):
             if agent == link.agent:
                 link.write(encode("FINISH", tag, rc=NORMAL_CAUSE), ends=tag)
 
@@ -411,7 +411,7 @@
         for tag, answered_at in link.answered_at.items():
             if answered_at > self.history.now() - RESEND_WITHIN_S and tag in self.process.calls:
                 self.process.answers_to_resend[tag] = (link.agent, self.descriptions[tag])
-        for tag in link.releases_written & self.process.unconfirmed_releases.keys():
+        for tag in link.releases_written & self.process.pending_releases.keys():
             self.history.add(Kind.END_LOST, self.name, call=tag, server=self.name)
         for tag, call in list(self.process.calls.items()):
             if call.link is link and call.stage is Stage.PENDING:
@@ -453,7 +453,7 @@
                     call.timer.cancel()
                 link.write(encode("FINISHED", tag))
             case "FINISHED":
-                process.unconfirmed_releases.pop(tag, None)
+                process.pending_releases.pop(tag, None)
             case "ECHO" if message.get("rc") == 1:
                 link.write(encode("ECHOED", tag, rc=1, load="x0:100;x1:400;qps:200"))
             case "ECHO":
@@ -498,7 +498,7 @@
         if self.rng.random() < self.behaviour.early_end_share:
             answer += encode("FINISH", tag, rc=NORMAL_CAUSE)
             del self.process.calls[tag]
-            self.process.unconfirmed_releases[tag] = call.link.agent
+            self.process.pending_releases[tag] = call.link.agent
             self.history.add(Kind.ENDED, self.name, call=tag, server=self.name)
             call.link.write(answer, ends=tag)
             return
@@ -515,7 +515,7 @@
             call.timer = asyncio.get_running_loop().call_later(0.1, self._end_call, tag, call)
             return
         del self.process.calls[tag]
-        self.process.unconfirmed_releases[tag] = call.link.agent
+        self.process.pending_releases[tag] = call.link.agent
         self.history.add(Kind.ENDED, self.name, call=tag, server=self.name)
         link: Link | None = call.link
         if call.link.closed:
