--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -190,14 +190,15 @@
         clock: SimulatedClock,
         agents: int,
         servers: int,
-        rate: float,
+        server_rate: float,
         calls_per_second: float,
         seed: int,
     ) -> None:
-        """`rate` is each server's capacity in set-ups per second."""
+        """`server_rate` is each server's capacity in set-ups per second."""
         self.clock, self.rng, self.calls_per_second = clock, random.Random(seed), calls_per_second
         self.servers = {
-            f"h{number}": SimulatedLobbyServer(clock, f"h{number}", number, rate) for number in range(servers)
+            f"h{number}": SimulatedLobbyServer(clock, f"h{number}", number, server_rate)
+            for number in range(servers)
         }
         self.names = [f"a{number}" for number in range(agents)]
         self.agents = {name: SimulatedAgent(self, name, number) for number, name in enumerate(self.names)}
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -48,7 +48,7 @@
 
 
 def describe_accepted(servers: dict[str, LimitedServer], since: float) -> str:
-    """The connections that each server accepted since a time (Unix s), and the most within 100 ms."""
+    """The connections that each server accepted since a time (Unix s), and the maximum within 100 ms."""
     descriptions = []
     for name, server in servers.items():
         accepted = [at for at in server.accepted_at if at >= since]
@@ -68,6 +68,7 @@
 
 
 async def measure(count: int, paced: bool) -> None:
+    """Measures one count of agents; `paced`: with the configuration section `startup`."""
     site = ColdSite(1, 3, mean_gap_ms=1000.0)
     servers = site.endpoints()
     for server in servers.values():
@@ -86,7 +87,7 @@
                 f"{label}: all serve after {all_ready:.1f} s; {describe_accepted(servers, started_unix_s)}; "
                 f"longest queue at the list service "
                 f"{servers['list'].processor.longest_queue_ms / 1000.0:.1f} s; "
-                f"whole lists sent {site.limited_list.complete_lists}",
+                f"complete lists sent {site.limited_list.complete_lists}",
                 flush=True,
             )
             site.start_callers()
@@ -95,9 +96,10 @@
                 sum(caller.set_up_count for caller in site.callers),
                 len(site.observed.answer_times_ms),
             )
-            pending = sum(len(caller.unanswered) for caller in site.callers)
+            unanswered = sum(len(caller.unanswered) for caller in site.callers)
             print(
-                f"{label}: of {set_ups - pending} calls {established / max(1, set_ups - pending):.4f} stand",
+                f"{label}: of {set_ups - unanswered} calls "
+                f"{established / max(1, set_ups - unanswered):.4f} established",
                 flush=True,
             )
             cpu_before, _ = cpu_and_memory(rig)
@@ -127,7 +129,7 @@
                 f"last connection at the lobby servers after "
                 f"{max(last[name] for name in last if name != 'list'):.1f} s; longest queue at the list "
                 f"service {servers['list'].processor.longest_queue_ms / 1000.0:.1f} s; "
-                f"whole lists sent {site.limited_list.complete_lists}; "
+                f"complete lists sent {site.limited_list.complete_lists}; "
                 f"protocol violations {len(site.observed.violations)}",
                 flush=True,
             )
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -115,7 +115,7 @@
                 await asyncio.sleep(0.5)
                 waits = await acknowledged(rig, leader, started)
                 print(
-                    f"commands, {voters} voters, {clients} clients at the leader's operator port: "
+                    f"commands, {voters} voters, {clients} clients at the leader's operators' port: "
                     f"{len(waits) / seconds:.0f} per second, p50 {percentile(waits, 0.5):.1f}, "
                     f"p99 {percentile(waits, 0.99):.1f} ms to commit, durable"
                 )
@@ -175,7 +175,7 @@
 
 
 async def catch_up(method: str, entries: int = 100_000) -> None:
-    """Time for an agent with an empty store to catch up, and how fast operator ports answer meanwhile."""
+    """Time for an agent with an empty store to catch up, and how fast operators' ports answer meanwhile."""
     compact_after = 10_000 if method == "snapshot" else 10 * entries
     with tempfile.TemporaryDirectory(dir=ROOT) as folder:
         async with Rig(pathlib.Path(folder), 4, 3, 1, relays=False, compact_after=compact_after) as rig:
@@ -219,7 +219,7 @@
                 task.cancel()
             voters = [wait for name in rig.voters for wait in waits[name]]
             print(
-                f"catch up by {method}: all of {entries} entries {elapsed:.1f} s after the operator port "
+                f"catch up by {method}: all of {entries} entries {elapsed:.1f} s after the operators' port "
                 f"answers; a port meanwhile, voters: p50 {percentile(voters, 0.5):.1f}, "
                 f"longest {max(voters):.0f} ms; "
                 f"n3: p50 {percentile(waits['n3'], 0.5):.1f}, longest {max(waits['n3']):.0f} ms"
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -94,7 +94,7 @@
             self.perform(name, action)
 
     def local_state(self, name: str) -> LocalState:
-        """What the agent's reconciler is told of its own state; `a0` is the leader."""
+        """The state of an agent that its reconciler gets as input; `a0` is the leader."""
         busy = {
             server: int(self.empty_at.get((name, server), 0.0) > self.now)
             for server in self.reconcilers[name].held_out
@@ -166,12 +166,12 @@
         )
         for agent_count, server_count in zones.values()
     ]
-    least = sum(rounds) * (REPAIR_MS + limits.warm_ms)
+    lower_bound_ms = sum(rounds) * (REPAIR_MS + limits.warm_ms)
     apply_times_s = sorted(fleet.apply_times_s)
     print(
         f"{agents} agents, {servers} servers, {limits.all} at once (agents {limits.agents}, "
         f"servers {limits.servers}): whole plan {elapsed_ms / 60_000:.0f} min, "
-        f"{elapsed_ms / least:.2f} times the minimum by limits, repair and warm-up; "
+        f"{elapsed_ms / lower_bound_ms:.2f} times the minimum by limits, repair and warm-up; "
         f"{(fleet.command_count - count_before) / len(names):.1f} commands and "
         f"{(fleet.command_bytes - bytes_before) / len(names):.0f} bytes per machine in the log; "
         f"applying a command takes p50 {apply_times_s[len(apply_times_s) // 2] * 1e6:.0f}, "
@@ -183,7 +183,7 @@
 
 AGENT_COUNT, SERVER_COUNT, SERVER_RATE = 24, 3, 30.0  # the rate is set-ups per second of one lobby server
 SHORT_REPAIR_MS = 10_000.0  # the repair of one machine in this part
-COMMAND_MS = 1000.0  # an operator's command at one agent's operator port
+COMMAND_MS = 1000.0  # an operator's command at one agent's operators' port
 # An operator cannot see which calls are open at a server, so after disabling it everywhere waits this long.
 MANUAL_DRAIN_MS = 10_000.0
 WARM_UP_MS = 180_000.0  # calls before maintenance begins
@@ -357,6 +357,11 @@
 
 
 def run_with_calls(load: float, method: str, seed: int) -> tuple[float, str, float, int, float, float, str]:
+    """Maintains all machines under calls, by "plan", by "hand", or "all" at once.
+
+    Returns load, method, the share of calls in time, the number of the others, the share in the worst 10 s,
+    the minutes that it took, and a note.
+    """
     fleet = CallsDuringMaintenance(load, seed)
     before = fleet.call_simulation.in_time_share(START_MS + WARM_UP_MS / 3.0, fleet.now)[0]
     started = fleet.now
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -151,7 +151,7 @@
             )
 
 
-# The longest turn of the reactor's thread while the store's thread is working
+# The longest iteration of an event loop while the store's thread is working
 
 
 def stall() -> None:
@@ -182,34 +182,35 @@
                     for _ in range(3):
                         engine.run_background_step()
 
-            idle_turns = loop_iterations_ms(3.0)
+            idle_iterations_ms = loop_iterations_ms(3.0)
             before = engine.cleaned
             thread = threading.Thread(target=churn)
             thread.start()
-            busy_turns = loop_iterations_ms(6.0)
+            busy_iterations_ms = loop_iterations_ms(6.0)
             stop.set()
             thread.join()
             print(
-                f"stall, {live:,} live: longest turn {max(busy_turns):.1f} ms while "
+                f"stall, {live:,} live: longest iteration {max(busy_iterations_ms):.1f} ms while "
                 f"{engine.cleaned - before} segments were cleaned and {engine.checkpoints} checkpoints "
-                f"written, p99.9 {percentile(busy_turns, 0.999):.2f} ms; at rest {max(idle_turns):.1f} ms"
+                f"written, p99.9 {percentile(busy_iterations_ms, 0.999):.2f} ms; "
+                f"at rest {max(idle_iterations_ms):.1f} ms"
             )
 
 
 def loop_iterations_ms(seconds: float) -> list[float]:
-    """The durations in ms of the turns of a loop that does a little work and yields, like the reactor's."""
-    turns, end = [], time.perf_counter() + seconds
+    """The durations in ms of the iterations of a loop that works a little and yields, like an event loop."""
+    durations_ms, end = [], time.perf_counter() + seconds
     last = time.perf_counter()
     while last < end:
         sum(range(200))
         time.sleep(0.0002)
         now = time.perf_counter()
-        turns.append((now - last) * 1000.0)
+        durations_ms.append((now - last) * 1000.0)
         last = now
-    return turns
+    return durations_ms
 
 
-# The whole program, at 200 calls per second
+# The complete program, at 200 calls per second
 
 
 def free_port() -> int:
--- a/standins/cold_site.py
+++ b/standins/cold_site.py
@@ -37,8 +37,10 @@
 
 
 class LimitedServer:
-    """A server with a `Processor`. It can go down and come up again, and notes when it accepted each
-    connection (Unix s)."""
+    """A server with a `Processor`, of which each connection takes `handshake_ms`.
+
+    It can go down and come up again, and notes when it accepted each connection (Unix s).
+    """
 
     def __init__(self, handshake_ms: float, max_queue_ms: float) -> None:
         self.processor, self.handshake_ms = Processor(max_queue_ms), handshake_ms
@@ -91,14 +93,17 @@
 
 
 class LimitedListService(ListService, LimitedServer):
-    """A list service at one address for all agents. `requests` holds Unix s, port and offset of each."""
+    """A list service at one address for all agents; each request costs `ask_ms` of its processor.
+
+    `requests` holds Unix s, port and offset of each.
+    """
 
     def __init__(self, ask_ms: float, handshake_ms: float = 2.0, max_queue_ms: float = 1000.0) -> None:
         ListService.__init__(self)
         LimitedServer.__init__(self, handshake_ms, max_queue_ms)
         self.ask_ms = ask_ms
         self.dials: dict[str, str] = {}
-        self.oldest_kept_event = 0  # a request from before this offset counts as one for the whole list
+        self.oldest_kept_event = 0  # a request from before this offset counts as one for the complete list
         self.complete_lists = 0
         self.published_at: dict[int, float] = {}  # Unix ms, by event
 
@@ -129,7 +134,7 @@
 
 
 class LimitedLobbyServer(LobbyServer, LimitedServer):
-    """A lobby server that all agents share."""
+    """A lobby server that all agents share; each set-up costs `set_up_ms` of its processor."""
 
     def __init__(
         self,
@@ -200,6 +205,7 @@
         return self.limited_list.dials, f"127.0.0.1:{self.limited_list.port}"
 
     def endpoints(self) -> dict[str, LimitedServer]:
+        """The list service as "list", and the lobby servers by name."""
         return {"list": self.limited_list, **{lobby.name: lobby for lobby in self.shared_servers}}
 
     async def stop(self) -> None:
--- a/standins/cold_start_simulation.py
+++ b/standins/cold_start_simulation.py
@@ -86,7 +86,7 @@
         self.readiness = StagedReadiness(site.settings, now)
         self.offset = offset
         self.members: dict[str, str] = {}
-        self.births = self.deaths = 0  # how many of the site's it has processed
+        self.births = self.deaths = 0  # how many of the site's births and deaths it has processed
         self.membership_delay_ms = site.rng.uniform(*MEMBERSHIP_DELAY_MS)
         self.connected: dict[str, int] = {}  # number of the connection, by endpoint
         self.answering: set[str] = set()
@@ -105,8 +105,8 @@
 
     # Connections
 
-    def dial_after(self, target: str, wait: float) -> None:
-        at = self.dial_at[target] = self.site.now + wait
+    def dial_after(self, target: str, wait_ms: float) -> None:
+        at = self.dial_at[target] = self.site.now + wait_ms
         self.site.call_at(at, lambda: self._dial(target, at))
 
     def _dial(self, target: str, at: float) -> None:
@@ -176,11 +176,11 @@
                 case feeding.Send(to, message):
                     self.site.send(self.name, to, message)
                 case feeding.SendSnapshot(to):
-                    age = self.feed.age_ms(self.clock())
+                    age_ms = self.feed.age_ms(self.clock())
                     self.site.send(
                         self.name,
                         to,
-                        FeedUpdate(-1, (b"whole %d" % self.offset,), age, self.feed.connected, False),
+                        FeedUpdate(-1, (b"whole %d" % self.offset,), age_ms, self.feed.connected, False),
                     )
                 case feeding.ApplyEvents(events):
                     for line in events:
@@ -203,13 +203,13 @@
         self.offset = max(self.offset, offset)
 
     def tick(self) -> None:
-        """Runs periodically: detects a silent list service, updates the members, drives feed and waves."""
+        """Runs periodically: detects a silent list service, updates members, drives feed and readiness."""
         if not self.alive():
             return
-        wait = TICK_MS
+        wait_ms = TICK_MS
         if self.readiness.ready:
-            wait = max(20.0, self.feed.next_tick_at(self.clock()) - self.clock())
-        self.site.call_after(wait, self.tick)
+            wait_ms = max(20.0, self.feed.next_tick_at(self.clock()) - self.clock())
+        self.site.call_after(wait_ms, self.tick)
         if self.site.now < self.frozen_until:
             return
         now = self.clock()
@@ -246,9 +246,11 @@
             )
             if self.readiness.update(local, now):
                 self.site.served_at[self.name] = self.site.now
-            (self.site.prepared.add if self.readiness.prepared_at is not None else self.site.prepared.discard)(
-                self.name
-            )
+            (
+                self.site.prepared.add
+                if self.readiness.prepared_at is not None
+                else self.site.prepared.discard
+            )(self.name)
 
     def _update_members(self) -> bool:
         """Processes the births and deaths that this agent knows of by now; returns whether there were any."""
@@ -485,9 +487,9 @@
 
 def max_in_window(times: list[float], window_ms: float = 100.0) -> int:
     """The maximum number of these times that lie within one window."""
-    ordered, most, first = sorted(times), 0, 0
+    ordered, highest, first = sorted(times), 0, 0
     for last, when in enumerate(ordered):
         while ordered[first] <= when - window_ms:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        highest = max(highest, last - first + 1)
+    return highest
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -149,7 +149,8 @@
         self.voters, self.fleet_options, self.use_relays = self.names[:voters], fleet, relays
         ports = iter(free_ports(4 * count))
         self.ports = {
-            name: {what: next(ports) for what in ("listen", "door", "gossip", "link")} for name in self.names
+            name: {what: next(ports) for what in ("listen", "operator", "gossip", "link")}
+            for name in self.names
         }
         self.relays_between_zones_only = False  # set before entering: no relays between agents of one zone
         self.relays: dict[tuple[str, str], tuple[DatagramRelay, StreamRelay]] = {}
@@ -198,7 +199,7 @@
         self.log.close()
 
     def endpoint(self, name: str, what: str) -> tuple[str, int]:
-        """Host and port of an agent's `what`: "listen", "door", "gossip" or "link"."""
+        """Host and port of an agent's `what`: "listen", "operator", "gossip" or "link"."""
         return "127.0.0.1", self.ports[name][what]
 
     def zone(self, name: str) -> str:
@@ -232,7 +233,7 @@
             **configuration(self.ports[name]["listen"], []),
             "name": name,
             "fleet": fleet,
-            "operator": self.address(name, "door"),
+            "operator": self.address(name, "operator"),
         }
         if self.environment is not None:
             dials, list_address = self.addresses_by_agent[name]
@@ -402,9 +403,9 @@
     # Queries
 
     async def ask(self, name: str, line: str) -> list[str]:
-        """The lines that an agent's operator port answers to one command; [] if it does not answer."""
+        """The lines that an agent's operators' port answers to a command; [] if there is no answer in 5 s."""
         try:
-            reader, writer = await asyncio.open_connection(*self.endpoint(name, "door"))
+            reader, writer = await asyncio.open_connection(*self.endpoint(name, "operator"))
             writer.write(line.encode() + b"\n")
             answer = await asyncio.wait_for(reader.read(), 5.0)
             writer.close()
--- a/standins/lobby.py
+++ b/standins/lobby.py
@@ -1,7 +1,7 @@
 """Scripted lobby servers and clients that speak the platform's protocol over real sockets.
 
 They choose among what the protocol allows with a seeded random generator, and record what they observe in one
-`Observations` object, which adds a line to its `faults` for each violation of the protocol by the agent.
+`Observations` object, which adds a line to its `violations` for each violation of the protocol by the agent.
 """
 
 from __future__ import annotations
@@ -15,9 +15,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-RESEND_WINDOW_S = (
-    1.0  # answers written within this time before a disconnect may be unread, so they are resent
-)
+# Answers written within this time before a disconnect may be unread, so they are resent.
+RESEND_WINDOW_S = 1.0
 REPEAT_PROBABILITY = 0.15  # that a client's next set-up repeats an unanswered one
 
 Message = dict[str, Any]
@@ -35,19 +34,19 @@
 class Observations:
     """What all servers and clients of one test observe, with checks across them.
 
-    A call at a server is "out" while the server prepares its answer, "stands" once the answer is written, and
-    "lost" if the connection broke before the client can be assumed to have the answer.
+    A call at a server is "out" while the server prepares its answer, "stands" (is established) once the
+    answer is written, and "lost" if the connection broke before the agent can be assumed to have read it.
     """
 
     calls_by_server: dict[str, dict[str, str]] = field(default_factory=dict)  # state by call, by server name
     uncertain: set[str] = field(default_factory=set)  # calls whose client lost its connection unanswered
     ended_before_answer: set[str] = field(default_factory=set)  # calls whose end came before any answer
-    established: set[str] = field(default_factory=set)  # calls that stand as far as their clients know
+    established: set[str] = field(default_factory=set)  # established calls, as far as their clients know
     answers: int = 0
     refused: int = 0
     ended: int = 0  # calls that servers ended
     answer_times_ms: list[float] = field(default_factory=list)  # from set-up to answer, of established calls
-    violations: list[str] = field(default_factory=list)  # violations of the protocol
+    violations: list[str] = field(default_factory=list)  # of the protocol, by the agent
     set_ups: list[tuple[float, str, str]] = field(default_factory=list)  # Unix ms, server, call
     partitioned: set[str] = field(default_factory=set)  # servers that a test cut off; they miss releases
 
@@ -75,7 +74,7 @@
 
 class LobbyServer:
     """One lobby server. It answers each set-up after a random delay, and resends answers that may be lost and
-    ends that are not confirmed on each new connection."""
+    pending releases on each new connection."""
 
     def __init__(
         self,
@@ -91,7 +90,7 @@
         self.max_answer_ms, self.refusal_probability = max_answer_ms, refusal_probability
         # The share of established calls that it ends by itself, and after how long at most.
         self.end_probability, self.max_call_ms = end_probability, max_call_ms
-        self.pending_releases: set[str] = set()  # sent again on each new connection
+        self.pending_releases: set[str] = set()  # not confirmed: sent again on each new connection
         self.calls = observed.calls_by_server.setdefault(name, {})
         self.server: asyncio.Server | None = None
         self.writers: list[asyncio.StreamWriter] = []
@@ -109,7 +108,7 @@
             writer.write(encode("STARTED", call, blob="told again"))
         for call in sorted(self.pending_releases):
             writer.write(encode("FINISH", call, rc=16))
-        pending: set[str] = set()
+        unanswered: set[str] = set()
         loop = asyncio.get_running_loop()
         with contextlib.suppress(ConnectionError):
             while line := await reader.readline():
@@ -118,13 +117,13 @@
                     case "START":
                         self.on_set_up()
                         self.observed.record_set_up(self.name, message["tag"])
-                        pending.add(message["tag"])
+                        unanswered.add(message["tag"])
                         loop.call_later(
                             self.rng.uniform(0.0, self.max_answer_ms) / 1000.0,
                             self.answer,
                             writer,
                             message["tag"],
-                            pending,
+                            unanswered,
                         )
                     case "FINISHED":
                         self.pending_releases.discard(message["tag"])
@@ -134,7 +133,7 @@
                     case "ECHO":
                         writer.write(encode("ECHOED", message["tag"], rc=1))
         self.writers.remove(writer)
-        for call in pending:
+        for call in unanswered:
             if self.calls.get(call) == "out":
                 self.calls[call] = "lost"
         for when, call in self.answers.pop(writer, []):
@@ -146,11 +145,14 @@
     def on_set_up(self) -> None:
         """Called for each set-up; subclasses account for its cost."""
 
-    def answer(self, writer: asyncio.StreamWriter, call: str, pending: set[str]) -> None:
-        """Refuses the call or establishes it, unless its connection broke or it was given up meanwhile."""
-        if self.calls.get(call) != "out" or call not in pending or writer.is_closing():
+    def answer(self, writer: asyncio.StreamWriter, call: str, unanswered: set[str]) -> None:
+        """Refuses or establishes a call, unless its connection broke or the agent gave it up meanwhile.
+
+        `unanswered` holds the set-ups of the connection without an answer.
+        """
+        if self.calls.get(call) != "out" or call not in unanswered or writer.is_closing():
             return
-        pending.discard(call)
+        unanswered.discard(call)
         if self.rng.random() < self.refusal_probability:
             del self.calls[call]
             writer.write(encode("FINISH", call, rc=34))
@@ -187,7 +189,7 @@
 
     def __init__(
         self,
-        name: int,
+        number: int,
         observed: Observations,
         rng: random.Random,
         port: Callable[[], int],
@@ -196,20 +198,22 @@
         repeat_probability: float = 0.5,
         address: str = "127.0.0.1",
     ) -> None:
+        """`number` makes its tags unique; `port` gives the agent's port for each connection."""
         self.address = address  # the local address of its connections
         self.connection_count = 0
-        self.name, self.observed, self.rng, self.port = name, observed, rng, port
+        self.number, self.observed, self.rng, self.port = number, observed, rng, port
         self.mean_gap_ms, self.max_hold_ms, self.repeat_probability = (
             mean_gap_ms,
             max_hold_ms,
             repeat_probability,
         )
         self.set_up_count = 0
-        self.unanswered: dict[str, float] = {}  # unanswered set-ups, with the loop time at which each was sent
-        self.established: set[str] = set()  # calls that stand as far as this client knows
+        # Set-ups without a final answer, with the loop time at which each was sent.
+        self.unanswered: dict[str, float] = {}
+        self.established: set[str] = set()  # established calls, as far as this client knows
         self.releasing: set[str] = set()  # released, not yet confirmed
         self.to_repeat: list[str] = []  # unanswered set-ups of earlier connections
-        self.sends_set_ups = True  # sends set-ups
+        self.sends_set_ups = True
         self.avoids_agent = False  # set by the balancer: it sends no new set-ups to this agent
         self.follows_balancer = True  # whether the balancer may set `avoids_agent`
         self.writer: asyncio.StreamWriter | None = None
@@ -255,7 +259,7 @@
                 call = self.to_repeat.pop()
             else:
                 self.set_up_count += 1
-                call = f"{self.name:08x}{self.set_up_count:08x}"
+                call = f"{self.number:08x}{self.set_up_count:08x}"
             self.unanswered[call] = asyncio.get_running_loop().time()
             options: Message = {"class": "race", "left": 8000}
             writer.write(encode("START", call, blob=f"description {call}", **options))
--- a/standins/membership_simulation.py
+++ b/standins/membership_simulation.py
@@ -32,9 +32,10 @@
 
 
 class SimulatedNetwork:
-    """The network, and the agents `a0`, `a1` ..., each at an address of the same name."""
+    """The network, and the agents `a0`, `a1` ..., each at an address of the same name, on one clock in ms."""
 
     def __init__(self, count: int, seed: int, settings: Settings | None = None, loss: float = 0.0) -> None:
+        """`loss` is the probability that a datagram is lost."""
         self.rng, self.loss, self.settings = random.Random(seed), loss, settings or Settings()
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
--- a/tests/trials/test_checker.py
+++ b/tests/trials/test_checker.py
@@ -82,18 +82,18 @@
         client(2.0, Kind.FAILED),
     ],
     "an attempt 0.1 s after a give-up": [asked(), client(1.5, Kind.GAVE_UP), server(1.6, Kind.REACHED)],
-    "told 1 s after the server's release": [
+    "notified 1 s after the server's release": [
         *ESTABLISHED,
         server(5.0, Kind.ENDED),
         server(5.0, Kind.END_WRITTEN),
         client(6.0, Kind.TOLD_OVER),
     ],
-    "told 8 s after an end without a release": [
+    "notified 8 s after an end without a release": [
         *ESTABLISHED,
         server(5.0, Kind.CUT),
         client(13.0, Kind.TOLD_OVER),
     ],
-    "told 8 s after an end whose connection broke": [
+    "notified 8 s after an end whose connection broke": [
         *ESTABLISHED,
         server(5.0, Kind.ENDED),
         server(5.0, Kind.END_WRITTEN),
--- a/tests/trials/test_vanished_server.py
+++ b/tests/trials/test_vanished_server.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("probes", [True, False], ids=["probes", "no probes"])
-def test_callers_are_told_of_a_vanished_server_while_discovery_is_down(
+def test_callers_are_notified_of_a_vanished_server_while_discovery_is_down(
     tmp_path: pathlib.Path, probes: bool
 ) -> None:
     events = asyncio.run(played(tmp_path, vanish, TrialSettings(probes=probes)))
@@ -68,9 +68,9 @@
 @pytest.mark.parametrize("probes", [True, False], ids=["probes", "no probes"])
 def test_a_server_cut_off_for_3_s_keeps_its_calls(tmp_path: pathlib.Path, probes: bool) -> None:
     events = asyncio.run(played(tmp_path, cut_off, TrialSettings(probes=probes)))
-    standing = {event.call for event in events if event.kind is Kind.ANSWERED}
+    established = {event.call for event in events if event.kind is Kind.ANSWERED}
     ended = {event.call for event in events if event.kind in (Kind.ENDED, Kind.RELEASED)}
-    told = {event.call for event in events if event.kind is Kind.TOLD_OVER}
-    assert len(standing - ended) > 30
-    assert told - ended == set()
+    notified = {event.call for event in events if event.kind is Kind.TOLD_OVER}
+    assert len(established - ended) > 30
+    assert notified - ended == set()
     assert check(events, TrialSettings(probes=probes)) == []
--- a/trials/discovery.py
+++ b/trials/discovery.py
@@ -1,4 +1,4 @@
-"""A scripted discovery service: a stream of numbered events, and the ways in which it can fail."""
+"""A scripted list service, called discovery in the trials: numbered events, and the ways it can fail."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     DOWN = "down"  # refuses, and resets open connections
     SILENT = "silent"  # accepts, keeps open connections, and sends nothing
     REFUSING = "refusing"  # accepts, and closes at once; open connections are reset
-    SLOW = "slow"  # accepts, and sends the first line after SLOW_S
+    SLOW = "slow"  # accepts, and sends the first line after FIRST_LINE_DELAY_S
 
 
-SLOW_S = 3.0
+FIRST_LINE_DELAY_S = 3.0
 
 
 class Discovery:
@@ -69,7 +69,7 @@
             return
         last_sent = int((await reader.readline()).split()[1])
         if self.mode is Mode.SLOW:
-            await asyncio.sleep(SLOW_S)
+            await asyncio.sleep(FIRST_LINE_DELAY_S)
         while not (writer.is_closing() or reader.at_eof()):
             changed = self.changed
             if self.mode in (Mode.UP, Mode.SLOW) and writer not in self.stalled:
--- a/trials/plan.py
+++ b/trials/plan.py
@@ -24,7 +24,7 @@
     AGENT_TERM_EARLY = "agent-term-early"  # SIGTERM to a process that is not ready yet
     AGENT_KILL = "agent-kill"  # SIGKILL, later a restart
     AGENT_STOP = "agent-stop"  # SIGSTOP, later SIGCONT
-    AGENT_RELOAD = "agent-reload"  # discovery moves to another address, and SIGHUP tells the agent
+    AGENT_RELOAD = "agent-reload"  # discovery moves to another address, and SIGHUP notifies the agent
     AGENT_DRAIN = "agent-drain"  # an operator drains the agent and later ends the drain
     SERVER_VANISH = "server-vanish"  # for good, or until a new process starts at its address
     SERVER_CUT = "server-cut"  # the links to all agents or to one
--- a/trials/server.py
+++ b/trials/server.py
@@ -23,8 +23,8 @@
 from trials.split_writer import SplitWriter
 
 NORMAL_CAUSE, BUSY_CAUSE, FULL_CAUSE = 16, 17, 34  # causes of a FINISH
-# An answer written at most this long before its connection broke is repeated on the next one.
-RESEND_WITHIN_S = 1.0
+# Answers written within this time before a disconnect may be unread, so they are resent.
+RESEND_WINDOW_S = 1.0
 RESUME_WRITE_DELAY_S = 0.02  # lets a close by the agent be noticed before held data is written
 
 
@@ -66,7 +66,8 @@
 
     number: int = 1
     calls: dict[str, ServerCall] = field(default_factory=dict)
-    pending_releases: dict[str, str] = field(default_factory=dict)  # agent by call
+    # The agent by call, of ended calls whose release is not confirmed.
+    pending_releases: dict[str, str] = field(default_factory=dict)
     links: list[Link] = field(default_factory=list)
     answers_to_resend: dict[str, tuple[str, bytes]] = field(default_factory=dict)  # agent and line by call
 
@@ -388,7 +389,7 @@
             link.pause()
 
     def greet(self, link: Link) -> None:
-        """Writes the load report that opens a connection, then unread answers and unconfirmed releases."""
+        """Writes the load report that opens a connection, then answers to resend and pending releases."""
         link.write(self._load_report())
         answers_to_resend = {
             tag: line for tag, (agent, line) in self.process.answers_to_resend.items() if agent == link.agent
@@ -409,7 +410,7 @@
         if link.process is not self.process:
             return
         for tag, answered_at in link.answered_at.items():
-            if answered_at > self.history.now() - RESEND_WITHIN_S and tag in self.process.calls:
+            if answered_at > self.history.now() - RESEND_WINDOW_S and tag in self.process.calls:
                 self.process.answers_to_resend[tag] = (link.agent, self.descriptions[tag])
         for tag in link.releases_written & self.process.pending_releases.keys():
             self.history.add(Kind.END_LOST, self.name, call=tag, server=self.name)
