--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -160,7 +160,7 @@
                 self.world.clock.at(self.world.chance.uniform(*HOLD_MS), lambda: self.over(life, server))
                 if self.calls.pop(call, None) is not None:
                     self.world.ended(call, now - since <= AIM_MS)
-                self.handle(api.CallStands(call, number, server, now - sent), now)
+                self.handle(api.CallEstablished(call, number, server, now - sent), now)
             else:
                 self.over(life, server)
                 late = call not in self.calls
--- a/frostport/adapter.py
+++ b/frostport/adapter.py
@@ -162,8 +162,8 @@
     )
 
 
-def read_answered(fields: Fields) -> api.CallStands:
-    return api.CallStands(
+def read_answered(fields: Fields) -> api.CallEstablished:
+    return api.CallEstablished(
         fields.text("id"), fields.integer("shot"), fields.text("server"), fields.number("time-taken-ms")
     )
 
@@ -217,15 +217,15 @@
             return f"try {instance} {call} {server} {within:.3f}"
         case api.CancelAttempt(call, attempt):
             return f"revoke {instance} {call} {attempt}"
-        case api.RefuseCall(call, stay_away):
-            return f"say_no {instance} {call} {stay_away:.3f}"
+        case api.RefuseCall(call, retry_after):
+            return f"say_no {instance} {call} {retry_after:.3f}"
         case api.FailCall(call):
             return f"report_failure {instance} {call}"
         case api.SetTimer(name, after):
             return f"timer {instance} {name} {after:.3f}"
         case api.Probe(server):
             return f"check {instance} {server}"
-        case api.TellPeer(peer, data):
+        case api.SendToPeer(peer, data):
             return f"tell {instance} {peer} {base64.b64encode(data).decode() or ABSENT}"
         case api.Subscribe():
             return f"stream_changes {instance} 1"
--- a/frostport/admission/addresses.py
+++ b/frostport/admission/addresses.py
@@ -17,8 +17,9 @@
 
 @lru_cache(maxsize=4096)
 def parse_address(address: str) -> ipaddress.IPv4Address | ipaddress.IPv6Address | None:
-    """An IP address without its zone; IPv4-mapped IPv6 as IPv4. None for other names, such as those of
-    tests and of Unix sockets."""
+    """An IP address without its zone; IPv4-mapped IPv6 as IPv4.
+
+    None for other names, such as those of tests and of Unix sockets."""
     try:
         found = ipaddress.ip_address(address.partition("%")[0])
     except ValueError:
@@ -72,14 +73,14 @@
 
 
 class Offenders:
-    """Addresses that sent unreadable or too much data: each is refused for an exponentially growing, bounded
-    time. An initial time of 0: never."""
+    """Addresses that sent unreadable or too much data.
+
+    Each is refused for an exponentially growing, bounded time. An initial time of 0: never."""
 
     def __init__(self, initial_ms: float, max_ms: float, max_entries: int) -> None:
         self.initial_ms, self.max_ms, self.max_entries = initial_ms, max_ms, max_entries
-        self._until: OrderedDict[str, tuple[int, float]] = (
-            OrderedDict()
-        )  # consecutive offences, refused until
+        # By address: consecutive offences, refused until.
+        self._until: OrderedDict[str, tuple[int, float]] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._until)
--- a/frostport/admission/gate.py
+++ b/frostport/admission/gate.py
@@ -4,7 +4,7 @@
 network or if one of its calls succeeded recently. It is identified once its first complete line, or its
 Diameter capabilities, have arrived.
 
-Eviction order; a connection with an open set-up, or with a message still owed on it, is never evicted:
+Eviction order; a connection with an open set-up or an unconfirmed release is never evicted:
 1. unidentified connections of unknown clients past the grace period, the longest silent first;
 2. connections of unknown clients at the address with the most evictable connections, if these exceed its
 fair share: unidentified ones first, then idle ones;
@@ -62,7 +62,7 @@
     admitted_at: float
     identified: bool = False
     team: str = ""
-    use_count: int = 0  # open set-ups, and messages still owed on it; evictable only at 0
+    use_count: int = 0  # open set-ups and unconfirmed releases; evictable only at 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -159,7 +159,7 @@
             self._add_evictable(admission)
 
     def begin_use(self, admission: Admission) -> None:
-        """A set-up is open on the connection, or a message is owed on it: it can't be evicted."""
+        """The connection has an open set-up or an unconfirmed release: it can't be evicted."""
         admission.use_count += 1
         if admission.use_count == 1:
             self._remove_evictable(admission)
--- a/frostport/core/broker.py
+++ b/frostport/core/broker.py
@@ -31,7 +31,7 @@
 MAX_ENDED_IDS = 20_000
 # Token bucket for releases of unknown ids: each one is passed on to every server.
 UNKNOWN_RELEASE_BURST, UNKNOWN_RELEASES_PER_SECOND = 200.0, 50.0
-UNRECORDABLE_STAY_AWAY_MS = 1000.0  # stay-away time of a call refused because the store can't record it
+UNRECORDABLE_RETRY_AFTER_MS = 1000.0  # for calls refused because the store can't record them
 OVERDUE_GRACE_MS = 10.0  # the broker fails a request that is still open this long after its deadline
 
 
@@ -127,7 +127,7 @@
             self._refuse(request, wait)
             return
         if not self.recorder.accepts_calls():
-            self._refuse(request, UNRECORDABLE_STAY_AWAY_MS)
+            self._refuse(request, UNRECORDABLE_RETRY_AFTER_MS)
             return
         event = dataclasses.replace(event, budget_ms=request.deadline_at_ms - now)
         request.overdue_timer = self.deadlines.set(
@@ -220,7 +220,7 @@
             request, attempt, description, lambda: request.front.call_established(request, description)
         )
         self._dispatch(
-            api.CallStands(request.id, attempt.number, attempt.server, now - attempt.sent_at), request
+            api.CallEstablished(request.id, attempt.number, attempt.server, now - attempt.sent_at), request
         )
         if attempt.confirm_end is not None:
             self.attempt_ended(attempt, Outcome.OK)
@@ -246,11 +246,11 @@
             self._close_request(request)
             self.ending[request.id] = request
             self.recorder.record_end(
-                request, attempt.server, outcome, lambda: self._tell_client_of_end(request, outcome)
+                request, attempt.server, outcome, lambda: self._notify_client_of_end(request, outcome)
             )
         self._end_attempt(attempt, outcome, note, wait_ms, report)
 
-    def _tell_client_of_end(self, request: Request, outcome: Outcome) -> None:
+    def _notify_client_of_end(self, request: Request, outcome: Outcome) -> None:
         """Called once the end is recorded."""
         self.ending.pop(request.id, None)
         request.front.call_ended(request.id, request.connection_id, outcome, request.recorded_answer)
@@ -279,7 +279,7 @@
         """A server releases an id not known here: a call that was set up before this process started."""
         if call not in self.ended_ids:
             self._remember_ended(call, 0.0)
-            self.recorder.record_owed_end(call, "", outcome, lambda: front.call_ended(call, -1, outcome))
+            self.recorder.record_pending_end(call, "", outcome, lambda: front.call_ended(call, -1, outcome))
 
     def has_established_calls(self, server: str) -> bool:
         """Whether any call is established at this server."""
@@ -433,10 +433,10 @@
                     and request.attempt.number == number
                 ):
                     self._cancel_attempt(request)
-            case api.RefuseCall(call, stay_away):
+            case api.RefuseCall(call, retry_after):
                 request = self.find_request(call)
                 if request is not None and request.state is State.OPEN:
-                    self._refuse(request, stay_away)
+                    self._refuse(request, retry_after)
             case api.FailCall(call):
                 request = self.find_request(call)
                 if request is not None and request.state is State.OPEN:
@@ -445,7 +445,7 @@
                 self.deadlines.set(now + after, lambda: self._dispatch(api.TimerFired(name)))
             case api.Probe(server):
                 self._probe(server, now)
-            case api.TellPeer(peer, data):
+            case api.SendToPeer(peer, data):
                 self.send_to_peer(peer, data)
             case api.WriteLog(text):
                 log.info("module: %s", text)
@@ -568,10 +568,10 @@
             log.warning("%s: no answer from the decision module by its deadline; failing it", request.id)
             self.fail(request)
 
-    def _refuse(self, request: Request, stay_away_ms: float) -> None:
-        request.stay_away_ms = stay_away_ms
+    def _refuse(self, request: Request, retry_after_ms: float) -> None:
+        request.retry_after_ms = retry_after_ms
         self.metrics.deferred(request.call_class)
-        self._answer_finally(request, "refused", lambda: request.front.call_refused(request, stay_away_ms))
+        self._answer_finally(request, "refused", lambda: request.front.call_refused(request, retry_after_ms))
 
     def _fail(self, request: Request) -> None:
         self.metrics.errored(request.call_class)
--- a/frostport/core/calls.py
+++ b/frostport/core/calls.py
@@ -50,7 +50,7 @@
     established_at_ms: float = 0.0
     answer: str = ""  # the final answer: stands, refused, failed, gone
     recorded_answer: RecordedAnswer | None = None  # set with a store: a repeated set-up may ask for it again
-    stay_away_ms: float = 0.0  # the stay-away time that its client was given
+    retry_after_ms: float = 0.0  # the wait that its client was given with a refusal
     client: str = ""  # the client's name, as the front knows it
     end_to_end_id: int = 0  # Diameter: End-to-End Identifier of the set-up
     ended_by: int = -1  # Diameter: End-to-End Identifier of the release; -1: none
@@ -109,8 +109,10 @@
     def call_established(self, request: Request, description: Body) -> None:
         """Answers with the server's description."""
 
-    def call_refused(self, request: Request, stay_away_ms: float) -> None:
-        """Answers that the call was refused and never ran; the client should wait before it redials."""
+    def call_refused(self, request: Request, retry_after_ms: float) -> None:
+        """Answers that the call was refused and never ran.
+
+        The client should wait for `retry_after_ms` before it redials; 0: not stated."""
 
     def call_failed(self, request: Request) -> None:
         """Answers that the call has failed; an attempt may have run."""
--- a/frostport/core/lifecycle.py
+++ b/frostport/core/lifecycle.py
@@ -18,15 +18,16 @@
 
     STARTING = "starting"  # nothing is open yet
     SERVING = "serving"  # new connections and requests are accepted; the process reports ready
-    DRAINING = (
-        "draining"  # an operator has asked for a drain, and the process reports not ready; a connection
-    )
-    # with calls stays open until they have ended, and refuses new set-ups; one without calls is closed
+    # An operator has asked for a drain, and the process reports not ready. A connection with calls stays open
+    # until they have ended, and refuses new set-ups; one without calls is closed.
+    DRAINING = "draining"
     DRAINED = "drained"  # no client connection and no request is left; a resume returns to serving
-    TURNING_AWAY = "turning away"  # going out for maintenance: new set-ups are refused, also on a connection
-    # that is never idle; once no request is left, none can arrive any more
-    HANDING_OVER = "handing over"  # a newer process serves on the same socket: this one accepts nothing new,
-    # and gives up its store once its requests are answered
+    # Before maintenance: new set-ups are refused, also on a connection that is never idle. Once no request is
+    # left, none can arrive any more.
+    TURNING_AWAY = "turning away"
+    # The successor serves on the same socket: this process accepts nothing new, and gives up its store once
+    # its requests are answered.
+    HANDING_OVER = "handing over"
     CLOSING = "closing"  # SIGTERM received: what still arrives is served, readiness checks fail
     STOPPING = "stopping"  # no new connections or requests; the open requests are answered
     STOPPED = "stopped"  # all requests are answered, and the process exits
@@ -44,18 +45,11 @@
     Phase.STOPPED: (),
 }
 READY_PHASES = (Phase.SERVING,)  # phases that report ready
-ACCEPTING_PHASES = (
-    Phase.SERVING,
-    Phase.DRAINING,
-    Phase.DRAINED,
-    Phase.HANDING_OVER,
-    Phase.CLOSING,
-)  # accept requests
+# Phases in which requests are accepted.
+ACCEPTING_PHASES = (Phase.SERVING, Phase.DRAINING, Phase.DRAINED, Phase.HANDING_OVER, Phase.CLOSING)
 DRAINING_PHASES = (Phase.DRAINING, Phase.DRAINED, Phase.TURNING_AWAY)  # a resume returns to serving
-RELOADABLE_PHASES = (
-    Phase.SERVING,
-    *DRAINING_PHASES,
-)  # a drained process may serve again, and must not keep an old bus
+# A drained process may serve again, and must not keep the address of a former event bus: it accepts reloads.
+RELOADABLE_PHASES = (Phase.SERVING, *DRAINING_PHASES)
 IDLE_CLOSING_PHASES = (*DRAINING_PHASES, Phase.HANDING_OVER, Phase.STOPPING)  # idle connections are closed
 
 
--- a/frostport/core/liveness_sweep.py
+++ b/frostport/core/liveness_sweep.py
@@ -23,7 +23,7 @@
 
 
 class LivenessSweep(Generic[Server]):
-    """Checks all servers every CHECK_PERIOD_MS, and tells their detectors of pauses of this process."""
+    """Checks all servers every CHECK_PERIOD_MS, and notifies their detectors of pauses of this process."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         now = self._clock.now()
         paused = now - self._last_sweep_ms > PROCESS_PAUSE_MS
         if paused:
-            log.warning("this process was paused: servers get time to be heard")
+            log.warning("this process was paused: servers get time to answer")
         for server in list(self._servers()):
             if paused:
                 server.liveness.process_paused(now)
--- a/frostport/core/recorder.py
+++ b/frostport/core/recorder.py
@@ -70,17 +70,17 @@
         client has to be notified, which `then` does."""
         then()
 
-    def record_owed_end(self, call: str, client: str, outcome: Outcome, then: Continuation) -> None:
+    def record_pending_end(self, call: str, client: str, outcome: Outcome, then: Continuation) -> None:
         """A client has to be notified of the end of a call that is not known here; `then` does it."""
         then()
 
-    def clear_owed_end(self, call: str) -> None:
+    def clear_pending_end(self, call: str) -> None:
         """The client has confirmed the end of the call, or can no longer be notified."""
 
-    def record_owed_release(self, server: str, call: str) -> None:
+    def record_pending_release(self, server: str, call: str) -> None:
         """A release is due to a server that can't be reached."""
 
-    def clear_owed_release(self, server: str, call: str) -> None:
+    def clear_pending_release(self, server: str, call: str) -> None:
         """The release was sent, or the server no longer exists."""
 
     def forget_call(self, call: str) -> None:
--- a/frostport/core/rules.py
+++ b/frostport/core/rules.py
@@ -62,14 +62,13 @@
                     listed.closed_since_ms = now if listed.closed_since_ms is None else listed.closed_since_ms
                     removed.add(address)
         for address in removed:
-            del self.servers[
-                address
-            ]  # the list keeps naming new servers: entries of removed ones would pile up
+            # The list keeps naming new servers: entries of removed ones would accumulate.
+            del self.servers[address]
         return removed
 
-    def restore(self, address: str, number: int, stop_at: float | None) -> None:
+    def restore(self, address: str, number: int, closed_since_ms: float | None) -> None:
         """Restores a server as listed before a restart; valid until the list changes it."""
-        self.servers[address] = ListedServer(number, stop_at)
+        self.servers[address] = ListedServer(number, closed_since_ms)
 
     def violation(self, request: Request, server: str, within_ms: float, now: float) -> str | None:
         """Returns the rule that this send would break, or None."""
--- a/frostport/core/shutdown.py
+++ b/frostport/core/shutdown.py
@@ -26,8 +26,8 @@
     exit_by_ms: float  # the process exits then at the latest
 
 
-def schedule(deadlines_ms: Iterable[float], most_ms: float = MAX_RESTART_DEADLINE_MS) -> Schedule:
-    """Returns the limits for the deadlines of all classes, which count up to `most_ms`."""
-    kill_at = min(max(deadlines_ms, default=most_ms), most_ms) + KILL_MARGIN_MS
+def schedule(deadlines_ms: Iterable[float], max_deadline_ms: float = MAX_RESTART_DEADLINE_MS) -> Schedule:
+    """Returns the limits for the deadlines of all classes, which count up to `max_deadline_ms`."""
+    kill_at = min(max(deadlines_ms, default=max_deadline_ms), max_deadline_ms) + KILL_MARGIN_MS
     answer_by = kill_at - ANSWER_BEFORE_KILL_MS
     return Schedule(min(ACCEPT_MS, answer_by), answer_by, kill_at - EXIT_BEFORE_KILL_MS)
--- a/frostport/deadline_runner.py
+++ b/frostport/deadline_runner.py
@@ -11,7 +11,7 @@
 log = logging.getLogger("frostport.agent")
 
 LATE_AFTER_MS = 250.0  # a deadline run later than this was delayed by a pause of the process
-READ_TURNS = 3  # turns of the reactor that read pending input before late deadlines run
+READ_ITERATIONS = 3  # iterations of the event loop that read pending input before late deadlines run
 
 
 class DeadlineRunner:
@@ -29,13 +29,13 @@
         if at is not None:
             self._call = self.reactor.callLater(max(0.0, (at - self.clock.now()) / 1000.0), self.run)
 
-    def run(self, read_turns: int = READ_TURNS) -> None:
+    def run(self, read_iterations: int = READ_ITERATIONS) -> None:
         """Runs the deadlines that are due; after a pause of the process, it reads pending input first.
 
         An answer that is still unread in a socket would otherwise count as a time-out."""
         at = self.deadlines.next_ms()
-        if at is not None and read_turns and self.clock.now() > at + LATE_AFTER_MS:
-            self._call = self.reactor.callLater(0.0, self.run, read_turns - 1)
+        if at is not None and read_iterations and self.clock.now() > at + LATE_AFTER_MS:
+            self._call = self.reactor.callLater(0.0, self.run, read_iterations - 1)
             return
         try:
             self.deadlines.run(self.clock.now())
--- a/frostport/decide.py
+++ b/frostport/decide.py
@@ -16,11 +16,11 @@
 
 # --- Parameters -------------------------------------------------------------------------------------
 HELD_RETRY_MS = 50.0  # how often held calls are tried again; well under any aim
-UPKEEP_MS = 250.0  # how often late attempts are counted, peers told and a server probed
+UPKEEP_MS = 250.0  # how often late attempts are counted, summaries sent to peers and a server probed
 # Upkeep, Update, the time constants and the timer below are for this reference delay; shorter with it.
 NOMINAL_DELAY_MS, TIME_SCALE_MIN = 400.0, 0.25
 UPDATE_MS = 1000.0  # interval of Update; longer than an answer takes, so that a step's effect is seen
-PEER_FANOUT = 2  # peers told at each upkeep: the same cost per proxy in any fleet
+PEER_FANOUT = 2  # peers sent a summary at each upkeep: the same cost per proxy in any fleet
 PROBE_GAP_MS = 700.0  # least time between probes of a server; one server is probed at each upkeep
 PROBES_PER_CALL, PROBE_CREDIT_MAX = 0.1, 2.0  # probes earned by a call offered here, and the most saved up
 FULL_PAUSE_MS = 200.0  # pause after one FULL: the least that the design allows
@@ -56,7 +56,7 @@
 
 
 class Call:
-    """A call that this proxy still owes an answer."""
+    """A call that this proxy has not answered yet."""
 
     def __init__(self, event: api.CallArrived, call_class: api.CallClass, first_try: float, now: float):
         self.id, self.call_class, self.first_try = event.call, call_class, first_try
@@ -85,7 +85,7 @@
         )
 
     def may_refuse(self) -> bool:
-        """Whether its caller may be told that it never ran."""
+        """Whether it may be refused, which says that it never ran."""
         return (
             self.ran is None
             or self.call_class.effect is Effect.PURE
@@ -222,7 +222,7 @@
         self.undecodable_messages = 0  # from peers
         self.handlers: dict[type, Any] = {
             api.CallArrived: self.on_call_arrived,
-            api.CallStands: self.on_call_answered,
+            api.CallEstablished: self.on_call_answered,
             api.AttemptEnded: self.on_attempt_ended,
             api.CallGone: self.on_call_gone,
             api.ListUpdate: self.on_list_update,
@@ -289,7 +289,7 @@
                 unroutable.add(kind)
 
     def forget(self, call: Call) -> None:
-        """Drops an unserved call but for when it was first tried: a redial's aim runs from there."""
+        """Drops an unserved call, but keeps when it was first tried: a redial's aim runs from there."""
         del self.calls[call.id]
         if call.sent_to is not None:
             call.sent_to.pending -= 1
@@ -363,7 +363,7 @@
         """How far an answer's age counts as a reject, 0 to 1; FULL comes only long past every aim."""
         return min(1.0, max(0.0, (elapsed_ms / self.delay_ms - prompt_ratio) / (LATE - PROMPT)))
 
-    def on_call_answered(self, event: api.CallStands, now: float, actions: list[api.Action]) -> None:
+    def on_call_answered(self, event: api.CallEstablished, now: float, actions: list[api.Action]) -> None:
         call = self.calls.get(event.call)
         if call is None or call.sent_to is None:
             return
@@ -527,7 +527,7 @@
         )
 
     def inform_and_probe(self, now: float, actions: list[api.Action]) -> None:
-        """Upkeep: tells a few peers, and probes the server probed longest ago: a fixed cost per proxy."""
+        """Upkeep: sends summaries to a few peers, and probes the server probed longest ago: a fixed cost."""
         ready = self.ready()
         others = self.settings.siblings - 1
         summary = b"".join(
@@ -542,7 +542,7 @@
         )[: 256 - 256 % PEER_SUMMARY.size]
         if self.settings.peers and summary:
             for step in self.random.sample(range(others), min(PEER_FANOUT, others)):
-                actions.append(api.TellPeer((self.settings.me + 1 + step) % (others + 1), summary))
+                actions.append(api.SendToPeer((self.settings.me + 1 + step) % (others + 1), summary))
         # Guards a cold server: probes of all proxies are work too, and its ramp goes by time alone.
         due = [control for control in ready if now >= max(control.probed_at + PROBE_GAP_MS, control.warm_at)]
         if self.settings.probes and due and self.probe_credit >= 1.0:
--- a/frostport/diameter/front.py
+++ b/frostport/diameter/front.py
@@ -319,7 +319,7 @@
     def _settle_release(self, call: str) -> None:
         """Stops sending a release, confirmed or too old, if there is one."""
         if self.pending_releases.pop(call, None) is not None:
-            self.broker.recorder.clear_owed_end(call)
+            self.broker.recorder.clear_pending_end(call)
 
     def on_open(self, connection: PeerConnection) -> None:
         super().on_open(connection)
@@ -371,12 +371,12 @@
         assert isinstance(description, bytes)
         self._send_final(request, avp.SUCCESS, avp.read_avps(description))
 
-    def call_refused(self, request: Request, stay_away_ms: float) -> None:
+    def call_refused(self, request: Request, retry_after_ms: float) -> None:
         session = self.sessions.get(request.id)
         advice = []
-        if session is not None and session.supports_overload_control and stay_away_ms > 0.0:
+        if session is not None and session.supports_overload_control and retry_after_ms > 0.0:
             self.overload_sequence += 1
-            seconds = math.ceil(stay_away_ms / 1000.0)
+            seconds = math.ceil(retry_after_ms / 1000.0)
             advice = [
                 make(avp.OC_SUPPORTED_FEATURES, [make(avp.OC_FEATURE_VECTOR, LOSS_ALGORITHM)]),
                 make(
--- a/frostport/diameter/route.py
+++ b/frostport/diameter/route.py
@@ -147,7 +147,7 @@
                 server.host, self.clock.now(), "a new process: its sessions are gone"
             )
             for call in server.pending_releases:
-                self.broker.recorder.clear_owed_release(server.host, call)
+                self.broker.recorder.clear_pending_release(server.host, call)
             server.pending_releases.clear()
         self.broker.recorder.record_peer(server.host, connection.state_id, server.started_ms)
         server.dialing = None
@@ -155,7 +155,7 @@
         releases, server.pending_releases = server.pending_releases, []
         for call in releases:
             self._send_termination(server, call)
-            self.broker.recorder.clear_owed_release(server.host, call)
+            self.broker.recorder.clear_pending_release(server.host, call)
 
     def on_watchdog_change(self, peer: Peer, before: WatchdogState, after: WatchdogState) -> None:
         super().on_watchdog_change(peer, before, after)
@@ -198,7 +198,7 @@
     def _queue_release(self, server: ServerPeer, call: str) -> None:
         """Keeps a release, also on record, until the server is connected."""
         server.pending_releases.append(call)
-        self.broker.recorder.record_owed_release(server.host, call)
+        self.broker.recorder.record_pending_release(server.host, call)
 
     def resume(
         self, peers: Mapping[str, tuple[int | None, float]], releases: Iterable[tuple[str, str]]
@@ -213,7 +213,7 @@
             if host in self.servers:
                 self._queue_release(self.servers[host], call)
             else:
-                self.broker.recorder.clear_owed_release(host, call)
+                self.broker.recorder.clear_pending_release(host, call)
         for server in self.servers.values():
             self._start_sessions_lost_timer(server)  # one that does not come back in time has lost its calls
 
@@ -237,12 +237,12 @@
         if (
             server is not None
             and server.connection is connection
-            and server.liveness.heard(self.clock.now(), connection.process_since_ms)
+            and server.liveness.data_received(self.clock.now(), connection.process_since_ms)
         ):
             log.info("%s: liveness: suspected -> alive", server.host)
 
     def _check_liveness(self, server: ServerPeer, now_ms: float) -> None:
-        if not server.liveness.is_quiet(now_ms):
+        if not server.liveness.is_silent(now_ms):
             return
         for action in server.liveness.evaluate(now_ms, self.broker.has_established_calls(server.host)):
             match action:
--- a/frostport/interface.py
+++ b/frostport/interface.py
@@ -52,7 +52,7 @@
     SIDE_EFFECT = "side_effect"  # never repeated
 
 
-# Values of `AttemptEnded.note`: the first three tell why the outcome was FULL, the last goes with ERROR.
+# Values of `AttemptEnded.note`: the first three say why the outcome was FULL, the last goes with ERROR.
 NOTE_NO_LINE = 1
 NOTE_RETURNED = 2  # turned away beyond the server
 NOTE_PROCESSOR_FULL = 3
@@ -104,9 +104,9 @@
     over_share_worth: float = 1.0  # factor on the worth of a tenant's calls past its share
     try_limit: int = 1  # attempts per call
     may_cancel: bool = False  # CancelAttempt is available
-    peers: bool = False  # TellPeer is available
+    peers: bool = False  # SendToPeer is available
     probes: bool = False  # Probe is available
-    retry_after: bool = False  # callers are told when to come back after a refusal
+    retry_after: bool = False  # a refusal says when the caller may try again
     max_retry_after_ms: float = 0.0
     connect_timeout_ms: float = 0.0
     late_fail_price: float = 0.0
@@ -155,7 +155,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallStands:
+class CallEstablished:
     """An attempt was answered: the call is set up."""
 
     call: str
@@ -195,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerReport:
-    """The answer to a probe, or, with `elapsed_ms` 0, a report that the server sent unasked."""
+    """The answer to a probe, or, with `elapsed_ms` 0, an unsolicited report."""
 
     server: str
     outcome: Outcome
@@ -212,7 +212,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Bytes that another proxy sent with TellPeer."""
+    """Bytes that another proxy sent with SendToPeer."""
 
     sender: int
     data: bytes
@@ -221,7 +221,7 @@
 Event = (
     ListUpdate
     | CallArrived
-    | CallStands
+    | CallEstablished
     | AttemptEnded
     | CallGone
     | TimerFired
@@ -253,7 +253,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseCall:
-    """Final answer: refused, with the time after which the caller may try again (0: no advice)."""
+    """Final answer: refused, with the time after which the caller may try again (0: not stated)."""
 
     call: str
     retry_after_ms: float = 0.0
@@ -282,7 +282,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeer:
+class SendToPeer:
     """Send bytes to one other proxy, by its index."""
 
     peer: int
@@ -302,5 +302,5 @@
 
 
 Action = (
-    SendAttempt | CancelAttempt | RefuseCall | FailCall | SetTimer | Probe | TellPeer | Subscribe | WriteLog
+    SendAttempt | CancelAttempt | RefuseCall | FailCall | SetTimer | Probe | SendToPeer | Subscribe | WriteLog
 )
--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -531,7 +531,7 @@
             while next(iter(self.failed_ids.values())) < now - UNSENT_RELEASE_KEEP_MS:
                 del self.failed_ids[next(iter(self.failed_ids))]
         self._assign_release(tag, release, -1)
-        self.broker.recorder.clear_owed_end(tag)
+        self.broker.recorder.clear_pending_end(tag)
         return True
 
     def connection_lost(self, connection: ClientConnection) -> None:
@@ -586,8 +586,8 @@
     def call_established(self, request: Request, description: Body) -> None:
         self._send_final(request, Message("STARTED", request.id, blob=str(description)))
 
-    def call_refused(self, request: Request, stay_away_ms: float) -> None:
-        # The platform's refusal has no field for `stay_away_ms`.
+    def call_refused(self, request: Request, retry_after_ms: float) -> None:
+        # The platform's refusal has no field for `retry_after_ms`.
         self._send_final(request, Message("FINISH", request.id, rc=jsonl.OVERLOADED))
 
     def call_failed(self, request: Request) -> None:
--- a/frostport/net/upstream.py
+++ b/frostport/net/upstream.py
@@ -92,7 +92,7 @@
         self.lag = LagDetector(self)
         self.no_dial_before = -math.inf
         self.listed = True
-        self.liveness = ServerLiveness(pool.clock.now(), old_are_asked=pool.probes)
+        self.liveness = ServerLiveness(pool.clock.now(), checks_old_connections=pool.probes)
         self.sends_greeting = False  # it sends a report first on each new connection
         self.retired: ServerConnection | None = None  # silent, kept to detect that the process lives on
         self.replacing = False  # a connection was lost, and none opened since
@@ -204,7 +204,7 @@
         """Sends the queued releases, except of calls that have been set up at this server again."""
         pending, self.pending_releases = self.pending_releases, {}
         for tag, cause in pending.items():
-            self.broker.recorder.clear_owed_release(self.host, tag)
+            self.broker.recorder.clear_pending_release(self.host, tag)
             request = self.broker.find_request(tag)
             if request is None or request.attempt is None or request.attempt.server != self.host:
                 connection.send_release(tag, cause)
@@ -276,7 +276,7 @@
 
     def _queue_release(self, tag: str, cause: int) -> None:
         self.pending_releases[tag] = cause
-        self.broker.recorder.record_owed_release(self.host, tag)
+        self.broker.recorder.record_pending_release(self.host, tag)
 
     def _replace_connection(self, connection: ServerConnection) -> None:
         """Dials again after a loss, even if other connections are open.
@@ -292,7 +292,7 @@
 
     def sign_of_life(self, connection: ServerConnection) -> None:
         """Called when data was read, or a connection opened to a server that sends no report first."""
-        if self.liveness.heard(connection.heard_at, connection.opened_at):
+        if self.liveness.data_received(connection.heard_at, connection.opened_at):
             log.info("%s: liveness: suspected -> alive, heard on connection %d", self.host, connection.slot)
             if self.replacing:
                 self.connect()  # the server repeats there what was lost: no need to wait for the timer
@@ -306,8 +306,8 @@
 
     def check_liveness(self, now_ms: float) -> None:
         """Runs the failure detector: ends the established calls of a server that has vanished."""
-        if not self.liveness.is_quiet(now_ms):
-            if self.retired is not None and self.liveness.heard_after(self.retired.heard_at):
+        if not self.liveness.is_silent(now_ms):
+            if self.retired is not None and self.liveness.received_after(self.retired.heard_at):
                 self._drop_retired()
             return
         calls_stand = self.broker.has_established_calls(self.host)
@@ -378,7 +378,7 @@
         """Ends everything at a server that has been taken off the list."""
         self.listed = False
         for tag in self.pending_releases:
-            self.broker.recorder.clear_owed_release(self.host, tag)
+            self.broker.recorder.clear_pending_release(self.host, tag)
         self.lag.stop()
         if self.redial_timer is not None:
             self.redial_timer.cancel()
--- a/frostport/net/upstream_pool.py
+++ b/frostport/net/upstream_pool.py
@@ -65,7 +65,7 @@
             if host in self.members:
                 self.members[host].release(tag, jsonl.NORMAL)
             else:
-                self.broker.recorder.clear_owed_release(host, tag)
+                self.broker.recorder.clear_pending_release(host, tag)
 
     def send(self, attempt: Attempt) -> None:
         server = self.members.get(attempt.server)
--- a/frostport/observe/record.py
+++ b/frostport/observe/record.py
@@ -12,7 +12,7 @@
 import structlog
 
 MAX_FILE_BYTES, MAX_FILES = 16 * 1024 * 1024, 2
-MAX_QUEUED_LINES = 10_000  # for the disk; more are dropped and counted
+MAX_QUEUED_LINES = 10_000  # waiting for the disk; more are dropped and counted
 
 
 class Record(Protocol):
@@ -46,8 +46,9 @@
 
 
 class FileRecord:
-    """Events as JSON lines in a file. `stamp` returns the fields that all lines have (agent, incarnation,
-    times)."""
+    """Events as JSON lines in a file.
+
+    `stamp` returns the fields that all lines have (agent, incarnation, times)."""
 
     def __init__(self, path: pathlib.Path, stamp: Callable[[], dict[str, Any]]) -> None:
         self._file = logging.handlers.RotatingFileHandler(
--- a/frostport/operations.py
+++ b/frostport/operations.py
@@ -15,9 +15,8 @@
 
     def __init__(self, broker: Broker, lifecycle: Lifecycle, metrics: StatsdMetrics) -> None:
         self.broker, self.lifecycle, self.metrics = broker, lifecycle, metrics
-        self.why_kept_out: Callable[[str], str] = (
-            lambda name: ""
-        )  # why a server ("": this agent) must stay out
+        # Why a server ("": this agent) must stay out of rotation; "" if it need not.
+        self.why_kept_out: Callable[[str], str] = lambda name: ""
 
     def operations(self) -> dict[str, Operation]:
         return {
--- a/frostport/state/recorder.py
+++ b/frostport/state/recorder.py
@@ -119,7 +119,7 @@
                 request.client,
                 request.end_to_end_id,
                 request.ended_by,
-                request.stay_away_ms,
+                request.retry_after_ms,
                 b"",
             )
         return records.Over(
@@ -130,7 +130,7 @@
             request.client,
             request.end_to_end_id,
             request.ended_by,
-            request.stay_away_ms,
+            request.retry_after_ms,
             as_bytes(given.answer),
             isinstance(given.answer, str),
             given.service,
@@ -183,16 +183,16 @@
     def _encode_owed(self, client: str, outcome: Outcome) -> bytes:
         return records.encode(records.Owed(client, outcome.value, self.clock.now()))
 
-    def record_owed_end(self, call: str, client: str, outcome: Outcome, then: Continuation) -> None:
+    def record_pending_end(self, call: str, client: str, outcome: Outcome, then: Continuation) -> None:
         self.sink.write(((OWED + call, self._encode_owed(client, outcome)),), then)
 
-    def clear_owed_end(self, call: str) -> None:
+    def clear_pending_end(self, call: str) -> None:
         self._drop(OWED + call)
 
-    def record_owed_release(self, server: str, call: str) -> None:
+    def record_pending_release(self, server: str, call: str) -> None:
         self._put(f"{RELEASE}{server}{KEY_SEPARATOR}{call}", records.Release(self.clock.now()))
 
-    def clear_owed_release(self, server: str, call: str) -> None:
+    def clear_pending_release(self, server: str, call: str) -> None:
         self._drop(f"{RELEASE}{server}{KEY_SEPARATOR}{call}")
 
     def forget_call(self, call: str) -> None:
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -76,7 +76,7 @@
         return name, self.give(api.CallArrived(call=name, call_class=call_class, first_choice=first, **given))
 
     def answer(self, call: str, number: int = 0, elapsed: float = 60.0) -> list[api.Action]:
-        return self.give(api.CallStands(call, self.attempts[call], server(number).address, elapsed))
+        return self.give(api.CallEstablished(call, self.attempts[call], server(number).address, elapsed))
 
     def fail(
         self, call: str, outcome: api.Outcome, number: int = 0, closed: bool = False, note: int = 0
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -68,7 +68,7 @@
     def check_evicted(self, admissions: tuple[Admission, ...] | list[Admission]) -> None:
         for admission in admissions:
             assert self.open.pop(admission.number, None) is admission, "evicted twice, or never admitted"
-            assert not self.busy[admission.number], "evicted with an open set-up or a message owed"
+            assert not self.busy[admission.number], "evicted with an open set-up or an unconfirmed release"
 
     @rule(address=st.sampled_from(ADDRESSES))
     def arrive(self, address: str) -> None:
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -225,7 +225,7 @@
 
 
 def flood(world: World, after: bytes) -> Wire:
-    """Delivers as many lines as are handled in one turn, then the set-up `a`, then `after`."""
+    """Delivers the lines of one event-loop iteration, then the set-up `a`, then `after`."""
     protocol = world.reactor.factory.buildProtocol(None)
     wire = Wire(world, protocol)
     wire.other = Wire(world, world.actors["c2"])
@@ -241,7 +241,7 @@
 
 
 @pytest.mark.parametrize("together", [True, False])
-def test_a_give_up_behind_a_turn_of_lines_stops_its_set_up(together: bool) -> None:
+def test_a_give_up_behind_a_full_batch_of_lines_stops_its_set_up(together: bool) -> None:
     world = play("send c1 ECHO 1 rc=0", platform())
     give_up = Message("FINISH", "a".zfill(16), rc=16).encode()
     wire = flood(world, give_up if together else b"")
@@ -254,7 +254,7 @@
     assert received.count(("FINISHED", "a")) == 1 and ("FINISH", "a") not in received
 
 
-def test_a_close_behind_a_turn_of_lines_stops_the_set_ups_before_it_and_not_the_releases() -> None:
+def test_a_close_behind_a_full_batch_of_lines_stops_the_set_ups_before_it_and_not_the_releases() -> None:
     world = play(
         """
         send c1 START b class=race left=3000 extras=dest:0
@@ -280,9 +280,8 @@
             client.sendall(b"unread")
             assert not peer_close.closed_by_peer(ours)
             client.close()
-            while not peer_close.closed_by_peer(
-                ours
-            ):  # bounded by the test's time-out; immediate on loopback
+            # Bounded by the test's time-out; immediate on loopback.
+            while not peer_close.closed_by_peer(ours):
                 pass
         assert not peer_close.closed_by_peer(ours)  # this end is closed, which its owner knows
         assert not peer_close.closed_by_peer(object())
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -127,7 +127,7 @@
         sent = self.now
         # Some are reset and sent again after the release guard: repeated ones count as well.
         reset = api.AttemptEnded(call, attempt, f"s{number}", api.Outcome.RESET, ROUND_TRIP_MS, False)
-        established = api.CallStands(call, attempt, f"s{number}", ROUND_TRIP_MS)
+        established = api.CallEstablished(call, attempt, f"s{number}", ROUND_TRIP_MS)
         event = reset if self.rng.random() < 0.03 else established
         self.call_later(ROUND_TRIP_MS, lambda: self.deliver(agent, incarnation, event))
         assert sent <= self.now
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -218,20 +218,20 @@
                 "unstuck",
             )
             if well_formed and "unheard" not in line and "soon" not in line and "key=zz" not in line:
-                said = orjson.loads(world.actors[words[1]].encode(line.split(" ", 2)[2]))
-                if said["verb"] == "START":
-                    said.setdefault("blob", "")
-                jsonschema.validate(said, payloads[said["verb"]])
+                message = orjson.loads(world.actors[words[1]].encode(line.split(" ", 2)[2]))
+                if message["verb"] == "START":
+                    message.setdefault("blob", "")
+                jsonschema.validate(message, payloads[message["verb"]])
             seen_at = world.actors["c1"], world.actors["c2"]
             world.step(line) if words[0] != "expect" else None
             for actor in seen_at:
-                for heard in actor.inbox:
-                    if heard[""] != "closed":
-                        said = {"verb": heard[""], "tag": heard["tag"].zfill(16), "opts": {}}
-                        said |= {"rc": int(heard["rc"])} if "rc" in heard else {}
-                        said |= {"blob": heard["blob"]} if "blob" in heard else {}
-                        jsonschema.validate(said, payloads[heard[""]])
-                        seen.add(heard[""])
+                for received in actor.inbox:
+                    if received[""] != "closed":
+                        message = {"verb": received[""], "tag": received["tag"].zfill(16), "opts": {}}
+                        message |= {"rc": int(received["rc"])} if "rc" in received else {}
+                        message |= {"blob": received["blob"]} if "blob" in received else {}
+                        jsonschema.validate(message, payloads[received[""]])
+                        seen.add(received[""])
     assert seen == {"STARTED", "FINISH", "FINISHED", "ECHOED"}
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -98,7 +98,7 @@
         for send in sends([action for _, action in proxy.log[-1:]]):
             proxy.answer(send.call, number_of(send.server))
         proxy.run(250.0)
-    messages = [action for _, action in proxy.log if isinstance(action, api.TellPeer)]
+    messages = [action for _, action in proxy.log if isinstance(action, api.SendToPeer)]
     assert all(0 < action.peer < siblings and len(action.data) <= 256 for action in messages)
     return len(messages), sum(isinstance(action, api.Probe) for _, action in proxy.log)
 
--- a/tests/test_gossip_wire.py
+++ b/tests/test_gossip_wire.py
@@ -34,7 +34,7 @@
 from standins.lobby import configuration
 
 ROOT = pathlib.Path(__file__).parent.parent
-SEAL = DatagramCodec("coastline", bytes(range(32)))
+CODEC = DatagramCodec("coastline", bytes(range(32)))
 texts = st.text("abcdefghij0123456789.:-", max_size=messages.MAX_TEXT_BYTES)
 names = st.text("abcdefghij-0123456789", min_size=1, max_size=messages.MAX_NAME_BYTES)
 integers = st.integers(0, messages.INTEGER_LIMIT - 1)
@@ -53,10 +53,10 @@
 
 
 @given(any_message)
-def test_a_sealed_message_is_opened_only_with_the_same_key_and_fleet(message: messages.Message) -> None:
-    data = SEAL.encode(message)
+def test_an_encoded_message_is_decoded_only_with_the_same_key_and_fleet(message: messages.Message) -> None:
+    data = CODEC.encode(message)
     if len(data) <= MAX_DATAGRAM_BYTES:
-        assert SEAL.decode(data) == message
+        assert CODEC.decode(data) == message
         for other in (DatagramCodec("coastline", bytes(32)), DatagramCodec("another", bytes(range(32)))):
             with pytest.raises(BadMessageError):
                 other.decode(data)
@@ -65,13 +65,13 @@
 @settings(max_examples=300)
 @given(any_message, st.data())
 def test_truncated_and_altered_datagrams_are_rejected(message: messages.Message, data: st.DataObject) -> None:
-    whole = SEAL.encode(message)
-    at = data.draw(st.integers(0, len(whole) - 1))
-    changed = bytearray(whole)
+    encoded = CODEC.encode(message)
+    at = data.draw(st.integers(0, len(encoded) - 1))
+    changed = bytearray(encoded)
     changed[at] ^= data.draw(st.integers(1, 255))
-    for bad in (whole[:at], bytes(changed), whole + b"x"):
+    for bad in (encoded[:at], bytes(changed), encoded + b"x"):
         with pytest.raises(BadMessageError):
-            SEAL.decode(bad)
+            CODEC.decode(bad)
     body = messages.encode(message)
     for bad in (body[:at], bytes(changed[17:]), data.draw(st.binary(max_size=300))):
         with contextlib.suppress(BadMessageError):  # with a valid digest, either this error or a message
@@ -96,28 +96,28 @@
         now = agent.next_ms()
         for action in agent.handle(Tick(), now):
             if isinstance(action, Send):
-                longest = max(longest, len(SEAL.encode(action.message)))
+                longest = max(longest, len(CODEC.encode(action.message)))
                 carried += len(getattr(action.message, "updates", ()))
     assert 200 < longest <= MAX_DATAGRAM_BYTES and carried > 20
 
 
 @given(st.lists(st.builds(Frame, st.text(max_size=8), st.binary(max_size=200)), max_size=6), st.data())
 def test_frames_are_read_from_any_segmentation(frames: list[Frame], data: st.DataObject) -> None:
-    whole, reader, found = b"".join(map(encode_frame, frames)), FrameDecoder(), list[bytes]()
-    while whole:
-        size = data.draw(st.integers(1, len(whole)))
-        found += reader.feed(whole[:size])
-        whole = whole[size:]
+    remaining, decoder, found = b"".join(map(encode_frame, frames)), FrameDecoder(), list[bytes]()
+    while remaining:
+        size = data.draw(st.integers(1, len(remaining)))
+        found += decoder.feed(remaining[:size])
+        remaining = remaining[size:]
     assert [msgspec.msgpack.decode(body, type=Frame) for body in found] == frames
 
 
 @given(st.binary(max_size=2000))
 def test_arbitrary_bytes_are_buffered_within_bounds_and_raise_only_bad_frame_error(data: bytes) -> None:
-    reader = FrameDecoder()
+    decoder = FrameDecoder()
     try:
         for at in range(0, len(data), 50):
-            reader.feed(data[at : at + 50])
-            assert len(reader.buffer) <= link.MAX_HELLO_BYTES + 54
+            decoder.feed(data[at : at + 50])
+            assert len(decoder.buffer) <= link.MAX_HELLO_BYTES + 54
     except BadFrameError:
         pass
 
@@ -147,8 +147,8 @@
 def make_link(
     name: str, known: str = "ab"
 ) -> tuple[Link, ManualClock, Deadlines, list[tuple[str, str, bytes]]]:
-    clock, deadlines, heard = ManualClock(1000.0), Deadlines(), list[tuple[str, str, bytes]]()
-    agents = Link(
+    clock, deadlines, received = ManualClock(1000.0), Deadlines(), list[tuple[str, str, bytes]]()
+    own_link = Link(
         "coastline",
         name,
         1,
@@ -156,14 +156,14 @@
         deadlines,
         lambda address, connection: None,
         lambda peer: "127.0.0.1:1" if peer in known else "",
-        lambda *frame: heard.append(frame),
+        lambda *frame: received.append(frame),
         random.Random(1),
     )
-    return agents, clock, deadlines, heard
+    return own_link, clock, deadlines, received
 
 
-def open_connection(agents: Link, dialled: str = "") -> tuple[Connection, RecordingTransport]:
-    connection, wire = Connection(agents, dialled), RecordingTransport()
+def open_connection(own_link: Link, dialled: str = "") -> tuple[Connection, RecordingTransport]:
+    connection, wire = Connection(own_link, dialled), RecordingTransport()
     connection.transport = wire
     connection.connectionMade()
     return connection, wire
@@ -178,38 +178,40 @@
     ],
 )
 def test_a_connection_of_an_unknown_agent_is_closed(first: link.Hello) -> None:
-    agents, _, _, heard = make_link("a")
-    connection, wire = open_connection(agents)
+    own_link, _, _, received = make_link("a")
+    connection, wire = open_connection(own_link)
     connection.dataReceived(encode_frame(first) + encode_frame(Frame("raft", b"x")))
-    assert wire.aborted and not heard and not agents.connections
+    assert wire.aborted and not received and not own_link.connections
 
 
 def test_of_two_crossing_connections_the_one_of_the_lesser_name_stays_and_silence_closes_it() -> None:
-    agents, clock, deadlines, heard = make_link("a")
-    ours, our_wire = open_connection(agents, "b")
-    theirs, their_wire = open_connection(agents)
+    own_link, clock, deadlines, received = make_link("a")
+    ours, our_wire = open_connection(own_link, "b")
+    theirs, their_wire = open_connection(own_link)
     theirs.dataReceived(encode_frame(link.Hello(1, "coastline", "b", 1)))
     ours.dataReceived(encode_frame(link.Hello(1, "coastline", "b", 1)))
-    assert agents.connections["b"] is ours and their_wire.aborted and not our_wire.aborted
+    assert own_link.connections["b"] is ours and their_wire.aborted and not our_wire.aborted
     ours.dataReceived(encode_frame(Frame("raft", b"x")))
-    assert heard == [("b", "raft", b"x")]
+    assert received == [("b", "raft", b"x")]
     for _ in range(6):
         clock.at += link.HEARTBEAT_MS
         deadlines.run(clock.now())
-    assert our_wire.aborted and not agents.connections
+    assert our_wire.aborted and not own_link.connections
 
 
 def test_a_peer_that_does_not_read_fills_a_bounded_queue_and_is_then_disconnected() -> None:
-    agents, clock, deadlines, _ = make_link("a")
-    connection, wire = open_connection(agents, "b")
+    own_link, clock, deadlines, _ = make_link("a")
+    connection, wire = open_connection(own_link, "b")
     connection.dataReceived(encode_frame(link.Hello(1, "coastline", "b", 1)))
     connection.pauseProducing()
-    taken = [agents.send("b", "raft", bytes(500_000)) for _ in range(12)]
-    assert taken.count(True) == 8 and agents.refused == 4 and connection.queued_bytes <= link.MAX_QUEUE_BYTES
+    taken = [own_link.send("b", "raft", bytes(500_000)) for _ in range(12)]
+    assert (
+        taken.count(True) == 8 and own_link.refused == 4 and connection.queued_bytes <= link.MAX_QUEUE_BYTES
+    )
     clock.at += link.WRITE_STALL_TIMEOUT_MS
     deadlines.run(clock.now())
     assert wire.aborted
-    assert not agents.send("c", "raft", b"x")  # its address is unknown
+    assert not own_link.send("c", "raft", b"x")  # its address is unknown
 
 
 # The configuration
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -189,8 +189,8 @@
                     break
         layer = next_layer
         last = next_layer or last
-    chance = random.Random(1)
-    for data in chance.sample(last, min(ends, len(last))):
+    rng = random.Random(1)
+    for data in rng.sample(last, min(ends, len(last))):
         world = pickle.loads(data)
         world.run_lossless(6000.0)
         for name, agent in world.agents.items():  # M1
--- a/tests/test_figures.py
+++ b/tests/test_metrics.py
@@ -59,11 +59,8 @@
     """):
         world.step(line)
     seen = metrics(world)
-    assert (seen["answered.race"], seen["errored.race"], seen["current"]) == (
-        1,
-        1,
-        1,
-    )  # the established call a is current
+    # The established call a is current.
+    assert (seen["answered.race"], seen["errored.race"], seen["current"]) == (1, 1, 1)
     world.step("send c1 FINISH a rc=16")
     world.step("expect s0 FINISH a")
     assert metrics(world)["current"] == 0
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -407,7 +407,7 @@
 
 
 def test_a_server_out_of_rotation_is_unhealthy() -> None:
-    from tests.test_figures import metrics, world_after
+    from tests.test_metrics import metrics, world_after
 
     world = world_after("door disable-server h1 => OK")
     assert metrics(world)["cluster_unhealthy"] == 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,7 @@
-"""The decision module keeps the five rules."""
+"""The decision module keeps the rules for any sequence of outcomes.
+
+One final answer for each call by its deadline, at most one pending attempt, no attempt at a server that
+drains or is gone, at most as many attempts as allowed, and no attempt within the release guard."""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_each_call_gets_one_answer_in_time_one_pending_attempt_and_the_release_guard(seed: int) -> None:
-    """Random outcomes, checked against rules 1, 2 and 5 from outside the module."""
+    """Random outcomes; what the module does is checked from outside, by its actions alone."""
     rng = random.Random(seed)
     proxy = Proxy(3, seed=seed)
     deadline_at: dict[str, float] = {}
@@ -65,7 +68,7 @@
             del pending[call]
             if rng.random() < 0.2 and not overdue:
                 answered[call] = proxy.now
-                proxy.give(api.CallStands(call, proxy.attempts[call], address, 60.0))
+                proxy.give(api.CallEstablished(call, proxy.attempts[call], address, 60.0))
                 check_actions()
                 continue
             if outcome in (api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED):
--- a/tests/test_server_liveness.py
+++ b/tests/test_server_liveness.py
@@ -6,7 +6,7 @@
     CALLS_LOST_AFTER_MS,
     CHECK_PERIOD_MS,
     CHECK_TIMEOUT_MS,
-    QUIET_AFTER_MS,
+    SILENT_AFTER_MS,
     CallsLost,
     CheckLiveness,
     ServerLiveness,
@@ -43,10 +43,10 @@
 
 def test_a_server_that_sends_is_never_checked() -> None:
     liveness = ServerLiveness(START_MS)
-    for now_ms in range(int(START_MS), 60_000, int(QUIET_AFTER_MS) - 1):
-        liveness.heard(now_ms, START_MS)
-        assert not liveness.is_quiet(now_ms + QUIET_AFTER_MS - 1.0)
-        assert liveness.evaluate(now_ms + QUIET_AFTER_MS - 1.0, True) == []
+    for now_ms in range(int(START_MS), 60_000, int(SILENT_AFTER_MS) - 1):
+        liveness.data_received(now_ms, START_MS)
+        assert not liveness.is_silent(now_ms + SILENT_AFTER_MS - 1.0)
+        assert liveness.evaluate(now_ms + SILENT_AFTER_MS - 1.0, True) == []
 
 
 def test_a_server_without_established_calls_is_neither_checked_nor_suspected() -> None:
@@ -58,16 +58,16 @@
     back_ms = START_MS + CALLS_LOST_AFTER_MS - CHECK_PERIOD_MS
     actions_until_lost(liveness, START_MS, back_ms - CHECK_PERIOD_MS)
     assert liveness.suspected
-    assert liveness.heard(back_ms, START_MS - 500.0)
-    assert actions_until_lost(liveness, back_ms, back_ms + QUIET_AFTER_MS - 1.0) == []
+    assert liveness.data_received(back_ms, START_MS - 500.0)
+    assert actions_until_lost(liveness, back_ms, back_ms + SILENT_AFTER_MS - 1.0) == []
 
 
 def test_data_on_a_new_connection_does_not_keep_calls_from_before_the_silence() -> None:
     liveness = ServerLiveness(START_MS)
-    actions_until_lost(liveness, START_MS, START_MS + QUIET_AFTER_MS + CHECK_TIMEOUT_MS)
+    actions_until_lost(liveness, START_MS, START_MS + SILENT_AFTER_MS + CHECK_TIMEOUT_MS)
     actions: list[object] = []
     for now_ms in range(int(START_MS + 4000.0), int(START_MS + NOTIFY_LIMIT_MS), int(CHECK_PERIOD_MS)):
-        assert not liveness.heard(now_ms, START_MS + 3900.0)
+        assert not liveness.data_received(now_ms, START_MS + 3900.0)
         actions += liveness.evaluate(now_ms, True)
         if any(isinstance(action, CallsLost) for action in actions):
             break
@@ -84,13 +84,13 @@
     liveness.process_paused(resumed_ms)
     assert liveness.evaluate(resumed_ms, True) == [CheckLiveness(None)]
     assert not liveness.suspected
-    liveness.heard(resumed_ms + 10.0, START_MS)
+    liveness.data_received(resumed_ms + 10.0, START_MS)
     assert liveness.evaluate(resumed_ms + CHECK_PERIOD_MS, True) == []
 
 
 def test_a_pause_during_a_suspicion_leaves_time_for_the_answer() -> None:
     liveness = ServerLiveness(START_MS)
-    actions_until_lost(liveness, START_MS, START_MS + QUIET_AFTER_MS + CHECK_TIMEOUT_MS)
+    actions_until_lost(liveness, START_MS, START_MS + SILENT_AFTER_MS + CHECK_TIMEOUT_MS)
     resumed_ms = START_MS + CALLS_LOST_AFTER_MS + 5000.0
     liveness.process_paused(resumed_ms)
     assert not [action for action in liveness.evaluate(resumed_ms, True) if isinstance(action, CallsLost)]
@@ -100,22 +100,22 @@
 
 def test_a_process_restarted_before_the_first_check_does_not_keep_the_calls_of_the_old_one() -> None:
     liveness = ServerLiveness(START_MS)
-    back_ms = START_MS + QUIET_AFTER_MS + 100.0
-    assert not liveness.heard(back_ms, back_ms - 10.0)
+    back_ms = START_MS + SILENT_AFTER_MS + 100.0
+    assert not liveness.data_received(back_ms, back_ms - 10.0)
     assert liveness.suspected
     lost = actions_until_lost(liveness, back_ms, START_MS + NOTIFY_LIMIT_MS)[-1]
     assert isinstance(lost, CallsLost) and START_MS < lost.established_by_ms < back_ms
 
 
 def test_with_checks_on_a_new_connection_its_first_data_is_the_answer() -> None:
-    liveness = ServerLiveness(START_MS, old_are_asked=False)
-    answered_ms = START_MS + QUIET_AFTER_MS + 100.0
-    liveness.heard(answered_ms, answered_ms - 10.0)
+    liveness = ServerLiveness(START_MS, checks_old_connections=False)
+    answered_ms = START_MS + SILENT_AFTER_MS + 100.0
+    liveness.data_received(answered_ms, answered_ms - 10.0)
     assert not liveness.suspected
 
 
 def test_a_reset_after_a_silence_leaves_the_calls_in_doubt_and_one_without_does_not() -> None:
-    for silent_ms in (QUIET_AFTER_MS, QUIET_AFTER_MS - 1.0):
-        liveness = ServerLiveness(START_MS, old_are_asked=False)
+    for silent_ms in (SILENT_AFTER_MS, SILENT_AFTER_MS - 1.0):
+        liveness = ServerLiveness(START_MS, checks_old_connections=False)
         liveness.connection_reset(START_MS + silent_ms)
-        assert liveness.suspected is (silent_ms >= QUIET_AFTER_MS)
+        assert liveness.suspected is (silent_ms >= SILENT_AFTER_MS)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The agent under the settings of several deployments: no name of theirs is in the code, their figures apply.
+"""The agent under the settings of several deployments: their values apply, no name of theirs is in the code.
 
 The data are the site files in `deploy/sites`, one folder per deployment."""
 
@@ -48,7 +48,7 @@
 
 
 def settings(site: dict[str, Any]) -> dict[str, Any]:
-    """A site's figures as settings of a call agent; of a range, the lower end."""
+    """A site's values as settings of a call agent; of a range, the lower end."""
 
     def lower_end(value: Any) -> float:
         return float(value[0] if isinstance(value, list) else value)
@@ -151,5 +151,5 @@
         """,
             record,
         )
-        heard = [said[""] for said in world.actors["s0"].inbox]
-        assert ("START" in heard) is goes, (wait, heard)
+        received = [message[""] for message in world.actors["s0"].inbox]
+        assert ("START" in received) is goes, (wait, received)
