--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -218,19 +218,19 @@
                 "unstuck",
             )
             if well_formed and "unheard" not in line and "soon" not in line and "key=zz" not in line:
-                message = orjson.loads(world.actors[words[1]].encode(line.split(" ", 2)[2]))
-                if message["verb"] == "START":
-                    message.setdefault("blob", "")
-                jsonschema.validate(message, payloads[message["verb"]])
+                written = orjson.loads(world.actors[words[1]].encode(line.split(" ", 2)[2]))
+                if written["verb"] == "START":
+                    written.setdefault("blob", "")
+                jsonschema.validate(written, payloads[written["verb"]])
             seen_at = world.actors["c1"], world.actors["c2"]
             world.step(line) if words[0] != "expect" else None
             for actor in seen_at:
                 for received in actor.inbox:
                     if received[""] != "closed":
-                        message = {"verb": received[""], "tag": received["tag"].zfill(16), "opts": {}}
-                        message |= {"rc": int(received["rc"])} if "rc" in received else {}
-                        message |= {"blob": received["blob"]} if "blob" in received else {}
-                        jsonschema.validate(message, payloads[received[""]])
+                        written = {"verb": received[""], "tag": received["tag"].zfill(16), "opts": {}}
+                        written |= {"rc": int(received["rc"])} if "rc" in received else {}
+                        written |= {"blob": received["blob"]} if "blob" in received else {}
+                        jsonschema.validate(written, payloads[received[""]])
                         seen.add(received[""])
     assert seen == {"STARTED", "FINISH", "FINISHED", "ECHOED"}
 
