--- a/frostport/admission/ladder.py
+++ b/frostport/admission/ladder.py
@@ -26,10 +26,10 @@
 class Ladder:
     """Takes the utilization of each limited resource; the highest one determines the step."""
 
-    def __init__(self, changed: Callable[[Step, Step], None] = lambda before, after: None) -> None:
-        """`changed` is called with the old and the new step at each transition."""
+    def __init__(self, on_step_changed: Callable[[Step, Step], None] = lambda before, after: None) -> None:
+        """`on_step_changed` is called with the old and the new step at each transition."""
         self.step = Step.OPEN
-        self.changed = changed
+        self.on_step_changed = on_step_changed
         self.transitions = 0
 
     def update(self, *loads: float) -> Step:
@@ -50,5 +50,5 @@
         if after is not self.step:
             before, self.step = self.step, after
             self.transitions += 1
-            self.changed(before, after)
+            self.on_step_changed(before, after)
         return self.step
--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -186,7 +186,7 @@
             if self.startup is not None:
                 extra.update(self.startup.operations())
             if self.fleet is not None:
-                operations.why_kept_out = self.fleet.work.held_reason
+                operations.held_reason = self.fleet.work.held_reason
             self.operator_port = OperatorPort(
                 {**operations.operations(), **extra}, self.clock, self.deadlines
             )
--- a/frostport/operations.py
+++ b/frostport/operations.py
@@ -16,7 +16,7 @@
     def __init__(self, broker: Broker, lifecycle: Lifecycle, metrics: StatsdMetrics) -> None:
         self.broker, self.lifecycle, self.metrics = broker, lifecycle, metrics
         # Why a server ("": this agent) must stay out of rotation; "" if it need not.
-        self.why_kept_out: Callable[[str], str] = lambda name: ""
+        self.held_reason: Callable[[str], str] = lambda name: ""
 
     def operations(self) -> dict[str, Operation]:
         return {
@@ -36,7 +36,7 @@
 
     def _set_rotation(self, rest: str, out: bool, result: str) -> list[str]:
         name = parse_argument(rest)
-        if not out and (why := self.why_kept_out(self.broker.rotation.find_address(name) or name)):
+        if not out and (why := self.held_reason(self.broker.rotation.find_address(name) or name)):
             raise OperatorError(why)
         address = self.broker.set_rotation(name, out)
         if address is None:
@@ -63,7 +63,7 @@
         phase = self.lifecycle.phase
         if phase is Phase.SERVING:
             return ["OK serving already"]
-        if why := self.why_kept_out(""):
+        if why := self.held_reason(""):
             return [f"ERR {why}"]
         if phase not in DRAINING_PHASES:
             return [f"ERR not while {phase.value}"]
