--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -169,7 +169,7 @@
                 )
                 if self.calls.pop(call, None) is not None:
                     self.simulation.ended(call, now - since <= AIM_MS)
-                self.handle(api.CallStands(call, number, server, now - sent), now)
+                self.handle(api.CallEstablished(call, number, server, now - sent), now)
             else:
                 self.call_over(incarnation, server)
                 late = call not in self.calls
