--- a/frostport/agreement/raft.py
+++ b/frostport/agreement/raft.py
@@ -182,7 +182,7 @@
                 if name in self.progress
             )
             if reachable + self.is_voter() <= len(self.voters) // 2:
-                self._become_follower(self.term, "", now, "no majority of the voters answers")
+                self._become_follower(self.term, "", now, "it hears no majority")
             elif self.heartbeat_at <= now:
                 self._broadcast(now)
         elif self.is_voter() and self.election_at <= now:
--- a/frostport/core/liveness_sweep.py
+++ b/frostport/core/liveness_sweep.py
@@ -50,7 +50,7 @@
         now = self._clock.now()
         paused = now - self._last_sweep_ms > PROCESS_PAUSE_MS
         if paused:
-            log.warning("this process was paused: servers get time to answer")
+            log.warning("this process was paused: servers get time to be heard")
         for server in list(self._servers()):
             if paused:
                 server.liveness.process_paused(now)
--- a/frostport/membership/swim.py
+++ b/frostport/membership/swim.py
@@ -167,7 +167,7 @@
         for member in active[: self.settings.max_sends(self.table.size())]:
             self._sequence += 1
             self._send(member.info.address, Ping(self.name, self._sequence, member.name, (left,)))
-        self._set_phase(Phase.LEFT, "leaving")
+        self._set_phase(Phase.LEFT, "it leaves")
 
     def _set_phase(self, phase: Phase, why: str) -> None:
         if phase is not self.phase:
@@ -346,7 +346,7 @@
                     self._apply_updates(message.updates, now)
                     if self.phase is Phase.JOINING:
                         self._next_join_at = NEVER
-                        self._set_phase(Phase.MEMBER, f"admitted by {message.sender}")
+                        self._set_phase(Phase.MEMBER, f"taken in by {message.sender}")
                         self._actions.append(ExchangeViews(message.sender))
             case Refused():
                 # Only while joining: a late datagram must not remove a member.
