--- a/tests/fleet/test_startup.py
+++ b/tests/fleet/test_startup.py
@@ -55,6 +55,18 @@
                 feeders.append(name)
         return feeders
 
+    async def wait_for_zone_feeders(self, zone: str) -> list[str]:
+        """Waits until just as many agents as configured record that they are feeders of a zone.
+
+        An agent that has replaced a stalled feeder keeps the role for a moment after that one is back, and
+        may not have connected to the list service yet: the number of connections does not show it."""
+
+        async def settled() -> bool:
+            return len(self.feeders(zone)) == FEEDERS
+
+        await self.rig.wait_until(f"{zone} has {FEEDERS} feeders", settled)
+        return self.feeders(zone)
+
     def publish_event(self) -> int:
         """Publishes an event, in which a server drains or is ready again; returns its number."""
         number = len(self.list.events) + 1
@@ -110,7 +122,7 @@
         self.assert_not_overloaded(since, POSSIBLE_FEEDERS)
 
     async def feeders_stall(self) -> None:
-        stalled, since = self.feeders("z0"), len(self.list.accepted_at)
+        stalled, since = await self.wait_for_zone_feeders("z0"), len(self.list.accepted_at)
         assert len(stalled) == FEEDERS
         for name in stalled:
             await self.rig.freeze_and_wait(name)
@@ -128,7 +140,7 @@
         self.assert_not_overloaded(since, POSSIBLE_FEEDERS)
 
     async def feeders_die(self) -> None:
-        dead, since = self.feeders("z0"), len(self.list.accepted_at)
+        dead, since = await self.wait_for_zone_feeders("z0"), len(self.list.accepted_at)
         assert len(dead) == FEEDERS
         for name in dead:
             await self.rig.kill(name)
