--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -15,7 +15,7 @@
 
 def make_control(rate: float = 4.0) -> decide.ServerControl:
     control = decide.ServerControl(server(0), SETTINGS, NOW, 0.5)
-    control.since = NOW - 60_000.0
+    control.created_at = NOW - 60_000.0
     control.sent = rate * decide.RATE_TAU_S
     return control
 
@@ -44,11 +44,12 @@
     assert control.ceiling is None
 
 
-def step_of(grade: float, rate: float = 4.0) -> float:
+def step_of(reject_share: float, rate: float = 4.0) -> float:
+    """The factor by which one Update changes the ceiling after answers with this share of rejects."""
     control = make_control(rate)
     control.ceiling = 4.0
     for _ in range(4):
-        control.detect(NOW, grade, NOW, NOW)
+        control.detect(NOW, reject_share, NOW, NOW)
     control.update(NOW)
     assert control.ceiling is not None
     return control.ceiling / 4.0
@@ -59,19 +60,22 @@
 
 
 def test_steps_are_small_near_the_target_and_larger_further_off() -> None:
-    near_up, far_up = step_of(decide.TARGET_SHARE * 0.9), step_of(0.0)
-    near_down, far_down = step_of(decide.TARGET_SHARE * 1.2), step_of(0.6)
+    near_up = step_of(decide.TARGET_SHARE * 0.9)
+    far_up = step_of(0.0)
+    near_down = step_of(decide.TARGET_SHARE * 1.2)
+    far_down = step_of(0.6)
     assert 1.0 < near_up < far_up
     assert far_down < near_down < 1.0
 
 
-def test_a_ceiling_that_restrains_nothing_is_not_raised() -> None:
+def test_a_ceiling_that_restricts_nothing_is_not_raised() -> None:
     assert step_of(0.0, rate=2.0) == 1.0
 
 
 def test_the_ceiling_has_a_floor_above_zero() -> None:
     control = make_control(0.0)
-    control.ceiling, control.fair_rate = 1.0, 0.3
+    control.ceiling = 1.0
+    control.fair_rate = 0.3
     for second in range(100):
         now = NOW + 1000.0 * second
         for _ in range(5):
@@ -81,7 +85,7 @@
 
 
 def test_evidence_sent_before_the_ceiling_was_lowered_counts_for_nothing() -> None:
-    # Guards against old answers that lower the ceiling again and again until nothing is sent.
+    # Old answers lowered the ceiling again and again, until nothing was sent.
     control = make_control()
     control.lower(2.0, NOW)
     control.detect(NOW + 500.0, 1.0, NOW - 1.0, NOW + 500.0)
@@ -154,7 +158,7 @@
     assert sum(len(sends(proxy.call()[1])) for _ in range(200)) == 200
 
 
-def test_the_first_choice_is_taken_while_it_may() -> None:
+def test_the_first_choice_is_taken_while_it_is_usable() -> None:
     proxy = Proxy(3)
     assert [sends(proxy.call(first=n)[1])[0].server for n in (2, 0, 1)] == [
         server(n).address for n in (2, 0, 1)
@@ -181,7 +185,7 @@
     assert sends(proxy.call()[1])[0].server == server(0).address
 
 
-def test_the_alternative_is_kept_until_it_may_not_be_used() -> None:
+def test_the_alternative_is_kept_while_it_is_usable() -> None:
     proxy = Proxy(6)
     proxy.control(0).paused_until = math.inf
     chosen = {sends(proxy.call()[1])[0].server for _ in range(20)}
@@ -195,7 +199,9 @@
 def test_held_calls_go_out_by_worth_and_the_rest_is_refused_before_the_aim() -> None:
     proxy = Proxy(1)
     control = proxy.control()
-    control.ceiling, control.tokens, control.filled_at = 1.0, -0.5, proxy.now
+    control.ceiling = 1.0
+    control.tokens = -0.5
+    control.filled_at = proxy.now
     plain, _ = proxy.call("plain")
     dear, _ = proxy.call("dear")
     refused_at: dict[str, float] = {}
@@ -357,7 +363,7 @@
     _, actions = proxy.call()
     kept = proxy.logic.alternative
     assert kept is not None and sends(actions)[0].server == kept.server.address
-    proxy.run(decide.LATE * proxy.logic.delay_ms + decide.UPKEEP_MS)
+    proxy.run(decide.LATE_RATIO * proxy.logic.delay_ms + decide.UPKEEP_MS)
     assert proxy.logic.alternative is None
 
 
@@ -376,7 +382,7 @@
     """A server loaded from the start has no short answer: a long one, taken as round trip, hid the load."""
     proxy = Proxy(servers=1, retransmit_ms=400.0)
     proxy.load(0.5, 10.0, elapsed)
-    assert proxy.logic.prompt_ratio(proxy.control()) == decide.PROMPT
+    assert proxy.logic.prompt_ratio(proxy.control()) == decide.PROMPT_RATIO
     assert (proxy.logic.time_scale, proxy.logic.update_ms) == (1.0, decide.UPDATE_MS)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,7 +1,8 @@
 """The decision module keeps the rules for any sequence of outcomes.
 
-One final answer for each call by its deadline, at most one pending attempt, no attempt at a server that
-drains or is gone, at most as many attempts as allowed, and no attempt within the release guard."""
+Each call gets one final answer by its deadline and at most one pending attempt. No attempt is made at a
+server that drains or is gone, beyond the number of attempts allowed, or within the release guard.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +27,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_each_call_gets_one_answer_in_time_one_pending_attempt_and_the_release_guard(seed: int) -> None:
-    """Random outcomes; what the module does is checked from outside, by its actions alone."""
+    """Random outcomes; the module is judged by its actions alone."""
     rng = random.Random(seed)
     proxy = Proxy(3, seed=seed)
     deadline_at: dict[str, float] = {}
@@ -170,9 +171,9 @@
     assert proxy.control(0).limit(proxy.now) == proxy.control(0).ceiling
 
 
-def test_callers_get_advice_only_where_it_is_passed_on() -> None:
-    for passed_on, advice in ((False, 0.0), (True, 2000.0)):
+def test_a_refusal_has_a_retry_after_only_where_the_deployment_passes_it_on() -> None:
+    for passed_on, retry_after_ms in ((False, 0.0), (True, 2000.0)):
         proxy = Proxy(0, retry_after=passed_on, max_retry_after_ms=2000.0)
         proxy.call()
         refused = [action for action in proxy.run(3000.0) if isinstance(action, api.RefuseCall)]
-        assert [action.retry_after_ms for action in refused] == [advice]
+        assert [action.retry_after_ms for action in refused] == [retry_after_ms]
