--- a/frostport/adapter.py
+++ b/frostport/adapter.py
@@ -1,7 +1,7 @@
 """The simulator's adapter: text lines on standard input and output, one Controller per simulated proxy.
 
-It translates between wire lines and the records of interface.py, and decides nothing. Malformed input
-ends it with status 2 and one line on standard error that names the input line and the field.
+It translates between wire lines and the records of interface.py, and decides nothing. On malformed input it
+ends with status 2 and one line on standard error that names the input line and the field.
 """
 
 from __future__ import annotations
@@ -21,7 +21,10 @@
 
 T = TypeVar("T")
 
-MARK_REDIAL, MARK_TRANSIT, MARK_CUT = 2, 8, 16  # bits of the field `marks`
+# Bits of the field `marks`
+MARK_REDIAL = 2
+MARK_TRANSIT = 8
+MARK_CUT = 16
 NOTE_RANGE = 16  # the field `note` is the stated wait in milliseconds times this, plus the note
 
 LIST_KINDS = {
@@ -52,14 +55,17 @@
 
     def __init__(self, text: str, line: int) -> None:
         parts = text.split(" ")
-        self.line, self.name = line, parts[0]
+        self.line = line  # number of the input line, from 1
+        self.name = parts[0]  # kind of message
         self._rest = parts[1:]
         self._next = 0
 
     def error(self, field: str, problem: str) -> WireError:
+        """The error to raise for a field; the caller raises it."""
         return WireError(f"line {self.line}: {self.name}: field {field}: {problem}")
 
     def text(self, field: str) -> str:
+        """The next value; raises WireError if there is none or it is empty."""
         if self._next >= len(self._rest) or not self._rest[self._next]:
             raise self.error(field, "missing")
         self._next += 1
@@ -67,7 +73,8 @@
 
     def rest(self) -> list[str]:
         """All values that are left."""
-        values, self._next = self._rest[self._next :], len(self._rest)
+        values = self._rest[self._next :]
+        self._next = len(self._rest)
         return values
 
     def finish(self) -> None:
@@ -83,6 +90,7 @@
         return self.as_number(field, text)
 
     def as_number(self, field: str, text: str) -> float:
+        """The text as a finite number; raises WireError if it is none."""
         try:
             value = float(text)
         except ValueError:
@@ -92,26 +100,28 @@
         return value
 
     def integer(self, field: str, default: int | None = None) -> int:
+        """A whole number, which may be written with a point; absent values as in `number`."""
         value = self.number(field, default)
         if value != int(value):
             raise self.error(field, "not a whole number")
         return int(value)
 
     def flag(self, field: str) -> bool:
+        """`1` for true, `0` for false."""
         text = self.text(field)
         if text not in ("0", "1"):
             raise self.error(field, f"not 0 or 1: {text!r}")
         return text == "1"
 
     def row(self, field: str) -> tuple[float, ...]:
-        """Numbers separated by commas."""
+        """Finite numbers separated by commas; none if absent."""
         text = self.text(field)
         if text == ABSENT:
             return ()
         return tuple(self.as_number(field, part) for part in text.split(","))
 
     def word(self, field: str, words: dict[str, T]) -> T:
-        """What a table gives for the value."""
+        """The value's entry in a table; raises WireError if it has none."""
         text = self.text(field)
         if text not in words:
             raise self.error(field, f"unknown word: {text!r}")
@@ -131,21 +141,26 @@
 
 def read_server(fields: Fields) -> api.Server:
     """One `item` line of a `page` of servers."""
-    zone, number = fields.text("rack-zone"), fields.integer("number")
-    state, address = fields.word("lifecycle", LIFECYCLES), fields.text("server")
-    started, nominal = fields.number("start-time-ms", 0.0), fields.number("nominal", 1.0)
+    zone = fields.text("rack-zone")
+    number = fields.integer("number")
+    state = fields.word("lifecycle", LIFECYCLES)
+    address = fields.text("server")
+    started_ms = fields.number("start-time-ms", 0.0)
+    nominal = fields.number("nominal", 1.0)
     kind = fields.text("generation-hw")
     fields.finish()
-    return api.Server(address, number, state, zone, started, nominal, kind)
+    return api.Server(address, number, state, zone, started_ms, nominal, kind)
 
 
 def read_arrival(fields: Fields) -> api.CallArrived:
-    call, call_class = fields.text("id"), fields.text("band")
+    """An `ingress` line; fields that no decision uses are checked and dropped."""
+    call = fields.text("id")
+    call_class = fields.text("band")
     tenant = fields.text("project")
-    called = fields.integer("name-key", 0)
-    budget = fields.number("budget-ms")
+    number_called = fields.integer("name-key", 0)
+    budget_ms = fields.number("budget-ms")
     fields.number("weight-hint-ms", 0.0)
-    number = fields.integer("called-node", -1)
+    first_choice = fields.integer("called-node", -1)
     fields.number("circuits", 0.0)
     fields.number("through", -1.0)
     marks = fields.integer("marks", 0)
@@ -153,9 +168,9 @@
         call,
         call_class,
         tenant,
-        budget,
-        number,
-        called,
+        budget_ms,
+        first_choice,
+        number_called,
         redial=bool(marks & MARK_REDIAL),
         in_transit=bool(marks & MARK_TRANSIT),
         cut_before=bool(marks & MARK_CUT),
@@ -163,21 +178,27 @@
 
 
 def read_answered(fields: Fields) -> api.CallEstablished:
+    """A `headers` line."""
     return api.CallEstablished(
         fields.text("id"), fields.integer("shot"), fields.text("server"), fields.number("time-taken-ms")
     )
 
 
 def read_ended(fields: Fields) -> api.AttemptEnded:
-    call, attempt, server = fields.text("id"), fields.integer("shot"), fields.text("server")
-    outcome, elapsed = fields.word("outcome", OUTCOMES), fields.number("time-taken-ms")
-    closed, note = fields.flag("no-more"), fields.integer("note", 0)
+    """A `finished` line."""
+    call = fields.text("id")
+    attempt = fields.integer("shot")
+    server = fields.text("server")
+    outcome = fields.word("outcome", OUTCOMES)
+    elapsed_ms = fields.number("time-taken-ms")
+    closed = fields.flag("no-more")
+    note = fields.integer("note", 0)
     return api.AttemptEnded(
         call,
         attempt,
         server,
         outcome,
-        elapsed,
+        elapsed_ms,
         closed,
         note % NOTE_RANGE,
         float(note // NOTE_RANGE),
@@ -186,12 +207,16 @@
 
 
 def read_report(fields: Fields) -> api.ServerReport:
-    elapsed, server = fields.number("time-taken-ms"), fields.text("server")
-    return api.ServerReport(server, fields.word("outcome", OUTCOMES), elapsed, fields.row("pressure"))
+    """A `status_back` line."""
+    elapsed_ms = fields.number("time-taken-ms")
+    server = fields.text("server")
+    return api.ServerReport(server, fields.word("outcome", OUTCOMES), elapsed_ms, fields.row("pressure"))
 
 
 def read_peer(fields: Fields) -> api.PeerMessage:
-    author, raw = fields.integer("author"), fields.text("raw")
+    """A `message` line, with its bytes in base64."""
+    author = fields.integer("author")
+    raw = fields.text("raw")
     try:
         data = b"" if raw == ABSENT else base64.b64decode(raw, validate=True)
     except (binascii.Error, ValueError):
@@ -211,18 +236,18 @@
 
 
 def write_action(instance: int, action: api.Action) -> str:
-    """The wire's line for an action."""
+    """The wire line for an action, without its line break."""
     match action:
-        case api.SendAttempt(call, server, within):
-            return f"try {instance} {call} {server} {within:.3f}"
+        case api.SendAttempt(call, server, within_ms):
+            return f"try {instance} {call} {server} {within_ms:.3f}"
         case api.CancelAttempt(call, attempt):
             return f"revoke {instance} {call} {attempt}"
-        case api.RefuseCall(call, retry_after):
-            return f"say_no {instance} {call} {retry_after:.3f}"
+        case api.RefuseCall(call, retry_after_ms):
+            return f"say_no {instance} {call} {retry_after_ms:.3f}"
         case api.FailCall(call):
             return f"report_failure {instance} {call}"
-        case api.SetTimer(name, after):
-            return f"timer {instance} {name} {after:.3f}"
+        case api.SetTimer(name, after_ms):
+            return f"timer {instance} {name} {after_ms:.3f}"
         case api.Probe(server):
             return f"check {instance} {server}"
         case api.SendToPeer(peer, data):
@@ -234,7 +259,7 @@
 
 
 def one_line(text: str) -> str:
-    """The text without line breaks, or the sign for an absent value if it is empty."""
+    """The text on one line, each run of white space as one space; the absent value if it has no words."""
     return " ".join(text.split()) or ABSENT
 
 
@@ -245,10 +270,13 @@
         self._source = enumerate(source, start=1)
         self._controllers: dict[int, Controller] = {}
         self._server_lists: dict[int, tuple[api.Server, ...]] = {}
-        self._now = 0.0
+        self._now_ms = 0.0
 
     def _line(self, inside: str) -> Fields | None:
-        """The next line, or None at the end of input; raises WireError if that is inside a batch or page."""
+        """The next line, or None at the end of input.
+
+        `inside` names the batch or page that the line belongs to, where the end of input raises WireError.
+        """
         for number, raw in self._source:
             return Fields(raw.rstrip("\r\n"), number)
         if inside:
@@ -256,7 +284,7 @@
         return None
 
     def batch(self) -> list[str] | None:
-        """Reads one batch (`mark` to `end`) and returns the reply's lines, or None at the end of input."""
+        """Handles one batch (`mark` to `end`) and returns the reply's lines, or None at the end of input."""
         opening = self._line("")
         while opening is not None and not opening.name:
             opening = self._line("")
@@ -264,7 +292,7 @@
             return None
         if opening.name != "mark":
             raise opening.error("mark", "batch does not open with mark")
-        self._now = opening.number("clock")
+        self._now_ms = opening.number("clock")
         opening.finish()
         reply: list[str] = []
         while True:
@@ -296,7 +324,7 @@
         controller = self._controllers.get(instance)
         if controller is None:
             raise fields.error("proxy", f"instance {instance} was not launched")
-        self._run(instance, reply, lambda: controller.handle(event, self._now))
+        self._run(instance, reply, lambda: controller.handle(event, self._now_ms))
 
     def _start(self, instance: int, given: api.Settings, seed: int) -> list[api.Action]:
         self._controllers[instance] = Controller(given, seed)
@@ -313,7 +341,8 @@
 
     def _read_page(self, fields: Fields) -> None:
         """Keeps a numbered list of servers, to which `membership` lines refer."""
-        sheet, count = fields.integer("sheet"), fields.integer("entries")
+        sheet = fields.integer("sheet")
+        count = fields.integer("entries")
         fields.finish()
         if count < 0:
             raise fields.error("entries", "negative count")
@@ -327,7 +356,8 @@
         self._server_lists[sheet] = tuple(servers)
 
     def _read_list(self, fields: Fields) -> api.ListUpdate:
-        kind, version = fields.word("mode", LIST_KINDS), fields.integer("stamp", 0)
+        kind = fields.word("mode", LIST_KINDS)
+        version = fields.integer("stamp", 0)
         sheet = fields.integer("sheet", -1)
         if kind is api.ListKind.ERROR:
             return api.ListUpdate(kind, version)
@@ -353,6 +383,7 @@
 
 
 def main() -> int:
+    """Runs the adapter on standard input and output, and returns its exit status."""
     if isinstance(sys.stdin, io.TextIOWrapper):
         sys.stdin.reconfigure(encoding="utf-8", errors="strict", newline="\n")
     return serve(sys.stdin, sys.stdout, sys.stderr)
--- a/frostport/interface.py
+++ b/frostport/interface.py
@@ -13,14 +13,14 @@
 class ListKind(Enum):
     """What a ListUpdate carries: changes, a complete list, a stored list, or an error."""
 
-    CHANGES = "changes"
-    COMPLETE = "complete"
-    PERSISTED = "persisted"
+    CHANGES = "changes"  # servers that it does not name stay as they are
+    COMPLETE = "complete"  # servers that it does not name are removed
+    PERSISTED = "persisted"  # as COMPLETE
     ERROR = "error"
 
 
 class Lifecycle(Enum):
-    """A server's state in the list: only READY ones get calls, GONE ones are forgotten."""
+    """A server's state in the list: only READY servers get calls, GONE servers are removed."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -45,7 +45,7 @@
 
 
 class Effect(Enum):
-    """What a set-up does at a server, and so whether one that may have run may be repeated."""
+    """What a set-up does at a server, which says whether one that may have run may be repeated."""
 
     PURE = "pure"  # repeated freely
     TOKEN = "token"  # repeated for a while, to servers that discard repeats
@@ -91,7 +91,7 @@
     classes: tuple[CallClass, ...]
     tenants: tuple[Tenant, ...] = ()
     me: int = 0  # this proxy's index, from 0 to siblings - 1
-    siblings: int = 1  # proxies of the fleet, with this one
+    siblings: int = 1  # proxies of the fleet, including this one
     home_number: int = -1  # number of the server that gets no calls from this proxy; -1: none
     step_ms: float = 0.0  # granularity of the caller's clock, added to the release guard
     retransmit_ms: float = 0.0  # when an unanswered set-up message is repeated; 0: not stated
@@ -107,7 +107,7 @@
     peers: bool = False  # SendToPeer is available
     probes: bool = False  # Probe is available
     retry_after: bool = False  # a refusal says when the caller may try again
-    max_retry_after_ms: float = 0.0
+    max_retry_after_ms: float = 0.0  # the longest time that a refusal may state
     connect_timeout_ms: float = 0.0
     late_fail_price: float = 0.0
     subscribe: bool = False  # list changes come only after Subscribe
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """The server list, or changes to it, as discovery reports it to this proxy. An ERROR has no servers."""
+    """The server list, or changes to it, as discovery reports it to this proxy; an ERROR has no servers."""
 
     kind: ListKind
     version: int
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallArrived:
-    """A new call, which this proxy must get set up or give one final answer."""
+    """A new call, for which this proxy must get a set-up or give one final answer."""
 
     call: str
     call_class: str
@@ -159,9 +159,9 @@
     """An attempt was answered: the call is set up."""
 
     call: str
-    attempt: int
+    attempt: int  # index among the attempts of the call, from 0
     server: str
-    elapsed_ms: float
+    elapsed_ms: float  # since the attempt was sent
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,10 +169,10 @@
     """An attempt ended without a set-up."""
 
     call: str
-    attempt: int
+    attempt: int  # index among the attempts of the call, from 0
     server: str
     outcome: Outcome
-    elapsed_ms: float
+    elapsed_ms: float  # since the attempt was sent
     closed: bool  # the call needs no further answer
     note: int = 0  # one of NOTE_*; 0: none
     wait_ms: float = 0.0  # the wait that the server states; 0: none
@@ -205,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SiblingsUp:
-    """How many proxies serve now, with this one; until it is known, `Settings.siblings` counts."""
+    """How many proxies serve now, including this one; `Settings.siblings` counts until this is known."""
 
     count: int
 
@@ -214,7 +214,7 @@
 class PeerMessage:
     """Bytes that another proxy sent with SendToPeer."""
 
-    sender: int
+    sender: int  # index of the other proxy
     data: bytes
 
 
@@ -248,7 +248,7 @@
     """Cancel an attempt."""
 
     call: str
-    attempt: int
+    attempt: int  # index among the attempts of the call, from 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/frostport/settings.py
+++ b/frostport/settings.py
@@ -9,7 +9,7 @@
 
 from frostport import interface as api
 
-ABSENT = "-"
+ABSENT = "-"  # stands for an absent value on the wire
 EnumType = TypeVar("EnumType", bound=Enum)
 
 
@@ -18,11 +18,16 @@
 
     def __init__(self, field: str, problem: str) -> None:
         super().__init__(f"{field}: {problem}")
-        self.field, self.problem = field, problem
+        self.field = field
+        self.problem = problem
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Nested JSON as path=value pairs, in the form of the simulator's `launch` line."""
+    """Nested JSON as path=value pairs, in the form of the simulator's `launch` line.
+
+    A list of scalars becomes one value separated by commas. A list with objects or lists in it becomes a
+    `.count` and a numbered path for each item. Null values are left out.
+    """
     if isinstance(value, dict):
         pairs: dict[str, str] = {}
         for name, item in value.items():
@@ -52,7 +57,8 @@
     def __init__(
         self, pairs: Mapping[str, str], error: Callable[[str, str], Exception] = SettingsError
     ) -> None:
-        self._pairs, self._error = pairs, error
+        self._pairs = pairs
+        self._error = error
 
     def text(self, path: str, default: str = "") -> str:
         return self._pairs.get(path, default)
@@ -67,22 +73,26 @@
         return value
 
     def number(self, path: str, default: float) -> float:
+        """A finite number."""
         return self._number(path, self._pairs[path]) if path in self._pairs else default
 
     def integer(self, path: str, default: int) -> int:
+        """A number without its fraction."""
         return int(self.number(path, default))
 
     def flag(self, path: str) -> bool:
+        """True for `true` or `1`; false for `false` or `0`, and if absent."""
         value = self._pairs.get(path, "false")
         if value not in ("true", "false", "1", "0"):
             raise self._error(path, f"not true or false: {value!r}")
         return value in ("true", "1")
 
     def one_of(self, path: str, kind: type[EnumType], default: EnumType) -> EnumType:
+        """The member of an enumeration that has this value."""
         try:
             return kind(self._pairs[path]) if path in self._pairs else default
         except ValueError:
-            words = ", ".join(str(word.value) for word in kind)
+            words = ", ".join(str(member.value) for member in kind)
             raise self._error(path, f"none of {words}: {self._pairs[path]!r}") from None
 
     def words(self, path: str) -> list[str]:
@@ -91,32 +101,37 @@
         return value.split(",") if value not in ("", ABSENT) else []
 
     def numbers(self, path: str) -> tuple[float, ...]:
+        """Finite numbers separated by commas; none if absent."""
         return tuple(self._number(path, part) for part in self.words(path))
 
     def integers(self, path: str) -> tuple[int, ...]:
+        """The values of `numbers` without their fractions."""
         return tuple(int(value) for value in self.numbers(path))
 
 
 def read(conf: SettingsReader) -> api.Settings:
-    """The decision module's settings; what is absent keeps the defaults of interface.py."""
+    """The decision module's settings; what is absent keeps the defaults of interface.py.
+
+    A class without an aim gets its deadline as aim.
+    """
     defaults = api.Settings(classes=())
     classes = []
-    holding = conf.numbers("family-info.holding-ms")
+    holding_ms = conf.numbers("family-info.holding-ms")
     for index in range(conf.integer("services.count", 0)):
-        at = f"services.{index}."
+        prefix = f"services.{index}."
         pools = f"family-info.pools-by-class.{index}"
-        deadline = conf.number(at + "deadline-ms", 0.0)
+        deadline_ms = conf.number(prefix + "deadline-ms", 0.0)
         classes.append(
             api.CallClass(
-                name=conf.text(at + "name"),
-                aim_ms=conf.number(at + "aim-ms", deadline),
-                deadline_ms=deadline,
-                gain=conf.number(at + "gain", 1.0),
-                late_worth=conf.number(at + "late-worth", 0.0),
-                effect=conf.one_of(at + "effect", api.Effect, api.Effect.PURE),
-                key_scope=conf.text(at + "key-scope", "all"),
-                window_ms=conf.number(at + "window-ms", 0.0),
-                holding_ms=holding[index] if index < len(holding) else 0.0,
+                name=conf.text(prefix + "name"),
+                aim_ms=conf.number(prefix + "aim-ms", deadline_ms),
+                deadline_ms=deadline_ms,
+                gain=conf.number(prefix + "gain", 1.0),
+                late_worth=conf.number(prefix + "late-worth", 0.0),
+                effect=conf.one_of(prefix + "effect", api.Effect, api.Effect.PURE),
+                key_scope=conf.text(prefix + "key-scope", "all"),
+                window_ms=conf.number(prefix + "window-ms", 0.0),
+                holding_ms=holding_ms[index] if index < len(holding_ms) else 0.0,
                 pools=conf.integers(pools) or None if conf.text("family-info.topology") == "pools" else None,
             )
         )
