--- a/frostport/core/calls.py
+++ b/frostport/core/calls.py
@@ -13,7 +13,6 @@
 
 Body = str | bytes  # a description, opaque to the core: each front is paired with a route that knows its form
 
-
 MAX_RELEASE_HOLD_MS = 10_000.0  # longest delay of a release for a client that may repeat its set-up
 
 
--- a/frostport/core/clock.py
+++ b/frostport/core/clock.py
@@ -12,10 +12,12 @@
         self._last = 0.0
 
     def now(self) -> float:
+        """Returns the time in ms, never less than an earlier result."""
         self._last = max(self._last, self.read())
         return self._last
 
     def read(self) -> float:
+        """Returns the reading of the underlying clock in ms, which may go back; callers use `now`."""
         return time.time() * 1000.0
 
 
--- a/frostport/core/contracts.py
+++ b/frostport/core/contracts.py
@@ -44,8 +44,8 @@
     if not isinstance(document, dict):
         raise ContractError("document: not an object")
     contracts: dict[str, Contract] = {}
-    for place, written in find_extensions(document):
-        contract = parse_contract(place, written)
+    for place, content in find_extensions(document):
+        contract = parse_contract(place, content)
         if contract.service in contracts:
             raise ContractError(f"{place}.class: a second contract for {contract.service}")
         contracts[contract.service] = contract
@@ -83,17 +83,17 @@
         yield f"{place}.{EXTENSION}", operation[EXTENSION]
 
 
-def parse_contract(place: str, written: object) -> Contract:
+def parse_contract(place: str, content: object) -> Contract:
     """Checks and converts the content of a contract. Raises ContractError."""
-    if not isinstance(written, dict):
+    if not isinstance(content, dict):
         raise ContractError(f"{place}: not an object")
-    for name in written:
+    for name in content:
         if name not in FIELDS:
             raise ContractError(f"{place}.{name}: unknown field")
-    service = written.get("class")
+    service = content.get("class")
     if not isinstance(service, str) or not service:
         raise ContractError(f"{place}.class: no name")
-    numbers = {name: positive_number(f"{place}.{name}", written.get(name)) for name in FIELDS[1:]}
+    numbers = {name: positive_number(f"{place}.{name}", content.get(name)) for name in FIELDS[1:]}
     if numbers["attempts"] != int(numbers["attempts"]):
         raise ContractError(f"{place}.attempts: not a whole number")
     if numbers["aim_ms"] > numbers["deadline_ms"]:
@@ -108,7 +108,7 @@
 
 
 def positive_number(place: str, value: object) -> float:
-    """Raises ContractError unless the value is a finite number above 0."""
+    """Returns the value as a float. Raises ContractError unless it is a finite number above 0."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 < value < math.inf:
         raise ContractError(f"{place}: not a number above 0")
     return float(value)
@@ -131,7 +131,9 @@
     def __init__(self, contracts: Iterable[Contract] = ()) -> None:
         self.recorder = Recorder()
         self.contracts = {contract.service: contract for contract in contracts}
-        self._buckets: dict[tuple[str, str], tuple[float, float]] = {}  # tokens at a time, ms
+        self._buckets: dict[
+            tuple[str, str], tuple[float, float]
+        ] = {}  # (team, service) -> tokens, counted at (ms)
         self.scale, self._scaled_at = 1.0, -math.inf  # multiple of the contracts' rates, and when it was set
 
     def take_token(self, team: str, service: str, now: float) -> float:
@@ -182,7 +184,9 @@
         self._buckets = buckets
 
     def restore(self, buckets: Mapping[tuple[str, str], tuple[float, float]]) -> None:
-        """Restores the buckets from before a restart: tokens at a time, by team and service."""
+        """Restores the buckets from before a restart: (team, service) -> tokens, counted at (ms).
+
+        Buckets of services that have no contract any more are dropped."""
         self._buckets = dict(buckets)
         self._replace_buckets({key: bucket for key, bucket in buckets.items() if key[1] in self.contracts})
 
--- a/frostport/core/deadlines.py
+++ b/frostport/core/deadlines.py
@@ -31,6 +31,7 @@
         self.on_first_changed = changed
 
     def set(self, at_ms: float, action: Callable[[], None]) -> Deadline:
+        """Schedules an action; only `run` calls it, even if `at_ms` has passed already."""
         deadline = Deadline(at_ms, action)
         self._order += 1
         heapq.heappush(self._heap, (at_ms, self._order, deadline))
--- a/frostport/core/lifecycle.py
+++ b/frostport/core/lifecycle.py
@@ -61,6 +61,7 @@
         self._listeners: list[Callable[[Phase], None]] = []
 
     def add_listener(self, listener: Callable[[Phase], None]) -> None:
+        """The listener is called with each phase entered from now on, after the phase has changed."""
         self._listeners.append(listener)
 
     def enter(self, phase: Phase) -> None:
--- a/frostport/core/rotation.py
+++ b/frostport/core/rotation.py
@@ -41,6 +41,7 @@
         self.dial_addresses.update(dials)
 
     def remove(self, address: str) -> None:
+        """Forgets a server that has left the list; if it is listed again later, it is in rotation."""
         self.last_records.pop(address, None)
         self.dial_addresses.pop(address, None)
         self.disabled.discard(address)
--- a/frostport/core/rules.py
+++ b/frostport/core/rules.py
@@ -71,7 +71,9 @@
         self.servers[address] = ListedServer(number, closed_since_ms)
 
     def violation(self, request: Request, server: str, within_ms: float, now: float) -> str | None:
-        """Returns the rule that this send would break, or None."""
+        """Returns the rule that this send would break, or None.
+
+        `within_ms`: the time limit of the attempt; 0: it may take until the deadline of the request."""
         listed = self.servers.get(server)
         pools = self.pools_by_class.get(request.call_class)
         if request.attempt is not None:
--- a/frostport/core/slots.py
+++ b/frostport/core/slots.py
@@ -22,10 +22,11 @@
         return len(self._items) - len(self._free)
 
     def full(self) -> bool:
+        """Whether `add` would raise OverflowError; never without a limit."""
         return self.limit is not None and len(self) >= self.limit
 
     def add(self, item: T) -> int:
-        """Returns the item's number. Raises OverflowError if the table is full."""
+        """Adds an item and returns its number. Raises OverflowError if the table is full."""
         if self.full():
             raise OverflowError(f"all {self.limit} slots are taken")
         if self._free:
@@ -36,10 +37,11 @@
         return len(self._items) - 1
 
     def get(self, number: int) -> T | None:
+        """Returns the item of this number, None if the number is not in use."""
         return self._items[number] if 0 <= number < len(self._items) else None
 
     def free(self, number: int) -> None:
-        """Raises KeyError if the slot is empty."""
+        """Removes an item; its number may be reused from now on. Raises KeyError if the slot is empty."""
         if self.get(number) is None:
             raise KeyError(number)
         self._items[number] = None
--- a/frostport/net/bus.py
+++ b/frostport/net/bus.py
@@ -151,6 +151,7 @@
         self.bus.on_connected(self)
 
     def on_line(self, line: bytes) -> None:
+        """Applies an event; a bare number only shows that the bus is alive. Raises BadLineError."""
         self.answered = True
         self.bus.on_line_received(self)
         try:
--- a/frostport/net/connection_lag.py
+++ b/frostport/net/connection_lag.py
@@ -75,9 +75,9 @@
         would get ever more of them."""
         self._check_timer = None
         now = self._server.pool.clock.now()
-        behind = [at for at in self._server.connections if at.lagging_since <= now - REPORT_SKEW_MS]
+        behind = [conn for conn in self._server.connections if conn.lagging_since <= now - REPORT_SKEW_MS]
         if self._server.pool.probes:
-            self.start_test([at for at in behind if at.tested_at <= now - SILENCE_LIMIT_MS])
+            self.start_test([conn for conn in behind if conn.tested_at <= now - SILENCE_LIMIT_MS])
             return
         for connection in behind:
             if connection.lagging_since <= now - SILENCE_LIMIT_MS:
@@ -88,7 +88,7 @@
                     now - connection.lagging_since,
                 )
                 connection.abandon()
-        lagging = [at.lagging_since for at in self._server.connections if at.lagging_since < math.inf]
+        lagging = [conn.lagging_since for conn in self._server.connections if conn.lagging_since < math.inf]
         if lagging:
             self._check_timer = self._server.pool.deadlines.set(
                 min(lagging) + SILENCE_LIMIT_MS, self.check_lag
--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -84,6 +84,7 @@
         self._early_give_ups: Counter[str] = Counter()  # give-ups read for those
 
     def on_open(self) -> None:
+        """Registers the connection, and limits the time for its first complete line."""
         self.slot = self.front.connections.add(self)
         self.peer = f"client connection {self.slot}"
         self.host = str(getattr(self.transport.getPeer(), "host", ""))
@@ -99,15 +100,17 @@
         self._timeout = None if ms is None else self.deadlines.set(self.clock.now() + ms, then or self.drop)
 
     def on_close(self) -> None:
+        """The front gives up the open set-ups, and resends unconfirmed releases on other connections."""
         self._set_timeout(None)
         self.front.connection_lost(self)
 
     # Twisted's IPushProducer: backpressure from the output buffer
 
     def pauseProducing(self) -> None:  # noqa: N802 (Twisted's name)
-        """Guards against a client that sends requests and does not read: none is handled until it does.
+        """The output buffer is full: no request is handled until the client has read from it.
 
-        Lines read ahead meanwhile are searched for give-ups."""
+        Guards against a client that sends requests and does not read the answers. Lines that arrive meanwhile
+        are searched for give-ups."""
         self.write_blocked = True
         if self.alive:
             self._set_timeout(WRITE_STALL_TIMEOUT_MS, self._on_write_stall)
@@ -121,6 +124,7 @@
         self.drop()
 
     def resumeProducing(self) -> None:  # noqa: N802
+        """The client has read the buffered output: its requests are handled again."""
         self.write_blocked = False
         if self.alive:
             self._set_timeout(None)
@@ -168,6 +172,7 @@
         return given_up and self.front.is_new_call(tag)
 
     def on_read(self) -> None:
+        """Closes the connection if it is idle in a drain; else limits the time for a partial line."""
         self.close_if_idle()
         if not self.alive:
             return
@@ -178,6 +183,7 @@
             self._set_timeout(PARTIAL_LINE_TIMEOUT_MS, self.close_gracefully)
 
     def on_line(self, line: bytes) -> None:
+        """Handles one message. Raises BadLineError if it is malformed, or its verb or a value not allowed."""
         message = jsonl.decode(line)
         self.last_received_at = self.clock.now()
         if not self.identified:
@@ -208,6 +214,9 @@
                 raise BadLineError(f"verb: unknown: {message.verb}", line)
 
     def on_malformed(self, problem: BadLineError) -> None:
+        """Refuses a malformed set-up if its id can be read; after any other line the connection is closed.
+
+        It is also closed after an overlong line and after MAX_MALFORMED_LINES malformed ones."""
         self.malformed_count += 1
         self.front.record_offence(self)
         named = problem.is_start and problem.tag is not None
@@ -309,6 +318,7 @@
         self.longest_deadline_ms = max((cls.deadline_ms for cls in settings.classes), default=0.0)
 
     def serving(self) -> bool:
+        """Whether clients that ask are told that this process accepts new connections."""
         return self.lifecycle.is_ready()
 
     def drain(self) -> None:
@@ -327,10 +337,12 @@
 
     def busy(self) -> bool:
         """Whether any connection has an open set-up, an established call or an unconfirmed release."""
-        return any(at.carries_calls() for at in self.connections)
+        return any(conn.carries_calls() for conn in self.connections)
 
     def build(self, address: str) -> ClientConnection | None:
-        """A protocol for a new connection if the gate admits it; those evicted for it are closed."""
+        """Returns a protocol for a new connection from `address`, None if the gate refuses it.
+
+        Closes the connections that the gate evicts to make room."""
         verdict = self.gate.admit(address, self.broker.clock.now())
         self.shed(verdict.shed)
         return None if verdict.admission is None else ClientConnection(self, verdict.admission)
@@ -344,6 +356,9 @@
                 self.connection_lost(connection)
 
     def record_offence(self, connection: ClientConnection) -> None:
+        """Reports a malformed line to the gate, which may refuse the address for some time.
+
+        A known client is never refused for this, so its malformed lines are logged."""
         now = self.broker.clock.now()
         if self.gate.is_known(connection.host, now):
             connection.limited_log.warn(
@@ -354,8 +369,9 @@
     # From clients
 
     def is_new_call(self, call: str) -> bool:
-        """Whether no call of this id is open, established, ending or still to be released, here or in the
-        predecessor that hands over to this process."""
+        """Whether no call of this id is open, established, ending or still to be released.
+
+        Calls of the predecessor that hands over to this process count too."""
         broker = self.broker
         return (
             broker.find_request(call) is None
@@ -379,37 +395,37 @@
         ):
             self.answer_ended_call(connection, message)
             return
-        name, key = opts.get("class", ""), opts.get("key", "")
-        left = jsonl.parse_numbers(f"left:{opts.get('left', '')}").get("left", math.nan)
-        if name not in broker.rules.pools_by_class:
-            raise BadLineError(f"opts.class: unknown: {name[:40]!r}")
-        if not 0.0 < left <= self.longest_deadline_ms * 2.0:
+        call_class, key = opts.get("class", ""), opts.get("key", "")
+        left_ms = jsonl.parse_numbers(f"left:{opts.get('left', '')}").get("left", math.nan)
+        if call_class not in broker.rules.pools_by_class:
+            raise BadLineError(f"opts.class: unknown: {call_class[:40]!r}")
+        if not 0.0 < left_ms <= self.longest_deadline_ms * 2.0:
             raise BadLineError("opts.left: not a positive time in ms, or over twice the longest deadline")
         if key and not KEY_PATTERN.match(key):
             raise BadLineError("opts.key: not 16 hex digits")
-        if message.blob is None or len(message.blob.encode()) + len(name) > MAX_DESCRIPTION_BYTES:
+        if message.blob is None or len(message.blob.encode()) + len(call_class) > MAX_DESCRIPTION_BYTES:
             raise BadLineError("blob: no description, or one too long to forward")
-        extras = parse_extras(opts.get("extras", ""), broker.rules.pools_by_class[name])
+        extras = parse_extras(opts.get("extras", ""), broker.rules.pools_by_class[call_class])
         if (
             not self.lifecycle.accepts_requests()
             or len(connection.open_set_ups) >= MAX_OPEN_SET_UPS
             or (self.lifecycle.is_draining() and connection.carries_calls())
         ):
-            broker.metrics.deferred(name)
+            broker.metrics.deferred(call_class)
             connection.send_message(Message("FINISH", tag, rc=jsonl.OVERLOADED))
             return
         team = opts.get("tenant", "-")
         if self.gate.limits.by_team and self.gate.mark_identified(connection.admission, team) is not None:
-            broker.metrics.deferred(name)
+            broker.metrics.deferred(call_class)
             connection.send_message(Message("FINISH", tag, rc=jsonl.OVERLOADED))
             connection.close_gracefully()
             return
         request = Request(
             tag,
-            name,
+            call_class,
             key,
             message.blob,
-            broker.clock.now() + left,
+            broker.clock.now() + left_ms,
             self,
             connection.slot,
             team,
@@ -421,9 +437,9 @@
             request,
             api.CallArrived(
                 tag,
-                name,
+                call_class,
                 team,
-                left,
+                left_ms,
                 extras.get("dest", -1),
                 int(key, 16) if key else 0,
                 redial=opts.get("retry", "0") not in ("", "0"),
@@ -519,6 +535,7 @@
             answered_on.close_if_idle()
 
     def handle_finished(self, connection: ClientConnection, tag: str) -> None:
+        """Handles the confirmation of a release; the connection counts as a regular client's from now on."""
         if self._settle_release(tag):
             connection.trusted = True
 
@@ -553,9 +570,10 @@
         connection.unconfirmed_releases.clear()
         self.send_unsent_releases()
 
-    # From the broker
+    # Called by the broker: see `core.calls.Front`
 
     def is_waiting(self, request: Request) -> bool:
+        """False also if the client's close has arrived and has not been read yet."""
         connection = self.connections.get(request.connection_id)
         return (
             connection is not None
@@ -597,6 +615,9 @@
     def call_ended(
         self, call: str, connection_id: int, outcome: Outcome, recorded_answer: RecordedAnswer | None = None
     ) -> None:
+        """Sends the release, and again until a client confirms it.
+
+        It is delayed if the client may repeat its set-up to get a lost answer; see `_hold_release`."""
         connection, now = self.connections.get(connection_id), self.broker.clock.now()
         answered_on = self._remove_established_call(call, connection_id)
         host = connection.host if connection is not None else ""
@@ -668,14 +689,14 @@
 
         Prefers connections of regular clients, since others would not pass the release on; then one that was
         not tried last, one from the address of the call's client, and the one with the latest data."""
-        usable = [at for at in self.connections if at.can_carry_release()]
+        usable = [conn for conn in self.connections if conn.can_carry_release()]
         return max(
             usable,
-            key=lambda at: (
-                at.trusted,
-                at.slot != release.slot,
-                at.host == release.host,
-                at.last_received_at,
+            key=lambda conn: (
+                conn.trusted,
+                conn.slot != release.slot,
+                conn.host == release.host,
+                conn.last_received_at,
             ),
             default=None,
         )
--- a/frostport/net/gossip.py
+++ b/frostport/net/gossip.py
@@ -68,6 +68,7 @@
     ) -> None:
         self.codec, self.on_message, self.clock, self.routes = codec, on_message, clock, routes
         self.limited_log = RateLimitedLog(log)
+        # `refused`: datagrams received that were not valid.
         self.sent = self.received = self.sent_bytes = self.refused = 0
 
     def send(self, address: str, message: Message) -> None:
--- a/frostport/net/jsonl.py
+++ b/frostport/net/jsonl.py
@@ -183,6 +183,7 @@
         self.on_open()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Queues the lines that the data completes, and handles as many as one iteration may."""
         if self.alive and not self.closing:
             self.read_count += 1
             lines = self.on_lines_read(self.splitter.feed(data))
@@ -244,6 +245,7 @@
             log.exception("%s: exception while handling a line", self.peer)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
+        """Handles the lines that were read before the close, then calls `released` and `on_close`."""
         if self._next_iteration is not None:
             self._next_iteration.cancel()
         self.peer_closed = True
--- a/frostport/net/link.py
+++ b/frostport/net/link.py
@@ -73,18 +73,18 @@
     def feed(self, data: bytes) -> list[bytes]:
         """Returns the bodies of the frames completed by `data`. Raises only BadFrameError."""
         self.buffer += data
-        found, at = [], 0
-        while len(self.buffer) - at >= LENGTH_PREFIX.size:
-            size = LENGTH_PREFIX.unpack_from(self.buffer, at)[0]
+        bodies, start = [], 0
+        while len(self.buffer) - start >= LENGTH_PREFIX.size:
+            size = LENGTH_PREFIX.unpack_from(self.buffer, start)[0]
             if not 0 < size <= self.max_bytes:
                 raise BadFrameError(f"frame of {size} bytes, limit {self.max_bytes}")
-            if len(self.buffer) - at - LENGTH_PREFIX.size < size:
+            if len(self.buffer) - start - LENGTH_PREFIX.size < size:
                 break
-            found.append(self.buffer[at + LENGTH_PREFIX.size : at + LENGTH_PREFIX.size + size])
-            at += LENGTH_PREFIX.size + size
+            bodies.append(self.buffer[start + LENGTH_PREFIX.size : start + LENGTH_PREFIX.size + size])
+            start += LENGTH_PREFIX.size + size
             self.max_bytes = MAX_FRAME_BYTES
-        self.buffer = self.buffer[at:]
-        return found
+        self.buffer = self.buffer[start:]
+        return bodies
 
 
 def decode(decoder: msgspec.msgpack.Decoder[Any], data: bytes) -> Any:
@@ -180,11 +180,13 @@
         return True
 
     def pauseProducing(self) -> None:  # noqa: N802
+        """The output buffer is full: queues frames, and drops the connection if this lasts too long."""
         self.write_blocked = True
         if self.open:
             self._set_timeout(WRITE_STALL_TIMEOUT_MS)
 
     def resumeProducing(self) -> None:  # noqa: N802
+        """The peer has read the buffered output: writes the queued frames, once its hello has arrived."""
         self.write_blocked = False
         if self.open and self.name:
             self._set_timeout(None)
@@ -243,7 +245,7 @@
         self.unidentified: set[Connection] = set()
         self.limited_log = RateLimitedLog(log)
         self.stopping = False
-        self.sent_bytes = self.refused = 0
+        self.sent_bytes = self.refused = 0  # `refused`: frames that `send` did not accept
         self.deadlines.set(self.clock.now() + HEARTBEAT_MS, self._send_heartbeats)
 
     def buildProtocol(self, addr: IAddress | None) -> Connection:  # noqa: N802
@@ -267,17 +269,17 @@
         data = encode_frame(Frame(kind, body))
         connection = self.connections.get(name)
         if connection is not None:
-            taken = connection.send(data)
+            accepted = connection.send(data)
         else:
             dial = self.dials.setdefault(name, PendingDial())
-            taken = dial.queued_bytes + len(data) <= MAX_QUEUE_BYTES
-            if taken:
+            accepted = dial.queued_bytes + len(data) <= MAX_QUEUE_BYTES
+            if accepted:
                 dial.queue.append(data)
                 dial.queued_bytes += len(data)
             self._dial(name)
-        self.sent_bytes += len(data) if taken else 0
-        self.refused += not taken
-        return taken
+        self.sent_bytes += len(data) if accepted else 0
+        self.refused += not accepted
+        return accepted
 
     def _dial(self, name: str) -> None:
         dial = self.dials.setdefault(name, PendingDial())
@@ -311,12 +313,12 @@
                 min(2.0 * dial.max_delay_ms, MAX_REDIAL_MS),
             )
 
-            def again() -> None:
+            def redial() -> None:
                 dial.retry_timer = None
                 if dial.queue:
                     self._dial(name)
 
-            dial.retry_timer = self.deadlines.set(self.clock.now() + wait, again)
+            dial.retry_timer = self.deadlines.set(self.clock.now() + wait, redial)
 
     def on_identified(self, connection: Connection) -> None:
         """Takes a connection into use after its hello, and sends what waits for the peer.
--- a/frostport/net/peers.py
+++ b/frostport/net/peers.py
@@ -1,4 +1,4 @@
-"""Unreliable datagrams between the call agents of the platform's configuration."""
+"""Unreliable datagrams between the call agents that the platform's configuration lists as peers."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
     Otherwise the successor would fail with `address already in use` until its predecessor ends."""
 
     def createInternetSocket(self) -> socket.socket:  # noqa: N802 (Twisted's name)
-        made: socket.socket = super().createInternetSocket()
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        return made
+        sock: socket.socket = super().createInternetSocket()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        return sock
 
 
 def listen(reactor: Any, address: str, peers: Peers) -> None:
@@ -40,8 +40,8 @@
     if not isinstance(reactor, PosixReactorBase):
         reactor.listenUDP(port, peers, interface=host)
         return
-    made: Any = SharedPort(port, peers, interface=host, reactor=reactor)  # type: ignore[no-untyped-call]
-    made.startListening()
+    shared_port: Any = SharedPort(port, peers, interface=host, reactor=reactor)  # type: ignore[no-untyped-call]
+    shared_port.startListening()
 
 
 class Peers(protocol.DatagramProtocol):
--- a/frostport/net/upstream.py
+++ b/frostport/net/upstream.py
@@ -126,12 +126,12 @@
         if wait_ms <= 0.0:
             self.connect()
         elif self.listed and self.dialing is None and self.open_connections() < MAX_CONNECTIONS:
-            at = self.pool.clock.now() + wait_ms
+            due_at = self.pool.clock.now() + wait_ms
             if self.redial_timer is not None:
-                if self.redial_timer.action is not None and self.redial_timer.at_ms <= at:
+                if self.redial_timer.action is not None and self.redial_timer.at_ms <= due_at:
                     return
                 self.redial_timer.cancel()
-            self.redial_timer = self.pool.deadlines.set(at, self.connect)
+            self.redial_timer = self.pool.deadlines.set(due_at, self.connect)
 
     def request_connection(self) -> float:
         """Dials for a call, a release or a probe; returns how long the dial waits, in ms."""
@@ -229,7 +229,7 @@
         give up its set-ups at the server; on one that is kept, each is given up by a message."""
         kept = self.retired
         last_received_at = max(
-            at.last_received_at for at in [connection, *self.connections, *([kept] if kept else [])]
+            conn.last_received_at for conn in [connection, *self.connections, *([kept] if kept else [])]
         )
         if (
             connection not in self.connections
@@ -343,9 +343,9 @@
             return
         open_now = self.connections if self.retired is None else [*self.connections, self.retired]
         if since_ms is None:
-            tested = sorted(open_now, key=lambda at: at.last_received_at)[-1:]
+            tested = sorted(open_now, key=lambda conn: conn.last_received_at)[-1:]
         else:
-            tested = [at for at in open_now if at.opened_at <= since_ms]
+            tested = [conn for conn in open_now if conn.opened_at <= since_ms]
         for connection in tested:
             connection.send_message(Message("ECHO", "0" * 16, rc=0))
         if not tested:
@@ -353,9 +353,9 @@
 
     def _close_idle_connection(self) -> None:
         """Closes the idle connection with the oldest data, if the server has all its connections."""
-        idle = [at for at in self.connections if not at.open_attempts]
+        idle = [conn for conn in self.connections if not conn.open_attempts]
         if self.dialing is None and self.open_connections() >= MAX_CONNECTIONS and len(idle) > 1:
-            oldest = min(idle, key=lambda at: at.last_received_at)
+            oldest = min(idle, key=lambda conn: conn.last_received_at)
             oldest.abandon()
 
     def on_calls_lost(self, since_ms: float, established_by_ms: float) -> None:
@@ -365,13 +365,13 @@
         opened after its silence began, now or later."""
         silent_ms = self.pool.clock.now() - since_ms
         log.warning("%s: liveness: suspected -> lost, silent for %.0f ms", self.host, silent_ms)
-        over = self.broker.end_established_calls(
+        lost_calls = self.broker.end_established_calls(
             self.host, established_by_ms, f"silent for {silent_ms:.0f} ms"
         )
-        old = [at for at in self.connections if at.opened_at <= since_ms]
+        old = [conn for conn in self.connections if conn.opened_at <= since_ms]
         for connection in old if self.retired is None else [*old, self.retired]:
             connection.abandon()
-        for tag in over:
+        for tag in lost_calls:
             self._queue_release(tag, jsonl.NORMAL)
         if self.connections:
             self.send_pending_releases(self.connections[-1])
@@ -394,7 +394,7 @@
     def reset(self, before_ms: float, why: str) -> None:
         """Ends the connections, set-ups and calls of the process that ran until `before_ms`."""
         self.broker.end_established_calls(self.host, before_ms, why)
-        for connection in [at for at in self.connections if at.opened_at <= before_ms]:
+        for connection in [conn for conn in self.connections if conn.opened_at <= before_ms]:
             connection.abandon()
         if self.retired is not None and self.retired.opened_at <= before_ms:
             self._drop_retired()
@@ -413,7 +413,7 @@
         # Avoids the last attempt's connection: a second copy of its answer may arrive there.
         chosen = min(
             self.connections,
-            key=lambda at: (len(at.open_attempts) + (at.slot == last_connection_id), at.opened_at),
+            key=lambda conn: (len(conn.open_attempts) + (conn.slot == last_connection_id), conn.opened_at),
         )
         if (
             chosen.open_attempts
@@ -528,12 +528,12 @@
             outcome = OUTCOME_BY_CAUSE.get(message.rc or 0, Outcome.ERROR)
             self.broker.attempt_ended(attempt, outcome, note, report=self.report_values(message))
         elif request is None:
-            over = Outcome.OK if message.rc == jsonl.NORMAL else Outcome.RESET
-            self.broker.unknown_call_ended(message.tag, self.pool.front, over)
+            call_outcome = Outcome.OK if message.rc == jsonl.NORMAL else Outcome.RESET
+            self.broker.unknown_call_ended(message.tag, self.pool.front, call_outcome)
         elif request.attempt is not None and request.attempt.server == self.host:
             if request.state is State.ESTABLISHED and message.rc in END_CAUSES:
-                over = Outcome.OK if message.rc == jsonl.NORMAL else Outcome.RESET
-                self.broker.attempt_ended(request.attempt, over, report=self.report_values(message))
+                call_outcome = Outcome.OK if message.rc == jsonl.NORMAL else Outcome.RESET
+                self.broker.attempt_ended(request.attempt, call_outcome, report=self.report_values(message))
             elif (
                 request.attempt.pending
                 and request.attempt.route_ref not in (None, connection.slot)
--- a/frostport/net/upstream_connection.py
+++ b/frostport/net/upstream_connection.py
@@ -36,7 +36,7 @@
         # When the last data and the last unsolicited report arrived, ms.
         self.last_received_at = self.reported_at = math.inf
         self.lagging_since = math.inf  # a report came on another connection then, and no data here since
-        self.tested_at = -math.inf
+        self.tested_at = -math.inf  # when `LagDetector` last sent a test on it, ms
         self.greeted = False  # the first report has arrived
         self.retired = False  # silent: no set-ups are sent on it, it is kept to detect signs of life
         # Call -> cause and when the release was sent, ms; oldest first.
@@ -47,9 +47,10 @@
         self.server.connection_opened(self)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 (Twisted's name)
+        """Reports to the failure detector: an orderly close is a sign of life, a reset is not."""
         if self.alive and isinstance(reason.value, ConnectionDone):
             self.last_received_at = self.clock.now()
-            self.server.sign_of_life(self)  # an orderly close is one
+            self.server.sign_of_life(self)
         elif self.alive:
             self.server.liveness.connection_reset(self.clock.now())
         super().connectionLost(reason)
@@ -63,11 +64,13 @@
         self.server.handle_message(self, jsonl.decode(line))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
+        """Any data is a sign of life, even if it completes no valid line."""
         self.last_received_at, self.lagging_since = self.clock.now(), math.inf
         self.server.sign_of_life(self)
         super().dataReceived(data)
 
     def on_read(self) -> None:
+        """Sets the time-out of a partial line, or cancels it once the line is complete."""
         if self._partial_line_timer is not None and not self.splitter.partial:
             self._partial_line_timer.cancel()
             self._partial_line_timer = None
--- a/frostport/net/upstream_pool.py
+++ b/frostport/net/upstream_pool.py
@@ -68,6 +68,7 @@
                 self.broker.recorder.clear_pending_release(host, tag)
 
     def send(self, attempt: Attempt) -> None:
+        """Sends an attempt; fails it at once if its server is not listed."""
         server = self.servers.get(attempt.server)
         if server is None:
             self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
@@ -83,12 +84,14 @@
             self.servers[attempt.server].release(attempt.request.id, jsonl.NORMAL)
 
     def release_unknown(self, call: str) -> None:
+        """Sends the release to all servers, as any of them may have the call."""
         for server in self.servers.values():
             server.release(call, jsonl.NORMAL)
 
     def probe(self, server: str, number: int) -> None:
-        member = self.servers.get(server)
-        if member is None:
+        """Sends a probe; fails it at once if the server is not listed."""
+        listed = self.servers.get(server)
+        if listed is None:
             self.broker.probe_ended(number, Outcome.CONNECT_FAILED)
         else:
-            member.probe(number)
+            listed.probe(number)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -50,7 +50,9 @@
 
 
 class Wire:
-    """One end of an in-memory connection; written data is delivered by `World.settle`."""
+    """One end of an in-memory connection: the transport of a Twisted protocol or of an `Actor`.
+
+    Written data is delivered by `World.settle`."""
 
     def __init__(self, world: World, protocol: Any) -> None:
         self.world, self.protocol, self.open = world, protocol, True
@@ -65,6 +67,7 @@
             self.world.later.append(lambda: other.deliver(data))
 
     def deliver(self, data: bytes) -> None:
+        """Passes data to the protocol of this end, or keeps it while reading is paused."""
         if self.paused:
             self.unread.append(data)
             return
@@ -187,6 +190,7 @@
             self.inbox.append({"": "closed"})
 
     def read(self, line: bytes) -> MessageFields:
+        """Returns the fields of a received message, with its verb under the empty name."""
         if line.startswith(b"from"):
             return {"": line.decode()}
         message = jsonl.decode(line)
@@ -195,6 +199,7 @@
         return {**received, **({} if message.blob is None else {"blob": message.blob})}
 
     def encode(self, text: str) -> bytes:
+        """Encodes MESSAGE of a `send` step: `VERB TAG FIELD=VALUE ...`, a line of the bus, or `raw BYTES`."""
         if text.startswith("raw "):
             return text[4:].encode().decode("unicode_escape").encode("latin-1")
         verb, _, rest = text.partition(" ")
@@ -206,6 +211,7 @@
         return jsonl.Message(verb, tag.zfill(16), opts, None if rc is None else int(rc), blob).encode()
 
     def send(self, text: str) -> None:
+        """Performs a `send` step: writes a message, or changes the state of the party."""
         if text in ("alive", "mute", "unmute", "late"):
             self.state = text
             return
@@ -231,6 +237,7 @@
         self.inbox.append({"": datagram.hex(), "to": f"{address[0]}:{address[1]}"})
 
     def matches(self, received: MessageFields, text: str) -> bool:
+        """Whether a message has the verb, the tag and the fields that `text` names."""
         verb, _, rest = text.partition(" ")
         tag = ""
         if rest and "=" not in rest.split(" ")[0]:
@@ -247,6 +254,7 @@
         return received[""] == "FINISHED"
 
     def expect(self, text: str) -> None:
+        """Performs an `expect` step: removes the message from the inbox, or raises AssertionError."""
         while self.inbox and self.may_be_skipped(self.inbox[0]) and not self.matches(self.inbox[0], text):
             self.inbox.pop(0)
         if text == "nothing":
@@ -257,6 +265,7 @@
         self.inbox.pop(0)
 
     def close(self, how: str) -> None:
+        """Performs a `close` step; `how` becomes the state of the party, which answers later dials."""
         self.state = how or self.state
         if how.startswith("but="):
             # The process is dead, but one of its connections stays open.
@@ -288,14 +297,15 @@
 
     def __init__(self, record: dict[str, Any]) -> None:
         self.dials = 0
-        self.held_dials: dict[str, list[Callable[[], Any]]] = {}
+        self.held_dials: dict[str, list[Callable[[], Any]]] = {}  # those to parties that are `late`
         self.record, self.clock = record, ManualClock(START_MS)
-        self.later: list[Callable[[], Any]] = []
+        self.later: list[Callable[[], Any]] = []  # deliveries and dials due in the next `settle`
         self.actors = {name: self.actor(self, name) for name in ("c1", "c2", "s0", "s1", "bus", "bus2", "p1")}
         self.reactor = self.reactor_kind(self)
         self.begin()
 
     def begin(self) -> None:
+        """Starts the agent; subclasses prepare their parties first."""
         self.agent = self.make_agent()
         self.agent.start()
         self.settle()
@@ -310,16 +320,19 @@
             self.agent.deadlines.run(self.clock.now())
 
     def join(self, actor: Actor, protocol: Any) -> None:
+        """Connects a party with a protocol of the agent."""
         ours, theirs = Wire(self, protocol), Wire(self, actor)
         ours.other, theirs.other = theirs, ours
         actor.connect(theirs)
         protocol.makeConnection(ours)
 
     def accept(self, actor: Actor) -> None:
+        """A party connects to the agent's listening port."""
         assert self.reactor.factory is not None, "nobody listens"
         self.join(actor, self.reactor.factory.buildProtocol(None))
 
     def dialed(self, address: str, factory: Any) -> None:
+        """The agent has dialed: the party at the address accepts, refuses or ignores it, by its state."""
         actor = self.actors[self.addresses[address]]
         self.dials += 1
         if actor.state == "late":
@@ -330,6 +343,7 @@
             self.join(actor, factory.buildProtocol(None))
 
     def wait(self, ms: float) -> None:
+        """Advances the clock by `ms`, and runs each deadline of the agent at its own time."""
         end = self.clock.at + ms
         while (at := self.agent.deadlines.next_ms()) is not None and at <= end:
             self.clock.at = max(self.clock.at, at)
@@ -370,6 +384,7 @@
             self.agent.reload()
 
     def step(self, line: str) -> None:
+        """Performs one step of a script. Raises AssertionError if an expectation is not met."""
         verb, who, rest = (*line.split(" ", 2), "")[:3]
         match verb, who:
             case "wait", _:
@@ -430,10 +445,11 @@
 def host(
     number: int, health: str = "ready", born: float = 0.0, dial: int | None = None, name: str = ""
 ) -> dict[str, Any]:
-    at = f"10.0.0.{(number if dial is None else dial) + 1}:1"
+    """A server's entry in an event of the bus; `dial` is the number in its dial address, if another one."""
+    dial_address = f"10.0.0.{(number if dial is None else dial) + 1}:1"
     return {
         "host": name or f"h{number}",
-        "dial": at,
+        "dial": dial_address,
         "site": "east",
         "class": "std",
         "block": number,
@@ -444,6 +460,7 @@
 
 
 def event(offset: int, *hosts: dict[str, Any], whole: bool = False) -> str:
+    """An event of the bus as a line of JSON; `whole` if it carries the complete list."""
     return orjson.dumps(
         {"offset": offset, "topology": {"seq": offset, "whole": whole, "hosts": list(hosts)}}
     ).decode()
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -51,6 +51,10 @@
 
 
 async def flooded(folder: pathlib.Path) -> tuple[Observations, list[int], dict[str, object], int]:
+    """Runs an agent with known callers during a flood.
+
+    Returns what the callers observed, how often each of them connected, the admission figures that the agent
+    logs at its end, and how many descriptors it had open after the flood."""
     observed = Observations()
     lobbies = [
         LobbyServer(f"h{number}", observed, random.Random(number), refusal_probability=0.0)
--- a/tests/test_quiet_list.py
+++ b/tests/test_quiet_list.py
@@ -21,6 +21,8 @@
 
 
 class HangingBus(DeadBus):
+    """A world whose event bus leaves every dial unanswered."""
+
     state = "silent"
 
 
--- a/tests/test_real_ends.py
+++ b/tests/test_real_ends.py
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self.set_ups: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
         self.received: list[tuple[str, str]] = []
-        self.bus = free_ports(1)[0]  # without a listener until a case opens one
+        self.bus = free_ports(1)[0]  # the bus's port; nothing listens there until a case opens it
 
     async def start(self) -> int:
         self.listener = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -98,16 +98,16 @@
 
 async def run_case(folder: pathlib.Path, case: Case, deadline_ms: float) -> None:
     server = BacklogFull() if case is closed_behind_a_dial else Server()
-    port, at = free_ports(1)[0], folder / "config.json"
+    port, path = free_ports(1)[0], folder / "config.json"
     record = configuration(port, [await server.start()])
     record["settings"]["services"] = [{"name": "race", "aim-ms": 400.0, "deadline-ms": deadline_ms}]
     record["settings"]["caps"]["connect-timeout-ms"] = 1000.0 * TIMEOUT_S  # no dial times out in these cases
     record["settings"]["family-info"].update({"release-guard-ms": GUARD_MS, "pools-by-class": [[0, 1]]})
     record.update(bus=f"127.0.0.1:{server.bus}", limits={"sockets": SOCKETS})
-    at.write_text(json.dumps(record), encoding="utf-8")
+    path.write_text(json.dumps(record), encoding="utf-8")
     with (folder / "log").open("wb") as log:
         program = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "frostport", "serve", "--config", str(at), stderr=log
+            sys.executable, "-m", "frostport", "serve", "--config", str(path), stderr=log
         )
         try:
             await wait_until_listening(port)
@@ -122,23 +122,25 @@
 
 
 async def closed_in_the_guard(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
+    """A client closes before its attempt is reset: no second attempt starts after the release guard."""
     gone, staying = "00000000000000aa", "00000000000000bb"
-    _, one = await asyncio.open_connection("127.0.0.1", port)
-    start(one, gone)
-    _, at = await server.next()
-    one.close()  # before the reset arrives: its retry would wait for the release guard without a client
-    send(at, "FINISH", gone, rc=41)
-    reader, other = await asyncio.open_connection("127.0.0.1", port)
-    start(other, staying)
+    _, first_client = await asyncio.open_connection("127.0.0.1", port)
+    start(first_client, gone)
+    _, upstream = await server.next()
+    # Closed before the reset arrives: its retry would wait for the release guard without a client.
+    first_client.close()
+    send(upstream, "FINISH", gone, rc=41)
+    reader, second_client = await asyncio.open_connection("127.0.0.1", port)
+    start(second_client, staying)
     for _ in range(2):  # the second arrives a full release guard after the other's would have
-        tag, at = await server.next()
+        tag, upstream = await server.next()
         assert tag == staying
-        send(at, "FINISH", staying, rc=41)
-    tag, at = await server.next()
-    send(at, "STARTED", tag, blob="y")
+        send(upstream, "FINISH", staying, rc=41)
+    tag, upstream = await server.next()
+    send(upstream, "STARTED", tag, blob="y")
     assert await receive(reader) == ("STARTED", staying)
     assert [tag for verb, tag in server.received if verb == "START"].count(gone) == 1
-    send(other, "FINISH", staying, rc=16)
+    send(second_client, "FINISH", staying, rc=16)
     assert await receive(reader) == ("FINISHED", staying)
 
 
@@ -164,25 +166,27 @@
 
 
 async def closed_behind_a_dial(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
+    """A client closes while its set-up waits for a dial: the set-up is not sent once the dial succeeds."""
     gone, staying = "00000000000000aa", "00000000000000bb"
-    reader, one = await asyncio.open_connection("127.0.0.1", port)
-    start(one, gone)
-    send(one, "ECHO", "0" * 16, rc=0)
+    reader, first_client = await asyncio.open_connection("127.0.0.1", port)
+    start(first_client, gone)
+    send(first_client, "ECHO", "0" * 16, rc=0)
     assert (await receive(reader))[0] == "ECHOED"  # by now its set-up waits for the dial
-    one.close()
-    reader, other = await asyncio.open_connection("127.0.0.1", port)
-    start(other, staying)
+    first_client.close()
+    reader, second_client = await asyncio.open_connection("127.0.0.1", port)
+    start(second_client, staying)
     assert isinstance(server, BacklogFull)
     await server.accept_connections()
-    tag, at = await server.next()
-    send(at, "STARTED", tag, blob="y")
+    tag, upstream = await server.next()
+    send(upstream, "STARTED", tag, blob="y")
     assert (tag, await receive(reader)) == (staying, ("STARTED", staying))
     assert gone not in [tag for _, tag in server.received]
-    send(other, "FINISH", staying, rc=16)
+    send(second_client, "FINISH", staying, rc=16)
     assert await receive(reader) == ("FINISHED", staying)
 
 
 async def terminated_twice(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
+    """A second SIGTERM changes nothing: the open set-up is failed, and the process exits with 0."""
     tag = "00000000000000dd"
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     start(writer, tag, 2000.0)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -74,21 +74,21 @@
 
 
 def test_settings_are_read_and_unknown_ones_skipped() -> None:
-    made = adapter.read_settings(adapter.Fields(LAUNCH.replace("launch 3 99 ", "conf "), 1))
-    assert made.classes == (api.CallClass("a", 1000.0, 4000.0, 2.0, 0.0, (0, 1)),)
-    assert made.tenants == (api.Tenant("t", 3.5, 0.0),)
-    assert made.peers and made.probes and not made.gives_wait and made.report_columns[2] == "mean_ms"
+    parsed = adapter.read_settings(adapter.Fields(LAUNCH.replace("launch 3 99 ", "conf "), 1))
+    assert parsed.classes == (api.CallClass("a", 1000.0, 4000.0, 2.0, 0.0, (0, 1)),)
+    assert parsed.tenants == (api.Tenant("t", 3.5, 0.0),)
+    assert parsed.peers and parsed.probes and not parsed.gives_wait and parsed.report_columns[2] == "mean_ms"
     assert adapter.read_settings(adapter.Fields("conf", 1)) == api.Settings(classes=())
 
 
 def test_notes_are_split_into_reason_and_wait() -> None:
-    made = adapter.read_ended(adapter.Fields("f c 0 h:1 RESOURCE_EXHAUSTED 9.5 0 8003 3,4", 1))
-    assert (made.note, made.wait_ms, made.report) == (3, 500.0, (3.0, 4.0))
+    parsed = adapter.read_ended(adapter.Fields("f c 0 h:1 RESOURCE_EXHAUSTED 9.5 0 8003 3,4", 1))
+    assert (parsed.note, parsed.wait_ms, parsed.report) == (3, 500.0, (3.0, 4.0))
 
 
 def test_marks_of_a_call_are_read_separately() -> None:
-    made = adapter.read_arrival(adapter.Fields("i c1 a - 5 1000.0 - 0 1 -1 26", 1))
-    assert made.redial and made.in_transit and made.cut_before and made.number_called == 5
+    parsed = adapter.read_arrival(adapter.Fields("i c1 a - 5 1000.0 - 0 1 -1 26", 1))
+    assert parsed.redial and parsed.in_transit and parsed.cut_before and parsed.number_called == 5
 
 
 @pytest.mark.parametrize(
@@ -146,9 +146,11 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.binary(max_size=300), st.integers(-5, 2**40))
 def test_any_peer_message_is_accepted(data: bytes, sender: int) -> None:
-    made = Controller(api.Settings(classes=(), peers=True), 1)
-    made.handle(api.ListUpdate(api.ListKind.COMPLETE, 1, (api.Server("h:1", 1, api.Lifecycle.READY),)), 5.0)
-    assert made.handle(api.PeerMessage(sender, data), 6.0) == []
+    controller = Controller(api.Settings(classes=(), peers=True), 1)
+    controller.handle(
+        api.ListUpdate(api.ListKind.COMPLETE, 1, (api.Server("h:1", 1, api.Lifecycle.READY),)), 5.0
+    )
+    assert controller.handle(api.PeerMessage(sender, data), 6.0) == []
 
 
 def conversation() -> str:
