--- a/frostport/core/broker.py
+++ b/frostport/core/broker.py
@@ -30,7 +30,8 @@
 ENDED_ID_RETENTION_MS = 60_000.0
 MAX_ENDED_IDS = 20_000
 # Token bucket for releases of unknown ids: each one is passed on to every server.
-UNKNOWN_RELEASE_BURST, UNKNOWN_RELEASES_PER_SECOND = 200.0, 50.0
+UNKNOWN_RELEASE_BURST = 200.0
+UNKNOWN_RELEASES_PER_SECOND = 50.0
 UNRECORDABLE_RETRY_AFTER_MS = 1000.0  # for calls refused because the store can't record them
 OVERDUE_GRACE_MS = 10.0  # the broker fails a request that is still open this long after its deadline
 
@@ -79,8 +80,12 @@
         probe_timeout_ms: float,
         budgets: Budgets | None = None,
     ) -> None:
-        self.decision_module, self.rules, self.clock, self.deadlines = module, rules, clock, deadlines
-        self.probe_timeout_ms, self.budgets = probe_timeout_ms, budgets or Budgets()
+        self.decision_module = module
+        self.rules = rules
+        self.clock = clock
+        self.deadlines = deadlines
+        self.probe_timeout_ms = probe_timeout_ms
+        self.budgets = budgets or Budgets()
         self.recorder = Recorder()
         self.metrics = Metrics()
         self.rotation = Rotation()
@@ -92,7 +97,8 @@
         self.ending: dict[str, Request] = {}  # ended by their servers, the end not recorded yet
         self.open_count = 0
         self.on_idle: Callable[[], None] = lambda: None  # called when the last open request has ended
-        self._release_tokens, self._release_tokens_at = UNKNOWN_RELEASE_BURST, 0.0
+        self._release_tokens = UNKNOWN_RELEASE_BURST
+        self._release_tokens_at = 0.0
         self._probes: dict[int, tuple[str, float]] = {}
         self._probe_number = 0
         self._events: deque[tuple[api.Event, Request | None]] = deque()
@@ -194,10 +200,8 @@
         """A client releases an id that is not known here; a recently ended one has been released already."""
         now = self.clock.now()
         refill = (now - self._release_tokens_at) / 1000.0 * UNKNOWN_RELEASES_PER_SECOND
-        self._release_tokens, self._release_tokens_at = (
-            min(UNKNOWN_RELEASE_BURST, self._release_tokens + refill),
-            now,
-        )
+        self._release_tokens = min(UNKNOWN_RELEASE_BURST, self._release_tokens + refill)
+        self._release_tokens_at = now
         if call not in self.ended_ids and self._release_tokens >= 1.0:
             # The bucket protects the servers from clients that make up ids: each release goes to all servers.
             self._release_tokens -= 1.0
@@ -208,13 +212,15 @@
 
     def call_established(self, attempt: Attempt, description: Body) -> None:
         """The server has accepted the set-up: records the call, then answers its client."""
-        request, now = attempt.request, self.clock.now()
+        request = attempt.request
+        now = self.clock.now()
         if not attempt.pending or request.state is not State.OPEN:
             return
         self._stop_waiting(attempt)
         self._count_answered(request)
         self.metrics.answered(request.call_class)
-        request.state, request.established_at_ms = State.ESTABLISHED, now
+        request.state = State.ESTABLISHED
+        request.established_at_ms = now
         request.answer = "stands"
         self.recorder.record_established(
             request, attempt, description, lambda: request.front.call_established(request, description)
@@ -457,7 +463,8 @@
             self.gone(request)
             return
         reason = self.rules.violation(request, server, within, now)
-        number, request.attempts = request.attempts, request.attempts + 1
+        number = request.attempts
+        request.attempts += 1
         if reason is not None:
             self.rules.record_violation(request, server, reason)
             self._dispatch(
@@ -519,7 +526,8 @@
         report: tuple[float, ...] = (),
     ) -> None:
         self._stop_waiting(attempt)
-        request, now = attempt.request, self.clock.now()
+        request = attempt.request
+        now = self.clock.now()
         request.attempt = None
         if outcome not in api.NEVER_RAN and not request.ran_on:
             request.ran_on = attempt.server
--- a/frostport/core/contracts.py
+++ b/frostport/core/contracts.py
@@ -21,7 +21,8 @@
 MAX_BUCKETS = 1000  # above this number, full buckets are removed
 BURST_SECONDS = 1.0  # a team may spend the budget of this many seconds at once
 # The share of agents that are out of service goes to the others, up to MAX_SCALE times their own.
-SCALE_STEP_PER_SECOND, MAX_SCALE = 0.1, 2.0
+SCALE_STEP_PER_SECOND = 0.1
+MAX_SCALE = 2.0
 
 
 class ContractError(ValueError):
@@ -134,7 +135,8 @@
         self._buckets: dict[
             tuple[str, str], tuple[float, float]
         ] = {}  # (team, service) -> tokens, counted at (ms)
-        self.scale, self._scaled_at = 1.0, -math.inf  # multiple of the contracts' rates, and when it was set
+        self.scale = 1.0  # multiple of the contracts' rates
+        self._scaled_at = -math.inf  # when the scale was last set, ms
 
     def take_token(self, team: str, service: str, now: float) -> float:
         """Spends a token for a set-up and returns 0; without a token, returns how long until there is one."""
--- a/frostport/core/liveness_sweep.py
+++ b/frostport/core/liveness_sweep.py
@@ -33,8 +33,10 @@
         check_server: Callable[[Server, float], None],
     ) -> None:
         """`check_server` is called with a server and the time, in ms."""
-        self._clock, self._deadlines = clock, deadlines
-        self._servers, self._check_server = servers, check_server
+        self._clock = clock
+        self._deadlines = deadlines
+        self._servers = servers
+        self._check_server = check_server
         self._last_sweep_ms = 0.0
 
     def start(self) -> None:
--- a/frostport/core/rules.py
+++ b/frostport/core/rules.py
@@ -34,7 +34,8 @@
     `drain_grace_ms`: how long a send may still go to a server after the list has marked it as draining."""
 
     def __init__(self, settings: api.Settings, drain_grace_ms: float) -> None:
-        self.settings, self.drain_grace_ms = settings, drain_grace_ms
+        self.settings = settings
+        self.drain_grace_ms = drain_grace_ms
         self.pools_by_class = {call_class.name: call_class.pools for call_class in settings.classes}
         self.single_run_classes = {
             call_class.name for call_class in settings.classes if call_class.effect is api.Effect.SIDE_EFFECT
--- a/frostport/core/shutdown.py
+++ b/frostport/core/shutdown.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 
 # The longest deadline counts up to these limits.
-MAX_RESTART_DEADLINE_MS, MAX_UPGRADE_DEADLINE_MS = 3000.0, 5000.0
+MAX_RESTART_DEADLINE_MS = 3000.0
+MAX_UPGRADE_DEADLINE_MS = 5000.0
 KILL_MARGIN_MS = 700.0  # from the end of the longest deadline to SIGKILL
 ANSWER_BEFORE_KILL_MS = 200.0  # the last answers are given this long before SIGKILL, to be sent in time
 EXIT_BEFORE_KILL_MS = 50.0  # the process exits this long before SIGKILL, even if answers are still unread
--- a/frostport/net/bus.py
+++ b/frostport/net/bus.py
@@ -38,9 +38,10 @@
     """The server list as of the last event; passes each change to the upstream servers and the broker."""
 
     def __init__(self, broker: Broker, pool: UpstreamPool) -> None:
-        self.broker, self.pool = broker, pool
-        # The last event applied, and the last that failed to parse.
-        self.offset, self.unreadable_offset = 0, -1
+        self.broker = broker
+        self.pool = pool
+        self.offset = 0  # of the last event applied
+        self.unreadable_offset = -1  # of the last event that failed to parse
         self.version = 0
         self.entries: dict[str, tuple[api.Server, str]] = {}
 
@@ -62,7 +63,8 @@
 
     def resume(self, offset: int, version: int, entries: Iterable[tuple[api.Server, str]]) -> None:
         """Restores the list on record: servers with their dial addresses."""
-        self.offset, self.version = offset, version
+        self.offset = offset
+        self.version = version
         self.entries = {server.address: (server, dial) for server, dial in entries}
 
     def apply_event(self, record: dict[str, Any]) -> None:
@@ -185,8 +187,11 @@
         rng: random.Random | None = None,
     ) -> None:
         self.rng = rng or random.Random(0)
-        self.server_list, self.address, self.connect = server_list, address, connect
-        self.clock, self.deadlines = server_list.broker.clock, server_list.broker.deadlines
+        self.server_list = server_list
+        self.address = address
+        self.connect = connect
+        self.clock = server_list.broker.clock
+        self.deadlines = server_list.broker.deadlines
         self.connection: BusConnection | None = None
         # Has not answered the request yet and stays open, as it may still do so.
         self.earlier_connection: BusConnection | None = None
@@ -286,8 +291,11 @@
 
     def _keep_earlier(self, connection: BusConnection) -> None:
         """Returns to the connection that was asked first, as it has answered; drops the other."""
-        later, dialing = self.connection, self.pending_dial
-        self.connection, self.earlier_connection, self.pending_dial = connection, None, None
+        later = self.connection
+        dialing = self.pending_dial
+        self.connection = connection
+        self.earlier_connection = None
+        self.pending_dial = None
         if dialing is not None:
             dialing.cancel()
         if later is not None:
--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -68,7 +68,8 @@
 
     def __init__(self, front: PlatformFront, admission: Admission) -> None:
         super().__init__(front.broker.clock, front.broker.deadlines)
-        self.front, self.admission = front, admission
+        self.front = front
+        self.admission = admission
         self.in_use = False  # as last reported to the gate
         self.slot = -1
         self.host = ""
@@ -308,7 +309,9 @@
     It also keeps the releases of calls that ended at a server until a client confirms them."""
 
     def __init__(self, broker: Broker, lifecycle: Lifecycle, gate: Gate) -> None:
-        self.broker, self.lifecycle, self.gate = broker, lifecycle, gate
+        self.broker = broker
+        self.lifecycle = lifecycle
+        self.gate = gate
         self.connections: Slots[ClientConnection] = Slots()
         self.connections_by_admission: dict[int, ClientConnection] = {}
         self.pending_releases: dict[str, PendingRelease] = {}
@@ -384,7 +387,9 @@
         """Handles a set-up: hands it to the broker, refuses it, or repeats the answer of a known call.
 
         Raises BadLineError for a value that is out of range."""
-        broker, tag, opts = self.broker, message.tag, message.opts
+        broker = self.broker
+        tag = message.tag
+        opts = message.opts
         broker.recorder.refresh()
         if (known := broker.find_request(tag) or broker.ending.get(tag)) is not None:
             if not self.repeat_answer(connection, known, message):
@@ -395,7 +400,8 @@
         ):
             self.answer_ended_call(connection, message)
             return
-        call_class, key = opts.get("class", ""), opts.get("key", "")
+        call_class = opts.get("class", "")
+        key = opts.get("key", "")
         left_ms = jsonl.parse_numbers(f"left:{opts.get('left', '')}").get("left", math.nan)
         if call_class not in broker.rules.pools_by_class:
             raise BadLineError(f"opts.class: unknown: {call_class[:40]!r}")
@@ -487,7 +493,8 @@
         While the release is held back, the client gets the recorded answer and then the release. Once the
         release has been sent it gets that alone, which a waiting client takes for a failure: an answer after
         it would be a second final answer."""
-        call, release = message.tag, self.pending_releases.get(message.tag)
+        call = message.tag
+        release = self.pending_releases.get(call)
         if release is None:
             connection.send_message(Message("FINISH", call, rc=jsonl.BROKEN))
         elif release.answer is None or not is_repeat(message, release.answer, connection):
@@ -496,13 +503,15 @@
         else:
             if release.hold_until_ms:
                 self._send_answer(connection, call, release.answer)
-                release.hold_until_ms, release.answer = 0.0, None
+                release.hold_until_ms = 0.0
+                release.answer = None
             self._send_release(call, connection)
 
     def handle_finish(self, connection: ClientConnection, message: Message) -> None:
         """Handles a give-up before the answer or the release of an established call, on any connection."""
         self.broker.recorder.refresh()
-        request, answered_on = self.broker.find_request(message.tag), None
+        request = self.broker.find_request(message.tag)
+        answered_on = None
         if request is None:
             # Also a give-up that crosses the final answer: the broker still knows the id and does nothing.
             connection.open_set_ups.pop(message.tag, None)
@@ -559,7 +568,8 @@
         self.connections.free(connection.slot)
         del self.connections_by_admission[connection.admission.number]
         self.gate.remove(connection.admission)
-        opened, connection.open_set_ups = list(connection.open_set_ups.values()), {}
+        opened = list(connection.open_set_ups.values())
+        connection.open_set_ups = {}
         for request in opened:
             if request.state is State.OPEN:
                 self.broker.gone(request)
@@ -618,7 +628,8 @@
         """Sends the release, and again until a client confirms it.
 
         It is delayed if the client may repeat its set-up to get a lost answer; see `_hold_release`."""
-        connection, now = self.connections.get(connection_id), self.broker.clock.now()
+        connection = self.connections.get(connection_id)
+        now = self.broker.clock.now()
         answered_on = self._remove_established_call(call, connection_id)
         host = connection.host if connection is not None else ""
         release = self.pending_releases[call] = PendingRelease(
@@ -643,7 +654,8 @@
         release.answer = recorded_answer
         until = held_until(recorded_answer.recorded_at_ms, now, self.longest_deadline_ms)
         if restarted and until > now:
-            release.host, release.hold_until_ms = recorded_answer.client, until
+            release.host = recorded_answer.client
+            release.hold_until_ms = until
 
     def resume(
         self,
@@ -667,7 +679,8 @@
 
     def _send_release(self, call: str, connection: ClientConnection | None) -> None:
         """Sends a release on the given connection, or on the best one available."""
-        release, now = self.pending_releases[call], self.broker.clock.now()
+        release = self.pending_releases[call]
+        now = self.broker.clock.now()
         chosen = connection or self.best_connection(release)
         release.sent_at_ms = now
         sent = chosen is not None and chosen.send_message(Message("FINISH", call, rc=release.cause))
@@ -675,7 +688,8 @@
 
     def _assign_release(self, call: str, release: PendingRelease, slot: int) -> None:
         """Records the connection on which a release was sent; slot -1 is none."""
-        before, release.slot = self.connections.get(release.slot), slot
+        before = self.connections.get(release.slot)
+        release.slot = slot
         if before is not None:
             before.unconfirmed_releases.discard(call)
             before.update_in_use()
@@ -718,10 +732,12 @@
 
     def _retry_releases(self) -> None:
         """Sends unconfirmed releases again, preferably on another connection, and drops those too old."""
-        self._retry_timer, now = None, self.broker.clock.now()
+        self._retry_timer = None
+        now = self.broker.clock.now()
         for release in self.pending_releases.values():
             if release.hold_until_ms and release.hold_until_ms <= now:
-                release.hold_until_ms, release.since_ms = 0.0, now
+                release.hold_until_ms = 0.0
+                release.since_ms = now
         for call in [
             call
             for call, release in self.pending_releases.items()
--- a/frostport/net/gossip.py
+++ b/frostport/net/gossip.py
@@ -29,7 +29,8 @@
     The fleet's name is the personalization, so that fleets with the same key don't accept each other's."""
 
     def __init__(self, fleet: str, key: bytes) -> None:
-        self.key, self.fleet = key[:64], hashlib.blake2b(fleet.encode(), digest_size=16).digest()
+        self.key = key[:64]
+        self.fleet = hashlib.blake2b(fleet.encode(), digest_size=16).digest()
 
     def _digest(self, body: bytes) -> bytes:
         return hashlib.blake2b(
@@ -66,7 +67,10 @@
         clock: Clock,
         routes: Mapping[str, str],
     ) -> None:
-        self.codec, self.on_message, self.clock, self.routes = codec, on_message, clock, routes
+        self.codec = codec
+        self.on_message = on_message
+        self.clock = clock
+        self.routes = routes
         self.limited_log = RateLimitedLog(log)
         # `refused`: datagrams received that were not valid.
         self.sent = self.received = self.sent_bytes = self.refused = 0
@@ -78,7 +82,8 @@
             return
         try:
             self.transport.write(data, split(self.routes.get(address, address)))
-            self.sent, self.sent_bytes = self.sent + 1, self.sent_bytes + len(data)
+            self.sent += 1
+            self.sent_bytes += len(data)
         except OSError as problem:  # counts as a lost datagram
             self.limited_log.warn(self.clock.now(), address, f"datagram lost: {problem}")
 
--- a/frostport/net/jsonl.py
+++ b/frostport/net/jsonl.py
@@ -33,9 +33,15 @@
 START_VERB = re.compile(rb'"verb"\s*:\s*"START"')
 FINISH_VERB = re.compile(rb'"verb"\s*:\s*"FINISH"')
 
-# Cause codes (`rc`). The first three refuse a set-up that never ran, so trying again is harmless.
-FULL, OVERLOADED, MOOT = 34, 42, 102
-NORMAL, BUSY, BROKEN, FAULT = 16, 17, 41, 47
+# Cause codes (`rc`) that refuse a set-up that never ran, so trying again is harmless.
+FULL = 34
+OVERLOADED = 42
+MOOT = 102
+# Other cause codes.
+NORMAL = 16
+BUSY = 17
+BROKEN = 41
+FAULT = 47
 
 
 class BadLineError(ValueError):
@@ -78,8 +84,11 @@
         raise BadLineError("not JSON", line) from None
     if not isinstance(record, dict):
         raise BadLineError("not an object", line)
-    verb, tag, opts = record.get("verb"), record.get("tag"), record.get("opts")
-    rc, blob = record.get("rc"), record.get("blob")
+    verb = record.get("verb")
+    tag = record.get("tag")
+    opts = record.get("opts")
+    rc = record.get("rc")
+    blob = record.get("blob")
     if not isinstance(verb, str):
         raise BadLineError("verb: not text", line)
     if not isinstance(tag, str) or not TAG_PATTERN.match(tag):
@@ -143,7 +152,8 @@
 
     def _overflow(self, line: bytes, lines: list[tuple[bytes, bool]]) -> None:
         """Ends the stream: guards against endless lines, as nothing after an overlong one can be trusted."""
-        self.overflowed, self._partial_line = True, b""
+        self.overflowed = True
+        self._partial_line = b""
         lines.append((line[: self._limit], True))
 
     @property
@@ -163,7 +173,8 @@
     read_ahead_bytes = 0  # reading pauses once this much waits to be handled
 
     def __init__(self, clock: Clock, deadlines: Deadlines, max_line_bytes: int = MAX_LINE_BYTES) -> None:
-        self.clock, self.deadlines = clock, deadlines
+        self.clock = clock
+        self.deadlines = deadlines
         self.splitter = LineSplitter(max_line_bytes)
         self.alive = False
         self.peer_closed = False  # lines read before the close are still handled
--- a/frostport/net/link.py
+++ b/frostport/net/link.py
@@ -28,11 +28,18 @@
 log = logging.getLogger("frostport.link")
 
 VERSION = 1
-MAX_FRAME_BYTES, MAX_HELLO_BYTES = 1024 * 1024, 512  # without the length prefix
+# Both without the length prefix.
+MAX_FRAME_BYTES = 1024 * 1024
+MAX_HELLO_BYTES = 512
 MAX_QUEUE_BYTES = 4 * 1024 * 1024  # queued for one peer
-HELLO_TIMEOUT_MS, WRITE_STALL_TIMEOUT_MS, HEARTBEAT_MS, SILENCE_TIMEOUT_MS = 2000.0, 5000.0, 1500.0, 6000.0
+HELLO_TIMEOUT_MS = 2000.0  # from the opening of a connection to the peer's hello
+WRITE_STALL_TIMEOUT_MS = 5000.0  # for a peer to read what was written to it
+HEARTBEAT_MS = 1500.0
+SILENCE_TIMEOUT_MS = 6000.0  # a connection without any data for longer is closed
 DIAL_TIMEOUT_MS = 2000.0
-MIN_REDIAL_MS, MAX_REDIAL_MS = 100.0, 5000.0  # bounds of the redial delay, which doubles; with full jitter
+# Bounds of the redial delay, which doubles; with full jitter.
+MIN_REDIAL_MS = 100.0
+MAX_REDIAL_MS = 5000.0
 LENGTH_PREFIX = struct.Struct(">I")
 
 
@@ -68,12 +75,14 @@
     The first frame is limited to MAX_HELLO_BYTES, later ones to MAX_FRAME_BYTES."""
 
     def __init__(self) -> None:
-        self.buffer, self.max_bytes = b"", MAX_HELLO_BYTES
+        self.buffer = b""
+        self.max_bytes = MAX_HELLO_BYTES
 
     def feed(self, data: bytes) -> list[bytes]:
         """Returns the bodies of the frames completed by `data`. Raises only BadFrameError."""
         self.buffer += data
-        bodies, start = [], 0
+        bodies = []
+        start = 0
         while len(self.buffer) - start >= LENGTH_PREFIX.size:
             size = LENGTH_PREFIX.unpack_from(self.buffer, start)[0]
             if not 0 < size <= self.max_bytes:
@@ -107,14 +116,19 @@
     transport: Any
 
     def __init__(self, link: Link, dialed_name: str = "") -> None:
-        self.link, self.dialed_name, self.name = link, dialed_name, ""
-        self.frames, self.queue, self.queued_bytes = FrameDecoder(), deque[bytes](), 0
+        self.link = link
+        self.dialed_name = dialed_name
+        self.name = ""
+        self.frames = FrameDecoder()
+        self.queue = deque[bytes]()
+        self.queued_bytes = 0
         self.open = self.write_blocked = False
         self.last_received_at = 0.0
         self._timeout: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
-        self.open, self.last_received_at = True, self.link.clock.now()
+        self.open = True
+        self.last_received_at = self.link.clock.now()
         self.transport.registerProducer(self, True)
         self.transport.setTcpNoDelay(True)
         self._set_timeout(HELLO_TIMEOUT_MS)
@@ -237,9 +251,15 @@
 
         `connect` dials an address; its Deferred fails if that is not possible. `on_frame` is called with
         the sender, kind and body of each frame."""
-        self.fleet, self.name, self.incarnation = fleet, name, incarnation
-        self.clock, self.deadlines, self.connect, self.address = clock, deadlines, connect, address
-        self.on_frame, self.rng = on_frame, rng
+        self.fleet = fleet
+        self.name = name
+        self.incarnation = incarnation
+        self.clock = clock
+        self.deadlines = deadlines
+        self.connect = connect
+        self.address = address
+        self.on_frame = on_frame
+        self.rng = rng
         self.connections: dict[str, Connection] = {}
         self.dials: dict[str, PendingDial] = {}
         self.unidentified: set[Connection] = set()
@@ -308,10 +328,8 @@
     def _schedule_redial(self, name: str, dial: PendingDial) -> None:
         """Dials again after a backoff with full jitter: all agents may be dialing a peer that returns."""
         if dial.retry_timer is None and not self.stopping:
-            wait, dial.max_delay_ms = (
-                self.rng.random() * dial.max_delay_ms,
-                min(2.0 * dial.max_delay_ms, MAX_REDIAL_MS),
-            )
+            wait = self.rng.random() * dial.max_delay_ms
+            dial.max_delay_ms = min(2.0 * dial.max_delay_ms, MAX_REDIAL_MS)
 
             def redial() -> None:
                 dial.retry_timer = None
@@ -325,7 +343,8 @@
 
         Of two connections dialed from both sides, the one dialed by the lesser name stays; else the newer."""
         self.unidentified.discard(connection)
-        name, before = connection.name, self.connections.get(connection.name)
+        name = connection.name
+        before = self.connections.get(name)
         if (
             before is not None
             and bool(before.dialed_name) != bool(connection.dialed_name)
--- a/frostport/net/operator.py
+++ b/frostport/net/operator.py
@@ -65,7 +65,8 @@
         words = words[1].split(None, 1) if len(words) > 1 else []
     if not words:
         return ["ERR no call"]
-    name, rest = words[0].lower(), words[1] if len(words) > 1 else ""
+    name = words[0].lower()
+    rest = words[1] if len(words) > 1 else ""
     operation = operations.get(name)
     if operation is None:
         return [f"ERR unknown call {name[:40]!r}; calls: {' '.join(sorted(operations))}"]
@@ -139,7 +140,9 @@
     noisy = False
 
     def __init__(self, operations: Mapping[str, Operation], clock: Clock, deadlines: Deadlines) -> None:
-        self.operations, self.clock, self.deadlines = operations, clock, deadlines
+        self.operations = operations
+        self.clock = clock
+        self.deadlines = deadlines
         self.open_count = 0
 
     def buildProtocol(self, addr: IAddress | None) -> OperatorConnection:  # noqa: N802 (Twisted's name)
--- a/frostport/net/peers.py
+++ b/frostport/net/peers.py
@@ -50,7 +50,8 @@
     transport: Any = None
 
     def __init__(self, broker: Broker, addresses: list[str]) -> None:
-        self.broker, self.limited_log = broker, RateLimitedLog(log)
+        self.broker = broker
+        self.limited_log = RateLimitedLog(log)
         self.addresses = [split(address) for address in addresses]
         self.number_by_address = {address: number for number, address in enumerate(self.addresses)}
 
--- a/frostport/net/upstream.py
+++ b/frostport/net/upstream.py
@@ -79,7 +79,9 @@
     """One upstream server: its connections, and the attempts, probes and releases that wait for one."""
 
     def __init__(self, pool: UpstreamPool, host: str, dial: str) -> None:
-        self.pool, self.host, self.dial = pool, host, dial
+        self.pool = pool
+        self.host = host
+        self.dial = dial
         self.broker = pool.broker
         self.connections: list[ServerConnection] = []
         self.dialing: defer.Deferred[object] | None = None
@@ -186,7 +188,8 @@
         connection.opened_at = connection.last_received_at = connection.reported_at = self.pool.clock.now()
         connection.slot = self.pool.connections.add(connection)
         self.connections.append(connection)
-        self.replacing, self.redial_pause_ms = False, REDIAL_MS
+        self.replacing = False
+        self.redial_pause_ms = REDIAL_MS
         if not self.sends_greeting:
             self.sign_of_life(connection)  # otherwise its first report is the sign of life
         self.send_pending_releases(connection)
@@ -241,7 +244,8 @@
         if kept is not None:
             kept.abandon()
         attempts = self._take_out_of_use(connection)
-        self.retired, connection.retired = connection, True
+        self.retired = connection
+        connection.retired = True
         log.info(
             "%s: connection silent since %.0f ms, kept to be heard, %d set-ups reset",
             self.host,
@@ -300,7 +304,8 @@
             self._return_to_use(connection)
 
     def _return_to_use(self, connection: ServerConnection) -> None:
-        self.retired, connection.retired = None, False
+        self.retired = None
+        connection.retired = False
         connection.slot = self.pool.connections.add(connection)
         self.connections.append(connection)
 
@@ -403,7 +408,8 @@
 
     def send(self, attempt: Attempt) -> None:
         """Sends an attempt on the least used connection, or queues it until one opens."""
-        request, last_connection_id = attempt.request, attempt.request.last_connection_id
+        request = attempt.request
+        last_connection_id = request.last_connection_id
         if not self.connections:
             self.waiting_attempts.append(attempt)
             if self.request_connection() > self.pool.connect_timeout_ms and attempt in self.waiting_attempts:
--- a/frostport/net/upstream_connection.py
+++ b/frostport/net/upstream_connection.py
@@ -65,7 +65,8 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
         """Any data is a sign of life, even if it completes no valid line."""
-        self.last_received_at, self.lagging_since = self.clock.now(), math.inf
+        self.last_received_at = self.clock.now()
+        self.lagging_since = math.inf
         self.server.sign_of_life(self)
         super().dataReceived(data)
 
--- a/frostport/net/upstream_pool.py
+++ b/frostport/net/upstream_pool.py
@@ -19,9 +19,12 @@
     """All upstream servers on the server list; implements the broker's `Route`."""
 
     def __init__(self, broker: Broker, front: Front, connect: Connect, connect_timeout_ms: float) -> None:
-        self.broker, self.front, self.connect = broker, front, connect
+        self.broker = broker
+        self.front = front
+        self.connect = connect
         self.connect_timeout_ms = connect_timeout_ms
-        self.clock, self.deadlines = broker.clock, broker.deadlines
+        self.clock = broker.clock
+        self.deadlines = broker.deadlines
         self.connections: Slots[ServerConnection] = Slots()
         self.servers: dict[str, UpstreamServer] = {}
         self.dialing: DialPolicy = DIAL_AT_ONCE
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -55,7 +55,9 @@
     Written data is delivered by `World.settle`."""
 
     def __init__(self, world: World, protocol: Any) -> None:
-        self.world, self.protocol, self.open = world, protocol, True
+        self.world = world
+        self.protocol = protocol
+        self.open = True
         self.other: Wire | None = None
         self.producer: Any = None
         self.paused = False
@@ -115,7 +117,8 @@
     """The part of a Twisted reactor that the agent uses."""
 
     def __init__(self, world: World) -> None:
-        self.world, self.stopped = world, False
+        self.world = world
+        self.stopped = False
         self.factory: Any = None
         self.operator_port: Any = None
         self.adopted: int | None = None
@@ -132,7 +135,8 @@
         return self
 
     def adoptStreamPort(self, descriptor: int, family: int, factory: Any) -> Reactor:  # noqa: N802
-        self.adopted, self.factory = descriptor, factory
+        self.adopted = descriptor
+        self.factory = factory
         return self
 
     def listenUDP(self, port: int, protocol: Any, **more: Any) -> None:  # noqa: N802
@@ -163,7 +167,8 @@
     """A scripted party that speaks JSON lines; for other codecs, override `read` and `encode`."""
 
     def __init__(self, world: World, name: str) -> None:
-        self.world, self.name = world, name
+        self.world = world
+        self.name = name
         self.wires: list[Any] = []
         self.received_on: Any = None  # the connection of the last message
         self.set_up_wires: dict[str, Any] = {}  # the connection of each set-up
@@ -207,7 +212,8 @@
             return text.encode() + b"\n"
         tag, _, rest = rest.partition(" ")
         opts = dict(pair.split("=", 1) for pair in rest.split())
-        rc, blob = opts.pop("rc", None), opts.pop("blob", "sdp" if verb.startswith("START") else None)
+        rc = opts.pop("rc", None)
+        blob = opts.pop("blob", "sdp" if verb.startswith("START") else None)
         return jsonl.Message(verb, tag.zfill(16), opts, None if rc is None else int(rc), blob).encode()
 
     def send(self, text: str) -> None:
@@ -269,7 +275,8 @@
         self.state = how or self.state
         if how.startswith("but="):
             # The process is dead, but one of its connections stays open.
-            self.state, stays = "dead", self.set_up_wires[how[4:]]
+            self.state = "dead"
+            stays = self.set_up_wires[how[4:]]
             for wire in [wire for wire in self.wires if wire is not stays]:
                 self.wires.remove(wire)
                 wire.protocol = ClosedEnd()
@@ -279,7 +286,8 @@
             for wire in self.wires:
                 ours, theirs = socket.socketpair()
                 theirs.close()
-                wire.other.fileno, wire.other.kept = ours.fileno, ours
+                wire.other.fileno = ours.fileno
+                wire.other.kept = ours
             return
         stay = how in ("silent", "full")
         wires, self.wires = ([], self.wires) if stay else (self.wires, [])
@@ -298,7 +306,8 @@
     def __init__(self, record: dict[str, Any]) -> None:
         self.dials = 0
         self.held_dials: dict[str, list[Callable[[], Any]]] = {}  # those to parties that are `late`
-        self.record, self.clock = record, ManualClock(START_MS)
+        self.record = record
+        self.clock = ManualClock(START_MS)
         self.later: list[Callable[[], Any]] = []  # deliveries and dials due in the next `settle`
         self.actors = {name: self.actor(self, name) for name in ("c1", "c2", "s0", "s1", "bus", "bus2", "p1")}
         self.reactor = self.reactor_kind(self)
@@ -321,8 +330,10 @@
 
     def join(self, actor: Actor, protocol: Any) -> None:
         """Connects a party with a protocol of the agent."""
-        ours, theirs = Wire(self, protocol), Wire(self, actor)
-        ours.other, theirs.other = theirs, ours
+        ours = Wire(self, protocol)
+        theirs = Wire(self, actor)
+        ours.other = theirs
+        theirs.other = ours
         actor.connect(theirs)
         protocol.makeConnection(ours)
 
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -25,7 +25,9 @@
     wait_until_listening,
 )
 
-DESCRIPTORS, CONNECTIONS, CALLS = 96, 1500, 400
+DESCRIPTORS = 96
+CONNECTIONS = 1500
+CALLS = 400
 
 
 async def flood(port: int, rng: random.Random) -> int:
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -21,7 +21,8 @@
 from tests import diameter, test_diameter, test_platform
 from tests.scenario import Actor, Reactor, World, event, host, platform, play
 
-ITERATIONS, MAX_STEPS = 8, 400  # reactor iterations per step; steps to wait for a message
+ITERATIONS = 8  # reactor iterations per step
+MAX_STEPS = 400  # steps to wait for a message
 
 
 class SocketWire(protocol.Protocol):
@@ -206,7 +207,8 @@
         del record["bus"], record["peer_listen"]
         record.update(listen=f"{listen[0]}:{listen[1]}", known={"offset": 1, "batch": [first]})
         (tmp_path / "config.json").write_text(json.dumps(record), encoding="utf-8")
-        operator_ports, programs = [], []
+        operator_ports = []
+        programs = []
         for _ in range(2):
             with socket.socket() as free:
                 free.bind(("127.0.0.1", 0))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -781,7 +781,8 @@
 
 def test_at_the_limit_silent_connections_are_evicted_and_those_with_open_set_ups_stay() -> None:
     world = play(SET_UP, platform())
-    factory, agent = world.reactor.factory, world.agent
+    factory = world.reactor.factory
+    agent = world.agent
     for _ in range(2 * agent.config.sockets):
         wire = Wire(world, factory.buildProtocol(None))
         wire.other = Wire(world, ClosedEnd())
@@ -808,11 +809,14 @@
 
 def test_nothing_is_left_after_churn() -> None:
     world = play("expect c1 nothing", platform())
-    agent, module = world.agent, world.agent.broker.decision_module
+    agent = world.agent
+    module = world.agent.broker.decision_module
     assert isinstance(agent.side, PlatformSide) and isinstance(module, Controller)
     for number in range(2, 60):
-        old, new = host(number % 2, "gone", name=f"h{number - 2}"), host(number % 2, name=f"h{number}")
-        call, dest = f"{number:x}", number % 2
+        old = host(number % 2, "gone", name=f"h{number - 2}")
+        new = host(number % 2, name=f"h{number}")
+        call = f"{number:x}"
+        dest = number % 2
         for line in (
             f"send c1 START {call} class=race left=3000 key={call} extras=dest:{dest}",
             f"send s{dest} STARTED {call} blob=x",
--- a/tests/test_quiet_list.py
+++ b/tests/test_quiet_list.py
@@ -115,7 +115,8 @@
         record: dict[str, Any] = {**platform(), "seed": f"{seed + 1:02x}"}
         world = run(World(record), "expect bus from 1\nclose bus dead\n")
         world.actors["bus"].state = "alive"
-        lost, dials = world.clock.now(), world.dials
+        lost = world.clock.now()
+        dials = world.dials
         while world.dials == dials:
             world.wait(1.0)
         after.append(world.clock.now() - lost)
--- a/tests/test_real_ends.py
+++ b/tests/test_real_ends.py
@@ -98,7 +98,8 @@
 
 async def run_case(folder: pathlib.Path, case: Case, deadline_ms: float) -> None:
     server = BacklogFull() if case is closed_behind_a_dial else Server()
-    port, path = free_ports(1)[0], folder / "config.json"
+    port = free_ports(1)[0]
+    path = folder / "config.json"
     record = configuration(port, [await server.start()])
     record["settings"]["services"] = [{"name": "race", "aim-ms": 400.0, "deadline-ms": deadline_ms}]
     record["settings"]["caps"]["connect-timeout-ms"] = 1000.0 * TIMEOUT_S  # no dial times out in these cases
@@ -123,7 +124,8 @@
 
 async def closed_in_the_guard(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
     """A client closes before its attempt is reset: no second attempt starts after the release guard."""
-    gone, staying = "00000000000000aa", "00000000000000bb"
+    gone = "00000000000000aa"
+    staying = "00000000000000bb"
     _, first_client = await asyncio.open_connection("127.0.0.1", port)
     start(first_client, gone)
     _, upstream = await server.next()
@@ -167,7 +169,8 @@
 
 async def closed_behind_a_dial(server: Server, port: int, program: asyncio.subprocess.Process) -> None:
     """A client closes while its set-up waits for a dial: the set-up is not sent once the dial succeeds."""
-    gone, staying = "00000000000000aa", "00000000000000bb"
+    gone = "00000000000000aa"
+    staying = "00000000000000bb"
     reader, first_client = await asyncio.open_connection("127.0.0.1", port)
     start(first_client, gone)
     send(first_client, "ECHO", "0" * 16, rc=0)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -28,7 +28,8 @@
 
 def exchange(*batches: str) -> tuple[int, str, str]:
     """Feeds batches 25 ms apart to the adapter; returns its status, output and errors."""
-    output, errors = io.StringIO(), io.StringIO()
+    output = io.StringIO()
+    errors = io.StringIO()
     text = "".join(
         f"mark {1000.0 + 25.0 * n}\n{batch}\nend\n".replace("\n\n", "\n") for n, batch in enumerate(batches)
     )
@@ -155,7 +156,9 @@
 
 def conversation() -> str:
     """Forty seconds of three proxies that get more calls than two servers can take."""
-    lines, clock, number = [], 5000.0, 0
+    lines = []
+    clock = 5000.0
+    number = 0
     launches = "\n".join(
         LAUNCH.replace("launch 3 99", f"launch {n} {n + 7}") + f"\nmembership {n} Persisted 1 0"
         for n in range(3)
