--- a/frostport/core/broker.py
+++ b/frostport/core/broker.py
@@ -332,7 +332,7 @@
         """The probe `number` was answered, or has failed with `outcome`. Unknown numbers are ignored."""
         if number in self._probes:
             server, sent_at = self._probes.pop(number)
-            # An elapsed time of 0 marks an unsolicited report, and the clock may stand still.
+            # An elapsed time of 0 marks an unsolicited report, and the clock may show the same time.
             elapsed = max(0.001, self.clock.now() - sent_at)
             self._dispatch(api.ServerReport(server, outcome, elapsed, report))
 
--- a/frostport/core/calls.py
+++ b/frostport/core/calls.py
@@ -1,4 +1,4 @@
-"""Calls: requests, their attempts, and the interface of the front through which a request comes."""
+"""Calls: requests, their attempts, and the interface of the front through which requests arrive."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from frostport.core.deadlines import Deadline
 from frostport.interface import Outcome
 
-Body = str | bytes  # a description, opaque to the core: each front is paired with a route that knows its form
+Body = str | bytes  # a description, opaque to the core: a front is paired with a route of the same protocol
 
 MAX_RELEASE_HOLD_MS = 10_000.0  # longest delay of a release for a client that may repeat its set-up
 
@@ -103,7 +103,7 @@
     Each request gets one call of `call_established`, `call_refused` or `call_failed`, unless it is gone."""
 
     def is_waiting(self, request: Request) -> bool:
-        """Whether the client of an open request is still connected, as far as can be told now."""
+        """Whether the client of an open request is still connected, as far as is known now."""
 
     def call_established(self, request: Request, description: Body) -> None:
         """Answers with the server's description."""
--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -79,7 +79,7 @@
         self.trusted = False  # an answer was sent or a release confirmed on it: a regular client
         self.malformed_count = 0
         self.unconfirmed_releases: set[str] = set()  # sent on it, not confirmed yet
-        self.established_calls: set[str] = set()  # answered on it, not over yet
+        self.established_calls: set[str] = set()  # answered on it, not ended yet
         self._timeout: Deadline | None = None
         self._unhandled_set_ups: set[str] = set()  # read, not handled yet
         self._early_give_ups: Counter[str] = Counter()  # give-ups read for those
--- a/frostport/net/jsonl.py
+++ b/frostport/net/jsonl.py
@@ -47,7 +47,7 @@
 class BadLineError(ValueError):
     """A line that is not a valid message.
 
-    `tag` is the call's id, None if it can't be read; `is_start` tells whether the line is a set-up."""
+    `tag` is the call's id, None if it can't be read; `is_start`: whether the line is a set-up."""
 
     def __init__(self, problem: str, line: bytes = b"") -> None:
         super().__init__(problem)
--- a/frostport/net/link.py
+++ b/frostport/net/link.py
@@ -341,7 +341,8 @@
     def on_identified(self, connection: Connection) -> None:
         """Takes a connection into use after its hello, and sends what waits for the peer.
 
-        Of two connections dialed from both sides, the one dialed by the lesser name stays; else the newer."""
+        Of two connections dialed by different sides, the one dialed by the agent with the lesser name stays;
+        of two dialed by the same side, the newer one."""
         self.unidentified.discard(connection)
         name = connection.name
         before = self.connections.get(name)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -95,6 +95,7 @@
             self.world.later.append(partial(self.deliver, data))
 
     def loseConnection(self) -> None:  # noqa: N802 (Twisted's name)
+        """Closes both ends; their protocols learn of it in `World.settle`."""
         for end in (self, self.other):
             if end is not None and end.open:
                 end.open = False
@@ -144,6 +145,7 @@
         protocol.transport = self.world.actors["p1"]
 
     def connectTCP(self, host: str, port: int, factory: Any, **more: Any) -> Any:  # noqa: N802
+        """Dials in `World.settle`, and returns a connector as Twisted does."""
         self.world.later.append(lambda: self.world.dialed(f"{host}:{port}", factory))
         connector = type(
             "Connector",
@@ -183,6 +185,7 @@
         self.lines = jsonl.LineSplitter()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Adds each message to the inbox, and notes the connection on which a set-up arrived."""
         for line, _ in self.lines.feed(data):
             received = self.read(line)
             self.inbox.append(received)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -65,6 +65,7 @@
             self.closed_port = closed.getsockname()[1]
 
     def port_of(self, name: str) -> int:
+        """Returns the port of a party, which listens from the first call on."""
         actor = self.world.actors[name]
         if actor.state == "dead":
             return int(self.closed_port)
@@ -91,6 +92,7 @@
     reactor_kind: type[Reactor] = LoopbackReactor
 
     def settle(self: Any) -> None:
+        """Iterates the reactor a fixed number of times, which may not be enough: see `step`."""
         for _ in range(ITERATIONS):
             self.reactor.real.iterate(0.001)
             self.agent.deadlines.run(self.clock.now())
@@ -105,6 +107,7 @@
             self.settle()
 
     def step(self: Any, line: str) -> None:
+        """Performs a step; for an expected message, first waits until one has arrived."""
         for _ in range(MAX_STEPS if line.startswith("expect") and "nothing" not in line else 0):
             who = line.split()[1]
             if who == "agent" or any(
--- a/tests/test_quiet_list.py
+++ b/tests/test_quiet_list.py
@@ -27,6 +27,7 @@
 
 
 def run(world: World, script: str) -> World:
+    """Performs the steps of a script in a world that has begun."""
     for _, line in lines(script):
         world.step(line)
     return world
--- a/tests/test_real_ends.py
+++ b/tests/test_real_ends.py
@@ -33,6 +33,7 @@
         self.bus = free_ports(1)[0]  # the bus's port; nothing listens there until a case opens it
 
     async def start(self) -> int:
+        """Listens, and returns the port."""
         self.listener = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         port: int = self.listener.sockets[0].getsockname()[1]
         return port
@@ -46,12 +47,14 @@
         writer.close()
 
     async def line(self, reader: asyncio.StreamReader) -> bytes:
+        """Reads a line; empty if the connection is closed or reset."""
         try:
             return await reader.readline()
         except ConnectionResetError:  # the agent closes a connection it takes for silent
             return b""
 
     async def next(self) -> tuple[str, asyncio.StreamWriter]:
+        """Waits for the next set-up; returns its tag and the connection for the answer."""
         return await asyncio.wait_for(self.set_ups.get(), TIMEOUT_S)
 
 
@@ -68,6 +71,7 @@
         return at[1]
 
     async def accept_connections(self) -> None:
+        """Accepts what waits in the backlog, which makes room for dials."""
         await self.listener.start_serving()
         self.filler.close()
 
@@ -77,6 +81,7 @@
 
 
 def set_up(tag: str, left: float = 4000.0) -> bytes:
+    """A set-up as a line; `left` is the client's time limit in ms."""
     return line("START", tag, opts={"class": "race", "left": str(left)}, blob="x")
 
 
@@ -89,6 +94,7 @@
 
 
 async def receive(reader: asyncio.StreamReader) -> tuple[str, str]:
+    """Waits for a message; returns its verb and tag."""
     message = json.loads(await asyncio.wait_for(reader.readline(), TIMEOUT_S))
     return message["verb"], message["tag"]
 
@@ -97,6 +103,9 @@
 
 
 async def run_case(folder: pathlib.Path, case: Case, deadline_ms: float) -> None:
+    """Runs a case against an agent process, which must then exit with 0 and have logged no traceback.
+
+    The case may end the process itself; otherwise it gets SIGTERM here."""
     server = BacklogFull() if case is closed_behind_a_dial else Server()
     port = free_ports(1)[0]
     path = folder / "config.json"
