--- a/frostport/net/front.py
+++ b/frostport/net/front.py
@@ -68,7 +68,8 @@
 
     def __init__(self, front: PlatformFront, admission: Admission) -> None:
         super().__init__(front.broker.clock, front.broker.deadlines)
-        self.front, self.admission = front, admission
+        self.front = front
+        self.admission = admission
         self.in_use = False  # as last reported to the gate
         self.slot = -1
         self.host = ""
@@ -78,12 +79,13 @@
         self.trusted = False  # an answer was sent or a release confirmed on it: a regular client
         self.malformed_count = 0
         self.unconfirmed_releases: set[str] = set()  # sent on it, not confirmed yet
-        self.established_calls: set[str] = set()  # answered on it, not over yet
+        self.established_calls: set[str] = set()  # answered on it, not ended yet
         self._timeout: Deadline | None = None
         self._unhandled_set_ups: set[str] = set()  # read, not handled yet
         self._early_give_ups: Counter[str] = Counter()  # give-ups read for those
 
     def on_open(self) -> None:
+        """Registers the connection, and limits the time for its first complete line."""
         self.slot = self.front.connections.add(self)
         self.peer = f"client connection {self.slot}"
         self.host = str(getattr(self.transport.getPeer(), "host", ""))
@@ -99,15 +101,17 @@
         self._timeout = None if ms is None else self.deadlines.set(self.clock.now() + ms, then or self.drop)
 
     def on_close(self) -> None:
+        """The front gives up the open set-ups, and resends unconfirmed releases on other connections."""
         self._set_timeout(None)
         self.front.connection_lost(self)
 
     # Twisted's IPushProducer: backpressure from the output buffer
 
     def pauseProducing(self) -> None:  # noqa: N802 (Twisted's name)
-        """Guards against a client that sends requests and does not read: none is handled until it does.
+        """The output buffer is full: no request is handled until the client has read from it.
 
-        Lines read ahead meanwhile are searched for give-ups."""
+        Guards against a client that sends requests and does not read the answers. Lines that arrive meanwhile
+        are searched for give-ups."""
         self.write_blocked = True
         if self.alive:
             self._set_timeout(WRITE_STALL_TIMEOUT_MS, self._on_write_stall)
@@ -121,6 +125,7 @@
         self.drop()
 
     def resumeProducing(self) -> None:  # noqa: N802
+        """The client has read the buffered output: its requests are handled again."""
         self.write_blocked = False
         if self.alive:
             self._set_timeout(None)
@@ -168,6 +173,7 @@
         return given_up and self.front.is_new_call(tag)
 
     def on_read(self) -> None:
+        """Closes the connection if it is idle in a drain; else limits the time for a partial line."""
         self.close_if_idle()
         if not self.alive:
             return
@@ -178,6 +184,7 @@
             self._set_timeout(PARTIAL_LINE_TIMEOUT_MS, self.close_gracefully)
 
     def on_line(self, line: bytes) -> None:
+        """Handles one message. Raises BadLineError if it is malformed, or its verb or a value not allowed."""
         message = jsonl.decode(line)
         self.last_received_at = self.clock.now()
         if not self.identified:
@@ -208,6 +215,9 @@
                 raise BadLineError(f"verb: unknown: {message.verb}", line)
 
     def on_malformed(self, problem: BadLineError) -> None:
+        """Refuses a malformed set-up if its id can be read; after any other line the connection is closed.
+
+        It is also closed after an overlong line and after MAX_MALFORMED_LINES malformed ones."""
         self.malformed_count += 1
         self.front.record_offence(self)
         named = problem.is_start and problem.tag is not None
@@ -299,7 +309,9 @@
     It also keeps the releases of calls that ended at a server until a client confirms them."""
 
     def __init__(self, broker: Broker, lifecycle: Lifecycle, gate: Gate) -> None:
-        self.broker, self.lifecycle, self.gate = broker, lifecycle, gate
+        self.broker = broker
+        self.lifecycle = lifecycle
+        self.gate = gate
         self.connections: Slots[ClientConnection] = Slots()
         self.connections_by_admission: dict[int, ClientConnection] = {}
         self.pending_releases: dict[str, PendingRelease] = {}
@@ -309,6 +321,7 @@
         self.longest_deadline_ms = max((cls.deadline_ms for cls in settings.classes), default=0.0)
 
     def serving(self) -> bool:
+        """Whether clients that ask are told that this process accepts new connections."""
         return self.lifecycle.is_ready()
 
     def drain(self) -> None:
@@ -327,10 +340,12 @@
 
     def busy(self) -> bool:
         """Whether any connection has an open set-up, an established call or an unconfirmed release."""
-        return any(at.carries_calls() for at in self.connections)
+        return any(conn.carries_calls() for conn in self.connections)
 
     def build(self, address: str) -> ClientConnection | None:
-        """A protocol for a new connection if the gate admits it; those evicted for it are closed."""
+        """Returns a protocol for a new connection from `address`, None if the gate refuses it.
+
+        Closes the connections that the gate evicts to make room."""
         verdict = self.gate.admit(address, self.broker.clock.now())
         self.shed(verdict.shed)
         return None if verdict.admission is None else ClientConnection(self, verdict.admission)
@@ -344,6 +359,9 @@
                 self.connection_lost(connection)
 
     def record_offence(self, connection: ClientConnection) -> None:
+        """Reports a malformed line to the gate, which may refuse the address for some time.
+
+        A known client is never refused for this, so its malformed lines are logged."""
         now = self.broker.clock.now()
         if self.gate.is_known(connection.host, now):
             connection.limited_log.warn(
@@ -354,8 +372,9 @@
     # From clients
 
     def is_new_call(self, call: str) -> bool:
-        """Whether no call of this id is open, established, ending or still to be released, here or in the
-        predecessor that hands over to this process."""
+        """Whether no call of this id is open, established, ending or still to be released.
+
+        Calls of the predecessor that hands over to this process count too."""
         broker = self.broker
         return (
             broker.find_request(call) is None
@@ -368,7 +387,9 @@
         """Handles a set-up: hands it to the broker, refuses it, or repeats the answer of a known call.
 
         Raises BadLineError for a value that is out of range."""
-        broker, tag, opts = self.broker, message.tag, message.opts
+        broker = self.broker
+        tag = message.tag
+        opts = message.opts
         broker.recorder.refresh()
         if (known := broker.find_request(tag) or broker.ending.get(tag)) is not None:
             if not self.repeat_answer(connection, known, message):
@@ -379,37 +400,38 @@
         ):
             self.answer_ended_call(connection, message)
             return
-        name, key = opts.get("class", ""), opts.get("key", "")
-        left = jsonl.parse_numbers(f"left:{opts.get('left', '')}").get("left", math.nan)
-        if name not in broker.rules.pools_by_class:
-            raise BadLineError(f"opts.class: unknown: {name[:40]!r}")
-        if not 0.0 < left <= self.longest_deadline_ms * 2.0:
+        call_class = opts.get("class", "")
+        key = opts.get("key", "")
+        left_ms = jsonl.parse_numbers(f"left:{opts.get('left', '')}").get("left", math.nan)
+        if call_class not in broker.rules.pools_by_class:
+            raise BadLineError(f"opts.class: unknown: {call_class[:40]!r}")
+        if not 0.0 < left_ms <= self.longest_deadline_ms * 2.0:
             raise BadLineError("opts.left: not a positive time in ms, or over twice the longest deadline")
         if key and not KEY_PATTERN.match(key):
             raise BadLineError("opts.key: not 16 hex digits")
-        if message.blob is None or len(message.blob.encode()) + len(name) > MAX_DESCRIPTION_BYTES:
+        if message.blob is None or len(message.blob.encode()) + len(call_class) > MAX_DESCRIPTION_BYTES:
             raise BadLineError("blob: no description, or one too long to forward")
-        extras = parse_extras(opts.get("extras", ""), broker.rules.pools_by_class[name])
+        extras = parse_extras(opts.get("extras", ""), broker.rules.pools_by_class[call_class])
         if (
             not self.lifecycle.accepts_requests()
             or len(connection.open_set_ups) >= MAX_OPEN_SET_UPS
             or (self.lifecycle.is_draining() and connection.carries_calls())
         ):
-            broker.metrics.deferred(name)
+            broker.metrics.deferred(call_class)
             connection.send_message(Message("FINISH", tag, rc=jsonl.OVERLOADED))
             return
         team = opts.get("tenant", "-")
         if self.gate.limits.by_team and self.gate.mark_identified(connection.admission, team) is not None:
-            broker.metrics.deferred(name)
+            broker.metrics.deferred(call_class)
             connection.send_message(Message("FINISH", tag, rc=jsonl.OVERLOADED))
             connection.close_gracefully()
             return
         request = Request(
             tag,
-            name,
+            call_class,
             key,
             message.blob,
-            broker.clock.now() + left,
+            broker.clock.now() + left_ms,
             self,
             connection.slot,
             team,
@@ -421,9 +443,9 @@
             request,
             api.CallArrived(
                 tag,
-                name,
+                call_class,
                 team,
-                left,
+                left_ms,
                 extras.get("dest", -1),
                 int(key, 16) if key else 0,
                 redial=opts.get("retry", "0") not in ("", "0"),
@@ -471,7 +493,8 @@
         While the release is held back, the client gets the recorded answer and then the release. Once the
         release has been sent it gets that alone, which a waiting client takes for a failure: an answer after
         it would be a second final answer."""
-        call, release = message.tag, self.pending_releases.get(message.tag)
+        call = message.tag
+        release = self.pending_releases.get(call)
         if release is None:
             connection.send_message(Message("FINISH", call, rc=jsonl.BROKEN))
         elif release.answer is None or not is_repeat(message, release.answer, connection):
@@ -480,13 +503,15 @@
         else:
             if release.hold_until_ms:
                 self._send_answer(connection, call, release.answer)
-                release.hold_until_ms, release.answer = 0.0, None
+                release.hold_until_ms = 0.0
+                release.answer = None
             self._send_release(call, connection)
 
     def handle_finish(self, connection: ClientConnection, message: Message) -> None:
         """Handles a give-up before the answer or the release of an established call, on any connection."""
         self.broker.recorder.refresh()
-        request, answered_on = self.broker.find_request(message.tag), None
+        request = self.broker.find_request(message.tag)
+        answered_on = None
         if request is None:
             # Also a give-up that crosses the final answer: the broker still knows the id and does nothing.
             connection.open_set_ups.pop(message.tag, None)
@@ -519,6 +544,7 @@
             answered_on.close_if_idle()
 
     def handle_finished(self, connection: ClientConnection, tag: str) -> None:
+        """Handles the confirmation of a release; the connection counts as a regular client's from now on."""
         if self._settle_release(tag):
             connection.trusted = True
 
@@ -542,7 +568,8 @@
         self.connections.free(connection.slot)
         del self.connections_by_admission[connection.admission.number]
         self.gate.remove(connection.admission)
-        opened, connection.open_set_ups = list(connection.open_set_ups.values()), {}
+        opened = list(connection.open_set_ups.values())
+        connection.open_set_ups = {}
         for request in opened:
             if request.state is State.OPEN:
                 self.broker.gone(request)
@@ -553,9 +580,10 @@
         connection.unconfirmed_releases.clear()
         self.send_unsent_releases()
 
-    # From the broker
+    # Called by the broker: see `core.calls.Front`
 
     def is_waiting(self, request: Request) -> bool:
+        """False also if the client's close has arrived and has not been read yet."""
         connection = self.connections.get(request.connection_id)
         return (
             connection is not None
@@ -597,7 +625,11 @@
     def call_ended(
         self, call: str, connection_id: int, outcome: Outcome, recorded_answer: RecordedAnswer | None = None
     ) -> None:
-        connection, now = self.connections.get(connection_id), self.broker.clock.now()
+        """Sends the release, and again until a client confirms it.
+
+        It is delayed if the client may repeat its set-up to get a lost answer; see `_hold_release`."""
+        connection = self.connections.get(connection_id)
+        now = self.broker.clock.now()
         answered_on = self._remove_established_call(call, connection_id)
         host = connection.host if connection is not None else ""
         release = self.pending_releases[call] = PendingRelease(
@@ -622,7 +654,8 @@
         release.answer = recorded_answer
         until = held_until(recorded_answer.recorded_at_ms, now, self.longest_deadline_ms)
         if restarted and until > now:
-            release.host, release.hold_until_ms = recorded_answer.client, until
+            release.host = recorded_answer.client
+            release.hold_until_ms = until
 
     def resume(
         self,
@@ -646,7 +679,8 @@
 
     def _send_release(self, call: str, connection: ClientConnection | None) -> None:
         """Sends a release on the given connection, or on the best one available."""
-        release, now = self.pending_releases[call], self.broker.clock.now()
+        release = self.pending_releases[call]
+        now = self.broker.clock.now()
         chosen = connection or self.best_connection(release)
         release.sent_at_ms = now
         sent = chosen is not None and chosen.send_message(Message("FINISH", call, rc=release.cause))
@@ -654,7 +688,8 @@
 
     def _assign_release(self, call: str, release: PendingRelease, slot: int) -> None:
         """Records the connection on which a release was sent; slot -1 is none."""
-        before, release.slot = self.connections.get(release.slot), slot
+        before = self.connections.get(release.slot)
+        release.slot = slot
         if before is not None:
             before.unconfirmed_releases.discard(call)
             before.update_in_use()
@@ -668,14 +703,14 @@
 
         Prefers connections of regular clients, since others would not pass the release on; then one that was
         not tried last, one from the address of the call's client, and the one with the latest data."""
-        usable = [at for at in self.connections if at.can_carry_release()]
+        usable = [conn for conn in self.connections if conn.can_carry_release()]
         return max(
             usable,
-            key=lambda at: (
-                at.trusted,
-                at.slot != release.slot,
-                at.host == release.host,
-                at.last_received_at,
+            key=lambda conn: (
+                conn.trusted,
+                conn.slot != release.slot,
+                conn.host == release.host,
+                conn.last_received_at,
             ),
             default=None,
         )
@@ -697,10 +732,12 @@
 
     def _retry_releases(self) -> None:
         """Sends unconfirmed releases again, preferably on another connection, and drops those too old."""
-        self._retry_timer, now = None, self.broker.clock.now()
+        self._retry_timer = None
+        now = self.broker.clock.now()
         for release in self.pending_releases.values():
             if release.hold_until_ms and release.hold_until_ms <= now:
-                release.hold_until_ms, release.since_ms = 0.0, now
+                release.hold_until_ms = 0.0
+                release.since_ms = now
         for call in [
             call
             for call, release in self.pending_releases.items()
--- a/frostport/net/jsonl.py
+++ b/frostport/net/jsonl.py
@@ -33,15 +33,21 @@
 START_VERB = re.compile(rb'"verb"\s*:\s*"START"')
 FINISH_VERB = re.compile(rb'"verb"\s*:\s*"FINISH"')
 
-# Cause codes (`rc`). The first three refuse a set-up that never ran, so trying again is harmless.
-FULL, OVERLOADED, MOOT = 34, 42, 102
-NORMAL, BUSY, BROKEN, FAULT = 16, 17, 41, 47
+# Cause codes (`rc`) that refuse a set-up that never ran, so trying again is harmless.
+FULL = 34
+OVERLOADED = 42
+MOOT = 102
+# Other cause codes.
+NORMAL = 16
+BUSY = 17
+BROKEN = 41
+FAULT = 47
 
 
 class BadLineError(ValueError):
     """A line that is not a valid message.
 
-    `tag` is the call's id, None if it can't be read; `is_start` tells whether the line is a set-up."""
+    `tag` is the call's id, None if it can't be read; `is_start`: whether the line is a set-up."""
 
     def __init__(self, problem: str, line: bytes = b"") -> None:
         super().__init__(problem)
@@ -78,8 +84,11 @@
         raise BadLineError("not JSON", line) from None
     if not isinstance(record, dict):
         raise BadLineError("not an object", line)
-    verb, tag, opts = record.get("verb"), record.get("tag"), record.get("opts")
-    rc, blob = record.get("rc"), record.get("blob")
+    verb = record.get("verb")
+    tag = record.get("tag")
+    opts = record.get("opts")
+    rc = record.get("rc")
+    blob = record.get("blob")
     if not isinstance(verb, str):
         raise BadLineError("verb: not text", line)
     if not isinstance(tag, str) or not TAG_PATTERN.match(tag):
@@ -143,7 +152,8 @@
 
     def _overflow(self, line: bytes, lines: list[tuple[bytes, bool]]) -> None:
         """Ends the stream: guards against endless lines, as nothing after an overlong one can be trusted."""
-        self.overflowed, self._partial_line = True, b""
+        self.overflowed = True
+        self._partial_line = b""
         lines.append((line[: self._limit], True))
 
     @property
@@ -163,7 +173,8 @@
     read_ahead_bytes = 0  # reading pauses once this much waits to be handled
 
     def __init__(self, clock: Clock, deadlines: Deadlines, max_line_bytes: int = MAX_LINE_BYTES) -> None:
-        self.clock, self.deadlines = clock, deadlines
+        self.clock = clock
+        self.deadlines = deadlines
         self.splitter = LineSplitter(max_line_bytes)
         self.alive = False
         self.peer_closed = False  # lines read before the close are still handled
@@ -183,6 +194,7 @@
         self.on_open()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Queues the lines that the data completes, and handles as many as one iteration may."""
         if self.alive and not self.closing:
             self.read_count += 1
             lines = self.on_lines_read(self.splitter.feed(data))
@@ -244,6 +256,7 @@
             log.exception("%s: exception while handling a line", self.peer)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
+        """Handles the lines that were read before the close, then calls `released` and `on_close`."""
         if self._next_iteration is not None:
             self._next_iteration.cancel()
         self.peer_closed = True
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -50,10 +50,14 @@
 
 
 class Wire:
-    """One end of an in-memory connection; written data is delivered by `World.settle`."""
+    """One end of an in-memory connection: the transport of a Twisted protocol or of an `Actor`.
+
+    Written data is delivered by `World.settle`."""
 
     def __init__(self, world: World, protocol: Any) -> None:
-        self.world, self.protocol, self.open = world, protocol, True
+        self.world = world
+        self.protocol = protocol
+        self.open = True
         self.other: Wire | None = None
         self.producer: Any = None
         self.paused = False
@@ -65,6 +69,7 @@
             self.world.later.append(lambda: other.deliver(data))
 
     def deliver(self, data: bytes) -> None:
+        """Passes data to the protocol of this end, or keeps it while reading is paused."""
         if self.paused:
             self.unread.append(data)
             return
@@ -90,6 +95,7 @@
             self.world.later.append(partial(self.deliver, data))
 
     def loseConnection(self) -> None:  # noqa: N802 (Twisted's name)
+        """Closes both ends; their protocols learn of it in `World.settle`."""
         for end in (self, self.other):
             if end is not None and end.open:
                 end.open = False
@@ -112,7 +118,8 @@
     """The part of a Twisted reactor that the agent uses."""
 
     def __init__(self, world: World) -> None:
-        self.world, self.stopped = world, False
+        self.world = world
+        self.stopped = False
         self.factory: Any = None
         self.operator_port: Any = None
         self.adopted: int | None = None
@@ -129,7 +136,8 @@
         return self
 
     def adoptStreamPort(self, descriptor: int, family: int, factory: Any) -> Reactor:  # noqa: N802
-        self.adopted, self.factory = descriptor, factory
+        self.adopted = descriptor
+        self.factory = factory
         return self
 
     def listenUDP(self, port: int, protocol: Any, **more: Any) -> None:  # noqa: N802
@@ -137,6 +145,7 @@
         protocol.transport = self.world.actors["p1"]
 
     def connectTCP(self, host: str, port: int, factory: Any, **more: Any) -> Any:  # noqa: N802
+        """Dials in `World.settle`, and returns a connector as Twisted does."""
         self.world.later.append(lambda: self.world.dialed(f"{host}:{port}", factory))
         connector = type(
             "Connector",
@@ -160,7 +169,8 @@
     """A scripted party that speaks JSON lines; for other codecs, override `read` and `encode`."""
 
     def __init__(self, world: World, name: str) -> None:
-        self.world, self.name = world, name
+        self.world = world
+        self.name = name
         self.wires: list[Any] = []
         self.received_on: Any = None  # the connection of the last message
         self.set_up_wires: dict[str, Any] = {}  # the connection of each set-up
@@ -175,6 +185,7 @@
         self.lines = jsonl.LineSplitter()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Adds each message to the inbox, and notes the connection on which a set-up arrived."""
         for line, _ in self.lines.feed(data):
             received = self.read(line)
             self.inbox.append(received)
@@ -187,6 +198,7 @@
             self.inbox.append({"": "closed"})
 
     def read(self, line: bytes) -> MessageFields:
+        """Returns the fields of a received message, with its verb under the empty name."""
         if line.startswith(b"from"):
             return {"": line.decode()}
         message = jsonl.decode(line)
@@ -195,6 +207,7 @@
         return {**received, **({} if message.blob is None else {"blob": message.blob})}
 
     def encode(self, text: str) -> bytes:
+        """Encodes MESSAGE of a `send` step: `VERB TAG FIELD=VALUE ...`, a line of the bus, or `raw BYTES`."""
         if text.startswith("raw "):
             return text[4:].encode().decode("unicode_escape").encode("latin-1")
         verb, _, rest = text.partition(" ")
@@ -202,10 +215,12 @@
             return text.encode() + b"\n"
         tag, _, rest = rest.partition(" ")
         opts = dict(pair.split("=", 1) for pair in rest.split())
-        rc, blob = opts.pop("rc", None), opts.pop("blob", "sdp" if verb.startswith("START") else None)
+        rc = opts.pop("rc", None)
+        blob = opts.pop("blob", "sdp" if verb.startswith("START") else None)
         return jsonl.Message(verb, tag.zfill(16), opts, None if rc is None else int(rc), blob).encode()
 
     def send(self, text: str) -> None:
+        """Performs a `send` step: writes a message, or changes the state of the party."""
         if text in ("alive", "mute", "unmute", "late"):
             self.state = text
             return
@@ -231,6 +246,7 @@
         self.inbox.append({"": datagram.hex(), "to": f"{address[0]}:{address[1]}"})
 
     def matches(self, received: MessageFields, text: str) -> bool:
+        """Whether a message has the verb, the tag and the fields that `text` names."""
         verb, _, rest = text.partition(" ")
         tag = ""
         if rest and "=" not in rest.split(" ")[0]:
@@ -247,6 +263,7 @@
         return received[""] == "FINISHED"
 
     def expect(self, text: str) -> None:
+        """Performs an `expect` step: removes the message from the inbox, or raises AssertionError."""
         while self.inbox and self.may_be_skipped(self.inbox[0]) and not self.matches(self.inbox[0], text):
             self.inbox.pop(0)
         if text == "nothing":
@@ -257,10 +274,12 @@
         self.inbox.pop(0)
 
     def close(self, how: str) -> None:
+        """Performs a `close` step; `how` becomes the state of the party, which answers later dials."""
         self.state = how or self.state
         if how.startswith("but="):
             # The process is dead, but one of its connections stays open.
-            self.state, stays = "dead", self.set_up_wires[how[4:]]
+            self.state = "dead"
+            stays = self.set_up_wires[how[4:]]
             for wire in [wire for wire in self.wires if wire is not stays]:
                 self.wires.remove(wire)
                 wire.protocol = ClosedEnd()
@@ -270,7 +289,8 @@
             for wire in self.wires:
                 ours, theirs = socket.socketpair()
                 theirs.close()
-                wire.other.fileno, wire.other.kept = ours.fileno, ours
+                wire.other.fileno = ours.fileno
+                wire.other.kept = ours
             return
         stay = how in ("silent", "full")
         wires, self.wires = ([], self.wires) if stay else (self.wires, [])
@@ -288,14 +308,16 @@
 
     def __init__(self, record: dict[str, Any]) -> None:
         self.dials = 0
-        self.held_dials: dict[str, list[Callable[[], Any]]] = {}
-        self.record, self.clock = record, ManualClock(START_MS)
-        self.later: list[Callable[[], Any]] = []
+        self.held_dials: dict[str, list[Callable[[], Any]]] = {}  # those to parties that are `late`
+        self.record = record
+        self.clock = ManualClock(START_MS)
+        self.later: list[Callable[[], Any]] = []  # deliveries and dials due in the next `settle`
         self.actors = {name: self.actor(self, name) for name in ("c1", "c2", "s0", "s1", "bus", "bus2", "p1")}
         self.reactor = self.reactor_kind(self)
         self.begin()
 
     def begin(self) -> None:
+        """Starts the agent; subclasses prepare their parties first."""
         self.agent = self.make_agent()
         self.agent.start()
         self.settle()
@@ -310,16 +332,21 @@
             self.agent.deadlines.run(self.clock.now())
 
     def join(self, actor: Actor, protocol: Any) -> None:
-        ours, theirs = Wire(self, protocol), Wire(self, actor)
-        ours.other, theirs.other = theirs, ours
+        """Connects a party with a protocol of the agent."""
+        ours = Wire(self, protocol)
+        theirs = Wire(self, actor)
+        ours.other = theirs
+        theirs.other = ours
         actor.connect(theirs)
         protocol.makeConnection(ours)
 
     def accept(self, actor: Actor) -> None:
+        """A party connects to the agent's listening port."""
         assert self.reactor.factory is not None, "nobody listens"
         self.join(actor, self.reactor.factory.buildProtocol(None))
 
     def dialed(self, address: str, factory: Any) -> None:
+        """The agent has dialed: the party at the address accepts, refuses or ignores it, by its state."""
         actor = self.actors[self.addresses[address]]
         self.dials += 1
         if actor.state == "late":
@@ -330,6 +357,7 @@
             self.join(actor, factory.buildProtocol(None))
 
     def wait(self, ms: float) -> None:
+        """Advances the clock by `ms`, and runs each deadline of the agent at its own time."""
         end = self.clock.at + ms
         while (at := self.agent.deadlines.next_ms()) is not None and at <= end:
             self.clock.at = max(self.clock.at, at)
@@ -370,6 +398,7 @@
             self.agent.reload()
 
     def step(self, line: str) -> None:
+        """Performs one step of a script. Raises AssertionError if an expectation is not met."""
         verb, who, rest = (*line.split(" ", 2), "")[:3]
         match verb, who:
             case "wait", _:
@@ -430,10 +459,11 @@
 def host(
     number: int, health: str = "ready", born: float = 0.0, dial: int | None = None, name: str = ""
 ) -> dict[str, Any]:
-    at = f"10.0.0.{(number if dial is None else dial) + 1}:1"
+    """A server's entry in an event of the bus; `dial` is the number in its dial address, if another one."""
+    dial_address = f"10.0.0.{(number if dial is None else dial) + 1}:1"
     return {
         "host": name or f"h{number}",
-        "dial": at,
+        "dial": dial_address,
         "site": "east",
         "class": "std",
         "block": number,
@@ -444,6 +474,7 @@
 
 
 def event(offset: int, *hosts: dict[str, Any], whole: bool = False) -> str:
+    """An event of the bus as a line of JSON; `whole` if it carries the complete list."""
     return orjson.dumps(
         {"offset": offset, "topology": {"seq": offset, "whole": whole, "hosts": list(hosts)}}
     ).decode()
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -21,7 +21,8 @@
 from tests import diameter, test_diameter, test_platform
 from tests.scenario import Actor, Reactor, World, event, host, platform, play
 
-ITERATIONS, MAX_STEPS = 8, 400  # reactor iterations per step; steps to wait for a message
+ITERATIONS = 8  # reactor iterations per step
+MAX_STEPS = 400  # steps to wait for a message
 
 
 class SocketWire(protocol.Protocol):
@@ -64,6 +65,7 @@
             self.closed_port = closed.getsockname()[1]
 
     def port_of(self, name: str) -> int:
+        """Returns the port of a party, which listens from the first call on."""
         actor = self.world.actors[name]
         if actor.state == "dead":
             return int(self.closed_port)
@@ -90,6 +92,7 @@
     reactor_kind: type[Reactor] = LoopbackReactor
 
     def settle(self: Any) -> None:
+        """Iterates the reactor a fixed number of times, which may not be enough: see `step`."""
         for _ in range(ITERATIONS):
             self.reactor.real.iterate(0.001)
             self.agent.deadlines.run(self.clock.now())
@@ -104,6 +107,7 @@
             self.settle()
 
     def step(self: Any, line: str) -> None:
+        """Performs a step; for an expected message, first waits until one has arrived."""
         for _ in range(MAX_STEPS if line.startswith("expect") and "nothing" not in line else 0):
             who = line.split()[1]
             if who == "agent" or any(
@@ -206,7 +210,8 @@
         del record["bus"], record["peer_listen"]
         record.update(listen=f"{listen[0]}:{listen[1]}", known={"offset": 1, "batch": [first]})
         (tmp_path / "config.json").write_text(json.dumps(record), encoding="utf-8")
-        operator_ports, programs = [], []
+        operator_ports = []
+        programs = []
         for _ in range(2):
             with socket.socket() as free:
                 free.bind(("127.0.0.1", 0))
