--- a/frostport/diameter/avp.py
+++ b/frostport/diameter/avp.py
@@ -11,27 +11,65 @@
 from enum import Enum
 from typing import Any
 
-VERSION, HEADER_BYTES, MAX_MESSAGE_BYTES = 1, 20, 64 * 1024
+VERSION = 1
+HEADER_BYTES = 20
+MAX_MESSAGE_BYTES = 64 * 1024
+
 # Command flags: the R, P, E and T bits of the message header
-REQUEST, PROXIABLE, ERROR, RETRANSMITTED = 0x80, 0x40, 0x20, 0x10
-VENDOR, MANDATORY = 0x80, 0x40  # AVP flags: the V and M bits
-RESERVED_HEADER_BITS, RESERVED_AVP_BITS = 0x0F, 0x1F
+REQUEST = 0x80
+PROXIABLE = 0x40
+ERROR = 0x20
+RETRANSMITTED = 0x10
+RESERVED_HEADER_BITS = 0x0F
+
+# AVP flags: the V and M bits
+VENDOR = 0x80
+MANDATORY = 0x40
+RESERVED_AVP_BITS = 0x1F
 
 # Command codes, under the first two letters of the RFCs' abbreviations
-CE, AS, CC, DW, DP = 257, 274, 272, 280, 282
-BASE, CREDIT_CONTROL = 0, 4  # Application Ids
+CE = 257
+AS = 274
+CC = 272
+DW = 280
+DP = 282
+
+# Application Ids
+BASE = 0
+CREDIT_CONTROL = 4
 
 # Values of Result-Code
 SUCCESS = 2001
-COMMAND_UNSUPPORTED, UNABLE_TO_DELIVER, TOO_BUSY = 3001, 3002, 3004
-APPLICATION_UNSUPPORTED, INVALID_HDR_BITS, INVALID_AVP_BITS, UNKNOWN_PEER = 3007, 3008, 3009, 3010
-AVP_UNSUPPORTED, UNKNOWN_SESSION_ID, INVALID_AVP_VALUE, MISSING_AVP = 5001, 5002, 5004, 5005
-AVP_OCCURS_TOO_MANY_TIMES, NO_COMMON_APPLICATION, UNABLE_TO_COMPLY = 5009, 5010, 5012
+COMMAND_UNSUPPORTED = 3001
+UNABLE_TO_DELIVER = 3002
+TOO_BUSY = 3004
+APPLICATION_UNSUPPORTED = 3007
+INVALID_HDR_BITS = 3008
+INVALID_AVP_BITS = 3009
+UNKNOWN_PEER = 3010
+AVP_UNSUPPORTED = 5001
+UNKNOWN_SESSION_ID = 5002
+INVALID_AVP_VALUE = 5004
+MISSING_AVP = 5005
+AVP_OCCURS_TOO_MANY_TIMES = 5009
+NO_COMMON_APPLICATION = 5010
+UNABLE_TO_COMPLY = 5012
 INVALID_AVP_LENGTH = 5014
 
-INITIAL, UPDATE, TERMINATION, EVENT = 1, 2, 3, 4  # CC-Request-Type
-REBOOTING, BUSY, DO_NOT_WANT_TO_TALK = 0, 1, 2  # Disconnect-Cause
-LOGOUT, ADMINISTRATIVE = 1, 4  # Termination-Cause
+# Values of CC-Request-Type
+INITIAL = 1
+UPDATE = 2
+TERMINATION = 3
+EVENT = 4
+
+# Values of Disconnect-Cause
+REBOOTING = 0
+BUSY = 1
+DO_NOT_WANT_TO_TALK = 2
+
+# Values of Termination-Cause
+LOGOUT = 1
+ADMINISTRATIVE = 4
 
 
 class DataFormat(Enum):
@@ -116,7 +154,8 @@
 
     def __init__(self, result_code: int, problem: str, failed_avp: bytes = b"") -> None:
         super().__init__(problem)
-        self.result_code, self.failed_avp = result_code, failed_avp
+        self.result_code = result_code
+        self.failed_avp = failed_avp
 
 
 class StreamError(Exception):
@@ -149,7 +188,8 @@
         if len(head) < 8:
             raise AvpError(INVALID_AVP_LENGTH, "AVP header cut off", head.ljust(8, b"\0"))
         code, word = struct.unpack("!II", head)
-        flags, length = word >> 24, word & 0xFFFFFF
+        flags = word >> 24
+        length = word & 0xFFFFFF
         header_bytes = 12 if flags & VENDOR else 8
         if length < header_bytes or offset + length > len(data):
             # Guards against a wrong AVP length: the Failed-AVP holds the AVP's header and as many zero bytes
@@ -357,7 +397,8 @@
         frames = []
         while len(self._buffer) >= 4:
             word = int.from_bytes(self._buffer[:4], "big")
-            version, length = word >> 24, word & 0xFFFFFF
+            version = word >> 24
+            length = word & 0xFFFFFF
             if version != VERSION:
                 raise StreamError(f"version {version}")
             if length < HEADER_BYTES or length % 4 or length > MAX_MESSAGE_BYTES:
--- a/frostport/diameter/front.py
+++ b/frostport/diameter/front.py
@@ -101,7 +101,10 @@
         """`numbers` has the servers' numbers by host, for set-ups that name one in Destination-Host.
         `closed_by_peer` asks the system whether the other side of a transport has closed."""
         super().__init__(identity, broker.clock, broker.deadlines, interval_ms, rng)
-        self.broker, self.lifecycle, self.numbers, self.gate = broker, lifecycle, numbers, gate
+        self.broker = broker
+        self.lifecycle = lifecycle
+        self.numbers = numbers
+        self.gate = gate
         self.closed_by_peer = closed_by_peer
         self.connections_by_admission: dict[int, PeerConnection] = {}
         self.sessions: dict[str, Session] = {}
@@ -123,10 +126,8 @@
         if verdict.admission is None:
             return None
         connection = self.make_connection()
-        connection.accepted_slot, connection.admission = (
-            self.accepted_connections.add(connection),
-            verdict.admission,
-        )
+        connection.accepted_slot = self.accepted_connections.add(connection)
+        connection.admission = verdict.admission
         self.connections_by_admission[verdict.admission.number] = connection
         return connection
 
@@ -398,7 +399,8 @@
     def call_ended(
         self, call: str, connection_id: int, outcome: Outcome, recorded_answer: RecordedAnswer | None = None
     ) -> None:
-        session, now = self.sessions.get(call), self.clock.now()
+        session = self.sessions.get(call)
+        now = self.clock.now()
         client = session.client if session is not None else ""
         self._schedule_removal(call)
         self._add_release(call, client, outcome, now)
--- a/frostport/diameter/peer.py
+++ b/frostport/diameter/peer.py
@@ -129,10 +129,15 @@
         dialed_host: str,
         next_id: Callable[[], int],
     ) -> None:
-        self.identity, self.handler, self.clock, self.deadlines = identity, handler, clock, deadlines
-        self.dialed_host, self.next_id = dialed_host, next_id  # "" on an accepted connection
+        self.identity = identity
+        self.handler = handler
+        self.clock = clock
+        self.deadlines = deadlines
+        self.dialed_host = dialed_host  # "" on an accepted connection
+        self.next_id = next_id
         self.state = ConnectionState.CLOSED
-        self.host, self.realm = dialed_host or "?", ""
+        self.host = dialed_host or "?"
+        self.realm = ""
         self.state_id: int | None = None  # the peer's Origin-State-Id
         self.process_since_ms = 0.0  # the peer's process is known to be the same since then, ms
         self.slot = self.accepted_slot = -1  # among open connections, among accepted ones; -1: none
@@ -360,13 +365,17 @@
 
     def _handle_cer(self, message: Message) -> None:
         host = str(message.get(avp.ORIGIN_HOST))
-        result, error = avp.SUCCESS, ""
+        result = avp.SUCCESS
+        error = ""
         if self.state is not ConnectionState.WAIT_CER:
-            result, error = avp.UNABLE_TO_COMPLY, "capabilities are exchanged already"
+            result = avp.UNABLE_TO_COMPLY
+            error = "capabilities are exchanged already"
         elif not self.handler.is_known_peer(host):
-            result, error = avp.UNKNOWN_PEER, f"unknown peer {host}"
+            result = avp.UNKNOWN_PEER
+            error = f"unknown peer {host}"
         elif not has_common_application(message):
-            result, error = avp.NO_COMMON_APPLICATION, "credit control is spoken here"
+            result = avp.NO_COMMON_APPLICATION
+            error = "credit control is spoken here"
         self.reply(message, result, self.identity.capability_avps()[2:], error)
         if result == avp.SUCCESS:
             self._enter_open(message)
@@ -375,7 +384,8 @@
             self.close_gracefully()
 
     def _handle_cea(self, message: Message) -> None:
-        result, host = message.get(avp.RESULT_CODE), str(message.get(avp.ORIGIN_HOST))
+        result = message.get(avp.RESULT_CODE)
+        host = str(message.get(avp.ORIGIN_HOST))
         if self.state is not ConnectionState.WAIT_CEA:
             return
         if result != avp.SUCCESS or host != self.dialed_host or not has_common_application(message):
@@ -387,7 +397,8 @@
     def _enter_open(self, message: Message) -> None:
         if self._timeout is not None:
             self._timeout.cancel()
-        self.host, self.realm = str(message.get(avp.ORIGIN_HOST)), str(message.get(avp.ORIGIN_REALM) or "")
+        self.host = str(message.get(avp.ORIGIN_HOST))
+        self.realm = str(message.get(avp.ORIGIN_REALM) or "")
         self.state_id = message.get(avp.ORIGIN_STATE_ID)
         self.state = ConnectionState.OPEN
         self.handler.on_open(self)
@@ -441,8 +452,11 @@
         interval_ms: float,
         rng: random.Random,
     ) -> None:
-        self.identity, self.clock, self.deadlines = identity, clock, deadlines
-        self.interval_ms, self.rng = interval_ms, rng
+        self.identity = identity
+        self.clock = clock
+        self.deadlines = deadlines
+        self.interval_ms = interval_ms
+        self.rng = rng
         self.connections: Slots[PeerConnection] = Slots()
         self.peers: dict[str, Peer] = {}
         self._last_id = rng.getrandbits(32)
--- a/frostport/diameter/route.py
+++ b/frostport/diameter/route.py
@@ -72,7 +72,9 @@
         connect: Callable[[str, PeerConnection], defer.Deferred[object]],
     ) -> None:
         super().__init__(identity, broker.clock, broker.deadlines, interval_ms, rng)
-        self.broker, self.front, self.connect = broker, front, connect
+        self.broker = broker
+        self.front = front
+        self.connect = connect
         self.sessions_lost_ms = sessions_lost_ms
         self.servers: dict[str, ServerPeer] = {}
         self.version = 0
@@ -138,7 +140,8 @@
         server = self.servers[connection.host]
         if server.sessions_lost_timer is not None:
             server.sessions_lost_timer.cancel()
-        before, server.state_id = server.state_id, connection.state_id
+        before = server.state_id
+        server.state_id = connection.state_id
         # The same Origin-State-Id means that it is the same process (RFC 6733, section 8.16).
         same_process = before is not None and before == connection.state_id
         connection.process_since_ms = 0.0 if same_process else self.clock.now()
@@ -152,7 +155,8 @@
         self.broker.recorder.record_peer(server.host, connection.state_id, server.started_ms)
         server.dialing = None
         super().on_open(connection)
-        releases, server.pending_releases = server.pending_releases, []
+        releases = server.pending_releases
+        server.pending_releases = []
         for call in releases:
             self._send_termination(server, call)
             self.broker.recorder.clear_pending_release(server.host, call)
@@ -181,7 +185,8 @@
 
     def connection_lost(self, peer: Peer, connection: PeerConnection) -> None:
         server = self.servers[peer.host]
-        attempts, server.open_attempts = server.open_attempts, {}
+        attempts = server.open_attempts
+        server.open_attempts = {}
         self.announce(server, Lifecycle.DRAINING)
         for attempt in attempts.values():
             self._queue_release(server, attempt.request.id)  # the answer may be lost
@@ -207,7 +212,8 @@
         `peers` has each server's Origin-State-Id and start, ms, by host; `releases` are (host, call)."""
         for host, (state_id, started_ms) in peers.items():
             if host in self.servers:
-                self.servers[host].state_id, self.servers[host].started_ms = state_id, started_ms
+                self.servers[host].state_id = state_id
+                self.servers[host].started_ms = started_ms
         for host, call in releases:
             if host in self.servers:
                 self._queue_release(self.servers[host], call)
@@ -286,7 +292,8 @@
 
     def send(self, attempt: Attempt) -> None:
         """Sends an attempt as a CCR-Initial; it fails at once if the server is not connected."""
-        server, request = self.servers[attempt.server], attempt.request
+        server = self.servers[attempt.server]
+        request = attempt.request
         connection = server.open_connection()
         if connection is None:
             self.broker.attempt_ended(attempt, Outcome.CONNECT_FAILED)
--- a/frostport/diameter/watchdog.py
+++ b/frostport/diameter/watchdog.py
@@ -38,15 +38,21 @@
     ) -> None:
         """`interval_ms` is Tw. `send_request` sends a Device-Watchdog-Request, `close_connection` closes the
         connection of the peer, `on_change` gets the state before and after."""
-        self.clock, self.deadlines, self.interval_ms, self.rng = clock, deadlines, interval_ms, rng
-        self.send_request, self.close_connection, self.on_change = send_request, close_connection, on_change
+        self.clock = clock
+        self.deadlines = deadlines
+        self.interval_ms = interval_ms
+        self.rng = rng
+        self.send_request = send_request
+        self.close_connection = close_connection
+        self.on_change = on_change
         self.state = WatchdogState.INITIAL
         self.pending = False  # a watchdog request is unanswered
         self.answer_count = 0  # NumDWA: answers in REOPEN, or -1 after one was missed
         self._timer: Deadline | None = None
 
     def _enter(self, state: WatchdogState) -> None:
-        before, self.state = self.state, state
+        before = self.state
+        self.state = state
         if before is not state:
             self.on_change(before, state)
 
--- a/frostport/state/recorder.py
+++ b/frostport/state/recorder.py
@@ -58,7 +58,9 @@
     """Writes a record for each change; a record is deleted when the part that reported it clears it."""
 
     def __init__(self, sink: Sink, clock: Clock, on_failure: OnFailure = OnFailure.REFUSE) -> None:
-        self.sink, self.clock, self.on_failure = sink, clock, on_failure
+        self.sink = sink
+        self.clock = clock
+        self.on_failure = on_failure
         self.handover: Predecessor | None = None  # set while a predecessor still writes to the store
         self._deferred_deletions: list[str] = []  # ids of calls forgotten during the handover
         self.store_open = True  # whether the store works and answers in time
--- a/frostport/state/records.py
+++ b/frostport/state/records.py
@@ -8,8 +8,14 @@
 
 import msgspec
 
-CALL, SERVER, BUDGET, OWED, RELEASE, PEER = "call/", "server/", "budget/", "owed/", "release/", "peer/"
-BUS, NODE = "bus", "node"
+CALL = "call/"
+SERVER = "server/"
+BUDGET = "budget/"
+OWED = "owed/"
+RELEASE = "release/"
+PEER = "peer/"
+BUS = "bus"
+NODE = "node"
 KEY_SEPARATOR = "\0"  # between the two parts of a compound key
 
 
--- a/frostport/state/recovery.py
+++ b/frostport/state/recovery.py
@@ -30,9 +30,11 @@
 def recorded_answer(record: Standing | Over) -> RecordedAnswer | None:
     """Returns the answer for a client that repeats its set-up, None if the record keeps none."""
     if isinstance(record, Standing):
-        body, at = record.answer, record.at
+        body = record.answer
+        at = record.at
     elif record.answered_at:
-        body, at = record.body, record.answered_at
+        body = record.body
+        at = record.answered_at
     else:
         return None
     return RecordedAnswer(
@@ -112,7 +114,8 @@
                 restored.releases[record.server, name] = None
             if now_ms - at > ENDED_CALL_RETENTION_MS:
                 return False
-            record.at, record.not_before = at, record.not_before + shift
+            record.at = at
+            record.not_before = record.not_before + shift
             record.answered_at += shift if record.answered_at else 0.0
             restored.over[name] = record
         case records.Owed():
@@ -143,7 +146,8 @@
             team, _, service = name.partition(KEY_SEPARATOR)
             restored.budgets[team, service] = (record.tokens, at)
         case records.Bus():
-            restored.offset, restored.version = record.offset, record.version
+            restored.offset = record.offset
+            restored.version = record.version
         case records.PeerState():
             restored.peers[name] = (
                 None if record.state_id < 0 else record.state_id,
--- a/frostport/store/committer.py
+++ b/frostport/store/committer.py
@@ -33,7 +33,8 @@
 NEARLY_FULL_RATIO = 0.9  # of `store_bytes`; above it no new call is accepted
 MAX_QUEUED_CHANGES = 100_000  # changes queued behind a hanging disk; past it the store is failed
 MAX_UNWRITTEN_KEYS = 200_000  # keys kept in memory while the store is failed; past it only a restart helps
-RETRY_MS, MAX_RETRY_MS = 1000.0, 30_000.0  # delay before the first and at most before any retry
+RETRY_MS = 1000.0  # delay before the first retry; doubled for each further one
+MAX_RETRY_MS = 30_000.0  # most delay before a retry
 # After a commit, one background step runs, and one more for each so many changes in it.
 CHANGES_PER_BACKGROUND_STEP = 16
 
@@ -122,8 +123,13 @@
         interval_ms: float = 100.0,
         stall_ms: float = 1000.0,
     ) -> None:
-        self.engine, self.worker, self.clock, self.deadlines = engine, worker, clock, deadlines
-        self.durability, self.interval_ms, self.stall_ms = durability, interval_ms, stall_ms
+        self.engine = engine
+        self.worker = worker
+        self.clock = clock
+        self.deadlines = deadlines
+        self.durability = durability
+        self.interval_ms = interval_ms
+        self.stall_ms = stall_ms
         self.state = State.OPEN
         self.on_state_change: Callable[[State, str], None] = lambda state, reason: None
         self.commits = self.written = 0
@@ -188,7 +194,8 @@
             return
         groups, count = self._take_queue()
         self._running_groups = groups
-        self._running_callbacks, self._queued_callbacks = self._queued_callbacks, []
+        self._running_callbacks = self._queued_callbacks
+        self._queued_callbacks = []
         self._commit_started_at = self.clock.now()
         sync = self.durability is Durability.ALWAYS or (self.durability is Durability.INTERVAL and not groups)
         self._unsynced = bool(groups) and not sync
@@ -202,12 +209,10 @@
         self.worker.submit(job)
 
     def _take_queue(self) -> tuple[list[Sequence[Change]], int]:
-        groups, count, self._queued_groups, self._queued_changes = (
-            self._queued_groups,
-            self._queued_changes,
-            [],
-            0,
-        )
+        groups = self._queued_groups
+        count = self._queued_changes
+        self._queued_groups = []
+        self._queued_changes = 0
         return groups, count
 
     def _start_background_work(self, steps: int) -> None:
@@ -234,12 +239,15 @@
     def _on_commit_done(self, result: CommitResult, count: int) -> None:
         if self.state is State.CLOSED:
             return
-        callbacks, self._running_callbacks = self._running_callbacks or [], None
-        groups, self._running_groups = self._running_groups, []
+        callbacks = self._running_callbacks or []
+        self._running_callbacks = None
+        groups = self._running_groups
+        self._running_groups = []
         if self._stall_timer is not None:
             self._stall_timer.cancel()
             self._stall_timer = None
-        self.commits, self.written = self.commits + 1, self.written + count
+        self.commits = self.commits + 1
+        self.written = self.written + count
         if result.failure is not None:
             self._queued_callbacks[:0] = callbacks
             self._running_groups = groups
@@ -295,7 +303,8 @@
             self._stop_retrying(f"{len(self._unwritten)} records changed since it failed")
 
     def _stop_retrying(self, reason: str) -> None:
-        self._unwritten, self._unrecoverable_reason = {}, reason
+        self._unwritten = {}
+        self._unrecoverable_reason = reason
         log.error("store: unusable until a restart: %s", reason)
 
     def _schedule_retry(self) -> None:
@@ -308,14 +317,17 @@
         self._retry_timer = None
         if self.state is not State.FAILED or self._unrecoverable_reason:
             return
-        unwritten, self._unwritten = self._unwritten, {}
+        unwritten = self._unwritten
+        self._unwritten = {}
 
         def job() -> Callable[[], None]:
-            reason, permanent = "", False
+            reason = ""
+            permanent = False
             try:
                 self.engine = self.engine.reopen(list(unwritten.items()))
             except (DamagedError, UnknownFormatError, LimitError) as problem:
-                reason, permanent = str(problem), True
+                reason = str(problem)
+                permanent = True
             except OSError as problem:
                 reason = str(problem)  # for instance, the disk is still full
             except Exception as problem:
@@ -327,7 +339,8 @@
     def _on_reopened(self, unwritten: dict[str, bytes | None], reason: str, permanent: bool) -> None:
         if self.state is not State.FAILED:
             return
-        changed_since, self._unwritten = self._unwritten, {}
+        changed_since = self._unwritten
+        self._unwritten = {}
         if permanent:
             self._stop_retrying(reason)
         elif reason:
@@ -340,11 +353,10 @@
             self.write(list(changed_since.items()))
 
     def _run_callbacks(self) -> None:
-        callbacks, self._running_callbacks = (
-            self._running_callbacks,
-            None if self._running_callbacks is None else [],
-        )
-        waiting, self._queued_callbacks = [*(callbacks or ()), *self._queued_callbacks], []
+        callbacks = self._running_callbacks
+        self._running_callbacks = None if self._running_callbacks is None else []
+        waiting = [*(callbacks or ()), *self._queued_callbacks]
+        self._queued_callbacks = []
         for callback in waiting:
             run_callback(callback)
 
@@ -407,7 +419,8 @@
     more_work = True
     try:
         while more_work and steps > 0:
-            more_work, steps = engine.run_background_step(), steps - 1
+            more_work = engine.run_background_step()
+            steps = steps - 1
     except Exception as problem:
         return CommitResult(failure=record_failure(engine, problem))
     return CommitResult(more_work=more_work)
--- a/frostport/store/engine.py
+++ b/frostport/store/engine.py
@@ -26,13 +26,17 @@
 
 # The log's size is at most MAX_SPACE_RATIO times the live bytes plus MAX_SPACE_SEGMENTS segments. Cleaning
 # starts above CLEAN_RATIO times the live bytes plus CLEAN_SEGMENTS segments.
-MAX_SPACE_RATIO, MAX_SPACE_SEGMENTS = 2.5, 1.0
-CLEAN_RATIO, CLEAN_SEGMENTS = 1.5, 0.5
+MAX_SPACE_RATIO = 2.5
+MAX_SPACE_SEGMENTS = 1.0
+CLEAN_RATIO = 1.5
+CLEAN_SEGMENTS = 0.5
 # One step of cleaning copies at most so many records, and stops once it has copied so many bytes.
-CLEAN_STEP_RECORDS, CLEAN_STEP_BYTES = 64, 64 * 1024
+CLEAN_STEP_RECORDS = 64
+CLEAN_STEP_BYTES = 64 * 1024
 PROBE_NAME = "probe.new"  # a crash may leave it; the next start removes it
 # Bytes that a probe writes beyond the keys and values to be written: in all, and for each record.
-PROBE_EXTRA_BYTES, PROBE_RECORD_BYTES = 4096, 64
+PROBE_EXTRA_BYTES = 4096
+PROBE_RECORD_BYTES = 64
 CHECKPOINT_STEP_ROWS = 256  # index rows that one step of a checkpoint writes
 
 
@@ -52,8 +56,12 @@
     def __init__(
         self, folder: Folder, limits: Limits, contents: Contents, watermark: Watermark, index: Index
     ) -> None:
-        self.folder, self.limits, self.watermark, self.index = folder, limits, watermark, index
-        self.store_id, self.segments = contents.store_id, contents.segments
+        self.folder = folder
+        self.limits = limits
+        self.watermark = watermark
+        self.index = index
+        self.store_id = contents.store_id
+        self.segments = contents.segments
         self.locations = LocationMap(contents.locations)
         self.recovered = contents.values
         self.sequence = self.synced = contents.sequence
@@ -107,7 +115,8 @@
 
     def take_recovered(self) -> dict[str, bytes]:
         """Returns the recovered values and drops the engine's own reference to them."""
-        recovered, self.recovered = self.recovered, {}
+        recovered = self.recovered
+        self.recovered = {}
         return recovered
 
     def close(self, unlock: bool = True) -> None:
@@ -347,7 +356,8 @@
         """Removes the oldest segment. In this order: the copies are synced, the manifest names the next
         segment, the file is removed."""
         self.sync()
-        oldest, following = self.segments[0], self.segments[1]
+        oldest = self.segments[0]
+        following = self.segments[1]
         try:
             write_manifest(self.folder, self.store_id, following)
             if (file := self._open_files.pop(oldest.number, None)) is not None:
@@ -374,7 +384,9 @@
         self._pending_checkpoint = Checkpoint(
             self.store_id, self.sequence, active.number, active.size, len(self.locations), self.digest
         )
-        self._checkpoint_rows, self._dirty, self._changes_since_checkpoint = iter(self._dirty.items()), {}, 0
+        self._checkpoint_rows = iter(self._dirty.items())
+        self._dirty = {}
+        self._changes_since_checkpoint = 0
 
     def _checkpoint_step(self) -> None:
         assert self._checkpoint_rows is not None and self._pending_checkpoint is not None
--- a/frostport/store/errors.py
+++ b/frostport/store/errors.py
@@ -15,7 +15,9 @@
 
     def __init__(self, file: str, offset: int, problem: str) -> None:
         super().__init__(f"{file}:{offset}: {problem}" if offset >= 0 else f"{file}: {problem}")
-        self.file, self.offset, self.problem = file, offset, problem
+        self.file = file
+        self.offset = offset
+        self.problem = problem
 
 
 class UnknownFormatError(StoreError):
--- a/frostport/store/files.py
+++ b/frostport/store/files.py
@@ -86,7 +86,8 @@
         parts = []
         while size > 0 and (part := os.pread(self._descriptor, size, offset)):
             parts.append(part)
-            offset, size = offset + len(part), size - len(part)
+            offset = offset + len(part)
+            size = size - len(part)
         return b"".join(parts)
 
     def size(self) -> int:
--- a/frostport/store/follower.py
+++ b/frostport/store/follower.py
@@ -51,7 +51,8 @@
         except (FileNotFoundError, DamagedError):
             # The segment was cleaned, or truncated by a writer that recovered from a failure: reads
             # everything again and compares.
-            before, self.contents = contents.values, self._read_whole_store()
+            before = contents.values
+            self.contents = self._read_whole_store()
             after = self.contents.values
             return {
                 key: after.get(key)
--- a/frostport/store/frames.py
+++ b/frostport/store/frames.py
@@ -22,7 +22,9 @@
 SEGMENT_HEADER = struct.Struct("<8sIIQQI")  # magic, format, store, number, first sequence, crc
 WATERMARK_SLOT = struct.Struct("<8sIQI")  # magic, store, sequence, crc
 MANIFEST = struct.Struct("<8sIIQQI")  # magic, format, store, oldest segment, its first sequence, crc
-SEGMENT_MAGIC, WATERMARK_MAGIC, MANIFEST_MAGIC = b"fpseg\r\n\0", b"fpmrk\r\n\0", b"fpman\r\n\0"
+SEGMENT_MAGIC = b"fpseg\r\n\0"
+WATERMARK_MAGIC = b"fpmrk\r\n\0"
+MANIFEST_MAGIC = b"fpman\r\n\0"
 
 Change = tuple[str, bytes | None]  # a key and its new value; None deletes the key
 
@@ -79,7 +81,8 @@
     sound."""
     while (frame := decode(data, position, base)) is not None and frame.sequence == sequence:
         yield frame
-        position, sequence = position + frame.size, sequence + 1
+        position = position + frame.size
+        sequence = sequence + 1
 
 
 def pack_with_crc(layout: struct.Struct, *fields: object) -> bytes:
--- a/frostport/store/index.py
+++ b/frostport/store/index.py
@@ -150,7 +150,8 @@
             if not self.in_transaction:
                 self.database.execute("BEGIN")
                 self.in_transaction = True
-            deleted, live = [], []
+            deleted = []
+            live = []
             for key, location in rows:
                 if location is None:
                     deleted.append((key,))
@@ -179,7 +180,9 @@
             self.discard(f"not written: {problem}")
 
     def close(self) -> None:
-        database, self.database, self.in_transaction = self.database, None, False
+        database = self.database
+        self.database = None
+        self.in_transaction = False
         if database is not None:
             try:
                 database.close()
--- a/frostport/store/recovery.py
+++ b/frostport/store/recovery.py
@@ -167,7 +167,10 @@
             folder, contents, numbers_in_use, first_sequence, checkpoint, rows
         )
         if not used_index:
-            contents.segments, contents.locations, contents.values, contents.changed_keys = [], {}, {}, {}
+            contents.segments = []
+            contents.locations = {}
+            contents.values = {}
+            contents.changed_keys = {}
             contents.verified_checkpoint = contents.checkpoint = None
     if not used_index:
         contents.sequence = first_sequence - 1
@@ -204,7 +207,8 @@
 
     Only the last one may have a torn tail: each of the others was synced before its successor was created."""
     for number in numbers_in_use[skip:]:
-        name, last = frames.segment_name(number), number == numbers_in_use[-1]
+        name = frames.segment_name(number)
+        last = number == numbers_in_use[-1]
         data = read_file(folder, name)
         first_sequence = read_segment_header(folder, contents, number, data)
         if first_sequence is None and last and number != numbers_in_use[0]:
@@ -275,14 +279,13 @@
                 or (frame.sequence, frame.size) != (location[SEQUENCE], location[SIZE])
             ):
                 return False
-            contents.locations[key], contents.values[key] = location, frame.value
+            contents.locations[key] = location
+            contents.values[key] = frame.value
     if checkpoint.offset > len(data):
         return False
-    contents.sequence, segment.size, contents.verified_checkpoint = (
-        checkpoint.sequence,
-        checkpoint.offset,
-        checkpoint,
-    )
+    contents.sequence = checkpoint.sequence
+    segment.size = checkpoint.offset
+    contents.verified_checkpoint = checkpoint
     apply_batches(contents, segment, data, checkpoint.offset)
     contents.torn_bytes = len(data) - segment.size
     if number != numbers_in_use[-1]:
--- a/frostport/store/watermark.py
+++ b/frostport/store/watermark.py
@@ -35,8 +35,11 @@
     """Owns the file. `advance` is called after the log's sync and before the acknowledgement."""
 
     def __init__(self, file: File, store_id: int, sequence: int) -> None:
-        self.file, self.store_id, self.sequence = file, store_id, sequence
-        self._slot, self._writes_since_sync = 0, 0
+        self.file = file
+        self.store_id = store_id
+        self.sequence = sequence
+        self._slot = 0
+        self._writes_since_sync = 0
 
     @classmethod
     def create(cls, folder: Folder, store_id: int, sequence: int = 0) -> Watermark:
@@ -84,11 +87,13 @@
             self._slot * WATERMARK_SLOT.size,
             pack_with_crc(WATERMARK_SLOT, WATERMARK_MAGIC, self.store_id, sequence),
         )
-        self.sequence, self._writes_since_sync = sequence, self._writes_since_sync + 1
+        self.sequence = sequence
+        self._writes_since_sync = self._writes_since_sync + 1
         if self._writes_since_sync >= WRITES_PER_SYNC:
             # Guards against one crash tearing both slots: this one is durable before the other is written.
             self.file.sync()
-            self._slot, self._writes_since_sync = 1 - self._slot, 0
+            self._slot = 1 - self._slot
+            self._writes_since_sync = 0
 
     def close(self) -> None:
         self.file.close()
--- a/tests/diameter.py
+++ b/tests/diameter.py
@@ -58,12 +58,15 @@
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__(world, name)
-        self.splitter, self.last_id = MessageSplitter(), 0
+        self.splitter = MessageSplitter()
+        self.last_id = 0
         self.requests: dict[tuple[str, str], Message] = {}
-        self.bare, self.state_id = False, 1
+        self.bare = False
+        self.state_id = 1
 
     def connect(self, wire: Wire) -> None:
-        self.wires, self.splitter = [wire], MessageSplitter()
+        self.wires = [wire]
+        self.splitter = MessageSplitter()
         if self.name.startswith("c") and not self.bare:
             self.send("CER")
 
@@ -233,7 +236,8 @@
     final_answers: dict[str, int] = {}
     set_ups: dict[str, int] = {}
     for at, who, direction, message, closed_since_ms in world.log:
-        name, call = message[""], message["tag"]
+        name = message[""]
+        call = message["tag"]
         if who.startswith("c"):
             set_ups[call] = set_ups.get(call, 0) + (name == "CCR-I")
             final_answers[call] = final_answers.get(call, 0) + (name == "CCA-I")
--- a/tests/restart.py
+++ b/tests/restart.py
@@ -29,8 +29,11 @@
     """The worker of the store: runs jobs in the scenario's own event loop, or holds them back."""
 
     def __init__(self, world: Any) -> None:
-        self.world, self.jobs, self.unreported = world, list[Job](), list[Callable[[], None]]()
-        self.state, self.scheduled = "free", False
+        self.world = world
+        self.jobs = list[Job]()
+        self.unreported = list[Callable[[], None]]()
+        self.state = "free"
+        self.scheduled = False
 
     def submit(self, job: Job) -> None:
         self.jobs.append(job)
@@ -102,7 +105,8 @@
                 self.folder.fail(1, lambda: OSError(28, "No space left on device"), persistent=True)
                 return
             case ["send", "disk", "roomy"]:
-                self.folder.fails_at_operation, self.folder.persistent = -1, False
+                self.folder.fails_at_operation = -1
+                self.folder.persistent = False
             case ["send", "disk", how]:
                 self.disk.state = how
                 self.disk.schedule()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -965,7 +965,8 @@
     """Clients and servers that act at random as their protocol allows, and check what they receive."""
 
     def __init__(self, protocol: str, seed: int) -> None:
-        self.rng, self.messages = random.Random(f"{protocol} {seed}"), PROTOCOLS[protocol]
+        self.rng = random.Random(f"{protocol} {seed}")
+        self.messages = PROTOCOLS[protocol]
         record: dict[str, Any] = platform() if protocol == "platform" else diameter.config()
         world_class = PlatformRestarts if protocol == "platform" else DiameterRestarts
         self.world = world_class({**record, "chance": seed})
@@ -986,7 +987,8 @@
     def receive(self) -> None:
         while any(actor.inbox for actor in self.world.actors.values()):
             for name, actor in self.world.actors.items():
-                received, actor.inbox = actor.inbox, []
+                received = actor.inbox
+                actor.inbox = []
                 for message in received:
                     if name in self.held:
                         self.at_server(name, message)
@@ -994,7 +996,8 @@
                         self.at_client(name, message)
 
     def at_server(self, name: str, message: dict[str, str]) -> None:
-        verb, call = message[""], message.get("tag", "")
+        verb = message[""]
+        call = message.get("tag", "")
         if verb == "closed" and self.messages["asked"] == "START":
             # Its pending set-ups go on; each is answered on a later connection, and released there.
             for lost in [lost for lost, how in self.held[name].items() if how == "out"]:
@@ -1011,7 +1014,8 @@
             self.world.step(f"send {name} " + self.messages["release answer"].format(call))
 
     def at_client(self, name: str, message: dict[str, str]) -> None:
-        verb, call = message[""], message.get("tag", "")
+        verb = message[""]
+        call = message.get("tag", "")
         if verb == "closed":
             for waiting in [waiting for waiting, client in self.waiting.items() if client == name]:
                 del self.waiting[waiting]
@@ -1041,7 +1045,8 @@
         )[0]:
             case "ask":
                 self.count += 1
-                call, client = f"{self.count:x}", rng.choice(("c1", "c2"))
+                call = f"{self.count:x}"
+                client = rng.choice(("c1", "c2"))
                 self.waiting[call] = client
                 self.send(client, "ask", call, str(rng.randrange(2)))
             case "answer" if out:
@@ -1073,7 +1078,8 @@
                 self.receive()
                 self.wait(1200.0)
             case "again" if self.unsure:
-                call, client = rng.choice(sorted(self.unsure)), rng.choice(("c1", "c2"))
+                call = rng.choice(sorted(self.unsure))
+                client = rng.choice(("c1", "c2"))
                 if client == self.asker(call):
                     self.unsure.discard(call)
                     self.waiting[call] = client
--- a/tests/test_sigkill.py
+++ b/tests/test_sigkill.py
@@ -16,7 +16,8 @@
 from standins.lobby import Caller, LobbyServer, Observations, configuration
 from standins.ports import free_ports
 
-KILLS, CLIENTS = 50, 6
+KILLS = 50
+CLIENTS = 6
 TIMEOUT_S = 20.0
 # After a disk stall of stall_ms, answers are by design sent before they are recorded (see test_recovery.py).
 # These tests check the guarantees while the disk answers, however late, so no stall may be detected.
@@ -38,7 +39,8 @@
 
 async def run_with_kills(folder: pathlib.Path, seed: int) -> Observations:
     """Runs and kills the program KILLS times under load, then once more to its regular end."""
-    rng, observed = random.Random(seed), Observations()
+    rng = random.Random(seed)
+    observed = Observations()
     lobbies = [
         LobbyServer(f"h{number}", observed, random.Random(number), end_probability=0.5) for number in (0, 1)
     ]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -62,7 +62,8 @@
 def small_store() -> tuple[MemoryFolder, Model, Model]:
     """A store with several segments, a checkpoint, an unfinished cleaning and one unacknowledged batch.
     Returns its files, and the model without and with that batch."""
-    folder, model = MemoryFolder(), Model()
+    folder = MemoryFolder()
+    model = Model()
     engine = Engine.open(folder, SMALL, store_id=77)
     for number, changes in enumerate(batches(random.Random(5), 200, 40)):
         model = applied(model, changes)
@@ -201,7 +202,8 @@
     for step in range(1, complete.operations + 1):
         folder = MemoryFolder(rng=random.Random(step))
         folder.fail(step, PowerLostError)
-        progress, models = {"acknowledged": 0}, [Model()]
+        progress = {"acknowledged": 0}
+        models = [Model()]
         with pytest.raises(PowerLostError):
             run_store(folder, seed, progress, models)
         for restart in range(4):
@@ -301,7 +303,8 @@
         self.engine = Engine.open(self.folder, SMALL, store_id=9)
         contents = self.engine.take_recovered()
         assert contents in self.models[self.acknowledged :]
-        self.models, self.acknowledged = [contents], 0
+        self.models = [contents]
+        self.acknowledged = 0
 
     @invariant()
     def holds(self) -> None:
@@ -383,16 +386,21 @@
     restart after power loss brings back all that was written before the last acknowledgement, and nothing
     older."""
     rng = random.Random(seed)
-    folder, worker, revived = MemoryFolder(rng=rng), ManualWorker(), 0
+    folder = MemoryFolder(rng=rng)
+    worker = ManualWorker()
+    revived = 0
     limits = Limits(segment_bytes=2048, record_bytes=256, store_bytes=64 * 1024, checkpoint_records=20)
-    clock, deadlines = ManualClock(), Deadlines()
+    clock = ManualClock()
+    deadlines = Deadlines()
     store_committer = committer.Committer(Engine.open(folder, limits), worker, clock, deadlines, how)
-    model, acknowledged_model = Model(), Model()
+    model = Model()
+    acknowledged_model = Model()
     for _ in range(300):
         if rng.random() < 0.03:
             folder.fail(rng.randint(1, 12), lambda: OSError(28, "no space"), rng.random() < 0.5)
         if store_committer.state is committer.State.FAILED and rng.random() < 0.2:
-            folder.fails_at_operation, folder.persistent = -1, False
+            folder.fails_at_operation = -1
+            folder.persistent = False
         changes: list[frames.Change] = [
             (f"k{rng.randrange(9)}", None if rng.random() < 0.3 else rng.randbytes(20))
             for _ in range(rng.randint(1, 4))
@@ -415,7 +423,8 @@
             if store_committer.engine.synced == store_committer.engine.sequence:
                 assert reopened(folder.after_power_loss(rng)) == acknowledged_model
     assert revived > 1
-    folder.fails_at_operation, folder.persistent = -1, False
+    folder.fails_at_operation = -1
+    folder.persistent = False
     while store_committer.state is committer.State.FAILED:
         clock.at += 31_000.0
         deadlines.run(clock.at)
@@ -428,7 +437,10 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(committer, "MAX_UNWRITTEN_KEYS", 5)
-    folder, worker, clock, deadlines = MemoryFolder(), ManualWorker(), ManualClock(), Deadlines()
+    folder = MemoryFolder()
+    worker = ManualWorker()
+    clock = ManualClock()
+    deadlines = Deadlines()
     store_committer = committer.Committer(Engine.open(folder, SMALL), worker, clock, deadlines)
     folder.fail(1, lambda: OSError(28, "no space"), persistent=True)
     for number in range(8):
@@ -436,7 +448,8 @@
         clock.at += 100.0
         deadlines.run(clock.at)
         worker.run()
-    folder.fails_at_operation, folder.persistent = -1, False
+    folder.fails_at_operation = -1
+    folder.persistent = False
     clock.at += 60_000.0
     deadlines.run(clock.at)
     worker.run()
--- a/tests/test_store_commands.py
+++ b/tests/test_store_commands.py
@@ -112,7 +112,8 @@
         },
     ]
     code, out, _ = run_store_command(capsys, "compact", path)
-    before, after = int(out.split()[0]), int(out.split()[3])
+    before = int(out.split()[0])
+    after = int(out.split()[3])
     assert code == 0 and after < before / 10
     assert run_store_command(capsys, "repair", path) == (0, "sound: nothing was changed\n", "")
 
