--- a/frostport/diameter/avp.py
+++ b/frostport/diameter/avp.py
@@ -172,11 +172,12 @@
     flags: int = 0
 
     def encode(self) -> bytes:
+        """Encodes header and data, padded to a multiple of four bytes."""
         vendor = struct.pack("!I", self.vendor) if self.vendor else b""
         length = 8 + len(vendor) + len(self.data)
         flags = (self.flags & ~VENDOR) | (VENDOR if self.vendor else 0)
-        head = struct.pack("!II", self.code, flags << 24 | length)
-        return head + vendor + self.data + bytes(-length % 4)
+        header = struct.pack("!II", self.code, flags << 24 | length)
+        return header + vendor + self.data + bytes(-length % 4)
 
 
 def read_avps(data: bytes) -> list[Avp]:
@@ -184,10 +185,10 @@
     avps = []
     offset = 0
     while offset < len(data):
-        head = data[offset : offset + 8]
-        if len(head) < 8:
-            raise AvpError(INVALID_AVP_LENGTH, "AVP header cut off", head.ljust(8, b"\0"))
-        code, word = struct.unpack("!II", head)
+        header = data[offset : offset + 8]
+        if len(header) < 8:
+            raise AvpError(INVALID_AVP_LENGTH, "AVP header cut off", header.ljust(8, b"\0"))
+        code, word = struct.unpack("!II", header)
         flags = word >> 24
         length = word & 0xFFFFFF
         header_bytes = 12 if flags & VENDOR else 8
@@ -245,7 +246,9 @@
 
 
 def find_value(avps: Iterable[Avp], definition: Definition) -> Any:
-    """The value of the first AVP with this definition, or None. Raises AvpError if it is malformed."""
+    """Returns the value of the first AVP with this definition, or None.
+
+    Raises AvpError if it is malformed."""
     for avp in avps:
         if avp.code == definition.code and avp.vendor == definition.vendor:
             return value_of(definition, avp)
@@ -268,10 +271,13 @@
         return bool(self.flags & REQUEST)
 
     def get(self, definition: Definition) -> Any:
-        """Returns the value of the first AVP with this definition, or None."""
+        """Returns the value of the first AVP with this definition, or None.
+
+        Raises AvpError if it is malformed."""
         return find_value(self.avps, definition)
 
     def encode(self) -> bytes:
+        """Encodes the header and all AVPs."""
         body = b"".join(avp.encode() for avp in self.avps)
         return (
             struct.pack(
@@ -303,7 +309,7 @@
 
 
 def read_header(frame: bytes) -> Message:
-    """Reads the header only: enough to answer a message whose AVPs are malformed."""
+    """Reads the header of an undecoded message, which is enough to answer one whose AVPs are malformed."""
     _, word, application, hop_by_hop, end_to_end = struct.unpack("!IIIII", frame[:HEADER_BYTES])
     return Message(word & 0xFFFFFF, application, hop_by_hop, end_to_end, word >> 24)
 
--- a/frostport/diameter/front.py
+++ b/frostport/diameter/front.py
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """One call as its client sees it. It is kept for ANSWER_KEEP_MS after the call, for duplicates.
+    """One call as its client sees it. It is kept for ANSWER_KEEP_MS after the call, to answer duplicates.
 
     `answer` is the Result-Code and the AVPs of the final answer."""
 
@@ -92,18 +92,18 @@
         lifecycle: Lifecycle,
         identity: Identity,
         clients: list[str],
-        numbers: dict[str, int],
+        server_numbers: dict[str, int],
         interval_ms: float,
         rng: random.Random,
         gate: Gate,
         closed_by_peer: Callable[[object], bool] = lambda transport: False,
     ) -> None:
-        """`numbers` has the servers' numbers by host, for set-ups that name one in Destination-Host.
+        """`server_numbers` is keyed by host, for set-ups that name one in Destination-Host.
         `closed_by_peer` asks the system whether the other side of a transport has closed."""
         super().__init__(identity, broker.clock, broker.deadlines, interval_ms, rng)
         self.broker = broker
         self.lifecycle = lifecycle
-        self.numbers = numbers
+        self.server_numbers = server_numbers
         self.gate = gate
         self.closed_by_peer = closed_by_peer
         self.connections_by_admission: dict[int, PeerConnection] = {}
@@ -111,16 +111,19 @@
         # Unconfirmed releases: call -> (client, outcome); the client is "" if it is not known.
         self.pending_releases: dict[str, tuple[str, Outcome]] = {}
         self.aborts_sent: dict[int, str] = {}  # Hop-by-Hop Identifier of an unanswered ASR -> call
+        # OC-Sequence-Number; begins with the time in ms, above those sent before a restart
         self.overload_sequence = int(broker.clock.now())
         self.longest_deadline_ms = max(
-            (cls.deadline_ms for cls in broker.rules.settings.classes), default=0.0
+            (call_class.deadline_ms for call_class in broker.rules.settings.classes), default=0.0
         )
         self.accepted_connections: Slots[PeerConnection] = Slots()
         for host in clients:
             self.add_peer(Peer(host))
 
     def build(self, address: str) -> PeerConnection | None:
-        """A protocol for a new connection if the gate admits it; those evicted for it are closed."""
+        """Returns the protocol of a new connection, None if the gate refuses it.
+
+        Connections that the gate evicts in its favour are closed."""
         verdict = self.gate.admit(address, self.clock.now())
         self.shed(verdict.shed)
         if verdict.admission is None:
@@ -183,9 +186,9 @@
                     connection, message, avp.UNABLE_TO_COMPLY, [], "this request type is not served here"
                 )
             case _:
-                wrong = next(found for found in message.avps if found.code == avp.CC_REQUEST_TYPE.code)
+                type_avp = next(found for found in message.avps if found.code == avp.CC_REQUEST_TYPE.code)
                 connection.reply(
-                    message, avp.INVALID_AVP_VALUE, error="CC-Request-Type", failed=wrong.encode()
+                    message, avp.INVALID_AVP_VALUE, error="CC-Request-Type", failed=type_avp.encode()
                 )
 
     def handle_initial(self, connection: PeerConnection, message: Message) -> None:
@@ -194,73 +197,76 @@
         A duplicate gets the answer of the first, also after the call is over."""
         self.broker.recorder.refresh()
         session_id = str(message.get(avp.SESSION_ID))
-        known = self.sessions.get(session_id)
-        if known is not None and known.client != connection.host:
+        session = self.sessions.get(session_id)
+        if session is not None and session.client != connection.host:
             self._send_answer(
                 connection, message, avp.UNKNOWN_SESSION_ID, [], "the session is another client's"
             )
             return
         if (
-            known is not None
-            and known.answer is None
-            and len(known.waiting_requests) >= MAX_WAITING_DUPLICATES
+            session is not None
+            and session.answer is None
+            and len(session.waiting_requests) >= MAX_WAITING_DUPLICATES
         ):
             self._send_answer(connection, message, avp.TOO_BUSY, [], "too many duplicates")
             return
-        if known is not None and known.answer is None:
-            known.waiting_requests.append((connection, message))  # a duplicate: gets the same answer
+        if session is not None and session.answer is None:
+            session.waiting_requests.append((connection, message))  # a duplicate: gets the same answer
             return
-        if known is not None and known.answer is not None:
-            known.answered_on = connection
-            self._send_answer(connection, message, *known.answer)
-            if known.release_held:
-                self._end_hold(session_id, known)
+        if session is not None and session.answer is not None:
+            session.answered_on = connection
+            self._send_answer(connection, message, *session.answer)
+            if session.release_held:
+                self._end_hold(session_id, session)
             return
-        context = next(found for found in message.avps if found.code == avp.SERVICE_CONTEXT_ID.code)
-        cls = {cls.name: cls for cls in self.broker.rules.settings.classes}.get(
+        context_avp = next(found for found in message.avps if found.code == avp.SERVICE_CONTEXT_ID.code)
+        call_class = {entry.name: entry for entry in self.broker.rules.settings.classes}.get(
             str(message.get(avp.SERVICE_CONTEXT_ID)).partition("@")[0]
         )
-        if cls is None:
-            connection.reply(message, avp.INVALID_AVP_VALUE, error="no such service", failed=context.encode())
+        if call_class is None:
+            connection.reply(
+                message, avp.INVALID_AVP_VALUE, error="no such service", failed=context_avp.encode()
+            )
             return
         if not self.lifecycle.accepts_requests():
-            self.broker.metrics.deferred(cls.name)
+            self.broker.metrics.deferred(call_class.name)
             self._send_answer(connection, message, avp.TOO_BUSY, [], "going down")
             return
         if self.lifecycle.is_draining() and self._carries_calls(connection.host):
-            self.broker.metrics.deferred(cls.name)
+            self.broker.metrics.deferred(call_class.name)
             self._send_answer(connection, message, avp.TOO_BUSY, [], "draining")
             return
         if self.broker.open_count >= MAX_OPEN_SET_UPS:
-            self.broker.metrics.deferred(cls.name)
+            self.broker.metrics.deferred(call_class.name)
             self._send_answer(connection, message, avp.TOO_BUSY, [], "too many set-ups open")
             return
-        wait = message.get(avp.MAXIMUM_WAIT_TIME)
-        left = cls.deadline_ms if wait is None else float(wait)
-        if not 0.0 < left <= max(cls.deadline_ms * MAX_WAIT_FACTOR, 1.0):
-            wrong = next(found for found in message.avps if found.code == avp.MAXIMUM_WAIT_TIME.code)
+        max_wait_ms = message.get(avp.MAXIMUM_WAIT_TIME)
+        remaining_ms = call_class.deadline_ms if max_wait_ms is None else float(max_wait_ms)
+        if not 0.0 < remaining_ms <= max(call_class.deadline_ms * MAX_WAIT_FACTOR, 1.0):
+            wait_avp = next(found for found in message.avps if found.code == avp.MAXIMUM_WAIT_TIME.code)
             connection.reply(
                 message,
                 avp.INVALID_AVP_VALUE,
                 error="no time that a caller could wait",
-                failed=wrong.encode(),
+                failed=wait_avp.encode(),
             )
             return
-        called = str(message.get(avp.CALLED_STATION_ID) or "")
+        called_station = str(message.get(avp.CALLED_STATION_ID) or "")
         features = message.get(avp.OC_SUPPORTED_FEATURES)
-        vector = avp.find_value(features, avp.OC_FEATURE_VECTOR) if features is not None else 0
+        feature_vector = avp.find_value(features, avp.OC_FEATURE_VECTOR) if features is not None else 0
         self.sessions[session_id] = Session(
             connection.host,
             str(message.get(avp.ORIGIN_REALM)),
-            features is not None and bool((LOSS_ALGORITHM if vector is None else vector) & LOSS_ALGORITHM),
+            features is not None
+            and bool((LOSS_ALGORITHM if feature_vector is None else feature_vector) & LOSS_ALGORITHM),
             [(connection, message)],
         )
         request = Request(
             session_id,
-            cls.name,
-            called,
+            call_class.name,
+            called_station,
             service_avps(message),
-            self.clock.now() + left,
+            self.clock.now() + remaining_ms,
             self,
             connection.slot,
             connection.realm,
@@ -271,11 +277,11 @@
             request,
             api.CallArrived(
                 session_id,
-                cls.name,
+                call_class.name,
                 "-",
-                left,
-                self.numbers.get(str(message.get(avp.DESTINATION_HOST)), -1),
-                int.from_bytes(called.encode()[-6:], "big"),
+                remaining_ms,
+                self.server_numbers.get(str(message.get(avp.DESTINATION_HOST)), -1),
+                int.from_bytes(called_station.encode()[-6:], "big"),
             ),
         )
 
@@ -284,29 +290,29 @@
         self.broker.recorder.refresh()
         session_id = str(message.get(avp.SESSION_ID))
         request = self.broker.find_request(session_id)
-        known = self.sessions.get(session_id)
-        if known is not None and known.client != connection.host:
+        session = self.sessions.get(session_id)
+        if session is not None and session.client != connection.host:
             self._send_answer(
                 connection, message, avp.UNKNOWN_SESSION_ID, [], "the session is another client's"
             )
             return
         self._settle_release(session_id)
         if request is None:
-            if known is not None and known.ended_by == message.end_to_end:
+            if session is not None and session.ended_by == message.end_to_end:
                 # A retransmission (RFC 6733, section 5.5.4): its answer was lost, and is sent again.
                 self.broker.recorder.barrier(lambda: self._send_answer(connection, message, avp.SUCCESS, []))
                 return
-            if known is not None and known.answer is None:
+            if session is not None and session.answer is None:
                 # Given up while the answer waits to be recorded: it is not sent any more.
                 del self.sessions[session_id]
             self.broker.release_unknown(session_id)
             self._send_answer(connection, message, avp.UNKNOWN_SESSION_ID, [], "no such session")
             return
         request.ended_by = message.end_to_end
-        if known is not None and known.answer is None:
+        if session is not None and session.answer is None:
             del self.sessions[session_id]  # given up: no answer is sent
-        elif known is not None:
-            known.ended_by = message.end_to_end
+        elif session is not None:
+            session.ended_by = message.end_to_end
             self._schedule_removal(session_id)
         if request.state is State.OPEN:
             self.broker.gone(request)
@@ -319,7 +325,7 @@
         self._settle_release(self.aborts_sent.pop(message.hop_by_hop, ""))
 
     def _settle_release(self, call: str) -> None:
-        """Stops sending a release, confirmed or too old, if there is one."""
+        """Forgets a pending release that is confirmed or has expired; does nothing if there is none."""
         if self.pending_releases.pop(call, None) is not None:
             self.broker.recorder.clear_pending_end(call)
 
@@ -331,9 +337,9 @@
         ):
             # A configured peer is a known client. Its connection is never evicted, as it carries releases.
             self.gate.trust(connection.admission, self.clock.now())
-            over = self.gate.mark_identified(connection.admission, connection.realm)
+            limit_reached = self.gate.mark_identified(connection.admission, connection.realm)
             self.gate.begin_use(connection.admission)
-            if over is not None:
+            if limit_reached is not None:
                 connection.disconnect(avp.BUSY)
                 return
         for call, (client, outcome) in list(self.pending_releases.items()):
@@ -481,7 +487,7 @@
             self.deadlines.set(over_at + ANSWER_KEEP_MS, lambda: self._remove_session(call, session))
 
     def _expire_release(self, call: str) -> None:
-        """Guards against clients that never answer an ASR: the release is not kept for ever."""
+        """Forgets a release after RELEASE_KEEP_MS: its client may never answer the ASR."""
         self._settle_release(call)
         self.aborts_sent = {
             hop_by_hop: other for hop_by_hop, other in self.aborts_sent.items() if other != call
--- a/frostport/diameter/peer.py
+++ b/frostport/diameter/peer.py
@@ -88,7 +88,9 @@
 
 
 class ConnectionHandler:
-    """The events of a connection, for the front and the route; by default they are ignored."""
+    """The events of a connection, for the front and the route; by default they are ignored.
+
+    Methods that override these are documented here."""
 
     def is_known_peer(self, host: str) -> bool:
         """Whether a peer of this name may connect here."""
@@ -160,8 +162,8 @@
         self.state = ConnectionState.WAIT_CEA if self.dialed_host else ConnectionState.WAIT_CER
         self.transport.registerProducer(self, True)
         # Guards against hundreds of connections that send nothing.
-        limit = EXCHANGE_TIMEOUT_MS if self.dialed_host else CER_TIMEOUT_MS
-        self._timeout = self.deadlines.set(self.clock.now() + limit, self.drop)
+        timeout_ms = EXCHANGE_TIMEOUT_MS if self.dialed_host else CER_TIMEOUT_MS
+        self._timeout = self.deadlines.set(self.clock.now() + timeout_ms, self.drop)
         if self.dialed_host:
             self.send_request(avp.CE, self.identity.capability_avps())
 
@@ -183,7 +185,7 @@
             )
 
     def _handle_frames(self) -> None:
-        """Handles up to MESSAGES_PER_TURN messages, then yields to other connections.
+        """Handles up to MESSAGES_PER_ITERATION messages, then yields to other connections.
 
         Reading pauses until all messages that were read are handled."""
         self._next_iteration = None
@@ -216,7 +218,7 @@
             self.transport.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
-        pass
+        pass  # Twisted calls it when the connection is lost; `connectionLost` does what is needed
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802
         self.released()
@@ -270,6 +272,7 @@
         return hop_by_hop
 
     def send_message(self, message: Message) -> None:
+        """Sends a message; does nothing if the connection is closed."""
         if self.state is not ConnectionState.CLOSED:
             self.transport.write(message.encode())
 
@@ -405,7 +408,7 @@
 
 
 def has_common_application(message: Message) -> bool:
-    """Whether a peer's capabilities name credit control, or the relay application."""
+    """Whether the AVPs of a CER or CEA name credit control, or the relay application."""
     applications = []
     for found in message.avps:
         known = avp.DICTIONARY.get((found.vendor, found.code))
@@ -417,7 +420,9 @@
 
 
 def read_session_id(frame: bytes) -> list[Avp]:
-    """The Session-Id AVP of a malformed message, if readable; it comes first (RFC 6733, section 8.8)."""
+    """Returns the Session-Id of a malformed message, if readable, in a list for its answer.
+
+    It is the first AVP (RFC 6733, section 8.8)."""
     code, word = struct.unpack("!II", frame[avp.HEADER_BYTES : avp.HEADER_BYTES + 8].ljust(8, b"\0"))
     length = word & 0xFFFFFF
     if code != avp.SESSION_ID.code or not 8 < length <= len(frame) - avp.HEADER_BYTES:
@@ -426,7 +431,7 @@
 
 
 class Peer:
-    """A configured peer. Its watchdog spans all its connections."""
+    """A configured peer. It has at most one connection at a time, and one watchdog for all of them."""
 
     def __init__(self, host: str) -> None:
         self.host = host
@@ -434,6 +439,7 @@
         self.watchdog: Watchdog
 
     def open_connection(self) -> PeerConnection | None:
+        """Returns the connection if requests may be sent on it, that is, in the state OPEN."""
         return (
             self.connection
             if self.connection is not None and self.connection.state is ConnectionState.OPEN
@@ -452,6 +458,7 @@
         interval_ms: float,
         rng: random.Random,
     ) -> None:
+        """`interval_ms` is Tw, the interval of the peers' watchdogs."""
         self.identity = identity
         self.clock = clock
         self.deadlines = deadlines
@@ -491,6 +498,7 @@
         self.peers[peer.host] = peer
 
     def make_connection(self, dialed_host: str = "") -> PeerConnection:
+        """Builds a connection that has this node as its handler; `dialed_host` is "" if it is accepted."""
         return PeerConnection(self.identity, self, self.clock, self.deadlines, dialed_host, self.next_id)
 
     def on_watchdog_change(self, peer: Peer, before: WatchdogState, after: WatchdogState) -> None:
--- a/frostport/diameter/route.py
+++ b/frostport/diameter/route.py
@@ -71,13 +71,14 @@
         rng: random.Random,
         connect: Callable[[str, PeerConnection], defer.Deferred[object]],
     ) -> None:
+        """`connect` dials an address for a protocol; its Deferred fails if there is no connection."""
         super().__init__(identity, broker.clock, broker.deadlines, interval_ms, rng)
         self.broker = broker
         self.front = front
         self.connect = connect
         self.sessions_lost_ms = sessions_lost_ms
         self.servers: dict[str, ServerPeer] = {}
-        self.version = 0
+        self.version = 0  # of the server list
         self.stopping = False
         self._sweep = LivenessSweep(self.clock, self.deadlines, self.servers.values, self._check_liveness)
         for entry in servers:
@@ -98,17 +99,17 @@
             return
         server.dialing = self.make_connection(server.host)
         dialing = self.connect(server.config.dial, server.dialing)
-        limit = self.deadlines.set(self.clock.now() + EXCHANGE_TIMEOUT_MS, dialing.cancel)
+        timeout = self.deadlines.set(self.clock.now() + EXCHANGE_TIMEOUT_MS, dialing.cancel)
 
-        def settled(result: object) -> object:
-            limit.cancel()
+        def cancel_timeout(result: object) -> object:
+            timeout.cancel()
             return result
 
-        def failed(failure: Failure) -> None:
+        def on_failure(failure: Failure) -> None:
             self._redial(server)
 
-        dialing.addBoth(settled)
-        dialing.addErrback(failed)
+        dialing.addBoth(cancel_timeout)
+        dialing.addErrback(on_failure)
 
     def _redial(self, server: ServerPeer) -> None:
         server.dialing = None
@@ -189,7 +190,7 @@
         server.open_attempts = {}
         self.announce(server, Lifecycle.DRAINING)
         for attempt in attempts.values():
-            self._queue_release(server, attempt.request.id)  # the answer may be lost
+            self._queue_release(server, attempt.request.id)  # the call may be set up, and its answer lost
             self.broker.attempt_ended(attempt, Outcome.RESET)
         self._start_sessions_lost_timer(server)
         self._redial(server)
@@ -259,14 +260,14 @@
                     )
                     self.broker.metrics.server_suspected(server.host)
                 case CheckLiveness():
-                    self._request_sign_of_life(server)
+                    self._send_liveness_request(server)
                 case CallsLost(since_ms, established_by_ms):
                     self._on_calls_lost(server, since_ms, established_by_ms)
 
-    def _request_sign_of_life(self, server: ServerPeer) -> None:
-        """Sends a Device-Watchdog-Request of its own.
+    def _send_liveness_request(self, server: ServerPeer) -> None:
+        """Sends a Device-Watchdog-Request that is independent of the watchdog's.
 
-        Those of the watchdog come too late: RFC 3539 does not allow an interval under 6 s."""
+        Those come too late: RFC 3539 does not allow an interval under 6 s."""
         connection = server.open_connection()
         if connection is not None:
             connection.send_request(
@@ -315,7 +316,7 @@
         self.broker.metrics.sent(request.call_class)
 
     def _ccr_avps(self, server: ServerPeer, call: str, request_type: int, number: int) -> list[avp.Avp]:
-        """The AVPs that every CCR starts with; `number` is its CC-Request-Number."""
+        """Returns the AVPs that every CCR starts with; `number` is its CC-Request-Number."""
         connection = server.open_connection()
         return [
             make(avp.SESSION_ID, call),
--- a/frostport/state/merge.py
+++ b/frostport/state/merge.py
@@ -17,7 +17,7 @@
 
 
 def preferred(one: Record, other: Record) -> Record:
-    """Returns which of two records of one key is kept; associative, commutative and idempotent."""
+    """Returns the one of two records of a key that is kept; associative, commutative and idempotent."""
     match one, other:
         case ((Open() | Standing() | Over()), (Open() | Standing() | Over())):
             if STATE_RANK[type(one)] != STATE_RANK[type(other)]:
@@ -36,7 +36,7 @@
 
 
 def changes(main: Mapping[str, bytes], later: Mapping[str, bytes]) -> list[tuple[str, bytes | None]]:
-    """Returns the changes that merge `later` into `main`. Raises BadRecordError."""
+    """Returns the changes to `main` that merge `later` into it. Raises BadRecordError."""
     needed: list[tuple[str, bytes | None]] = []
     for key, value in later.items():
         current = main.get(key)
--- a/frostport/state/recorder.py
+++ b/frostport/state/recorder.py
@@ -1,8 +1,8 @@
 """The recorder with a store: turns the changes reported by the core into records.
 
-The effect of a change runs once the store takes its record as written (see core/recorder.py). A call has one
-key: the record of an attempt is replaced by that of the established call, and this by that of the ended
-call, so that no crash can leave two of them.
+The effect of a change runs once its record counts as written (see core/recorder.py). A call has one key: the
+record of its attempt is overwritten by that of the established call, and this by that of the ended call, so
+that no crash can leave two records of a call.
 """
 
 from __future__ import annotations
@@ -41,9 +41,12 @@
 
 
 class Predecessor(Protocol):
-    """The predecessor on the same store, which hands the store over (see handover.py)."""
+    """The process that still writes to the same store and hands it over; implemented by handover.py.
 
-    def poll(self) -> None: ...
+    `pending_elsewhere` and `defers` do what `Recorder` says of the methods of these names."""
+
+    def poll(self) -> None:
+        """Applies what the predecessor has written since the last call."""
 
     def pending_elsewhere(self, call: str) -> bool: ...
 
@@ -51,11 +54,14 @@
 
 
 def as_bytes(body: Body) -> bytes:
+    """Returns a body as it is stored: text is encoded as UTF-8."""
     return body if isinstance(body, bytes) else body.encode()
 
 
 class StoreRecorder(Recorder):
-    """Writes a record for each change; a record is deleted when the part that reported it clears it."""
+    """Writes a record for each change, and deletes it once the core clears or forgets it.
+
+    The base class says when the core calls each method, and what `then` does."""
 
     def __init__(self, sink: Sink, clock: Clock, on_failure: OnFailure = OnFailure.REFUSE) -> None:
         self.sink = sink
@@ -77,7 +83,7 @@
         return self.handover is not None and self.handover.defers(call, server, then)
 
     def handover_done(self) -> None:
-        """The handover is done: deletes the records of the calls that were forgotten meanwhile."""
+        """Called when the handover is done: deletes the records of calls that were forgotten meanwhile."""
         self.handover = None
         for call in self._deferred_deletions:
             self._drop(CALL + call)
@@ -110,9 +116,11 @@
         )
 
     def _over_record(self, request: Request, server: str, end_pending: bool = False) -> records.Over:
-        """Keeps the answer if a repeated request may still need it, e.g. until the client is sent the end."""
-        given = request.recorded_answer
-        if given is None or (isinstance(given.answer, str) and not end_pending):
+        """Builds the record of a call that is over.
+
+        It keeps the answer if a repeated request may still need it, e.g. until the client is sent the end."""
+        recorded = request.recorded_answer
+        if recorded is None or (isinstance(recorded.answer, str) and not end_pending):
             return records.Over(
                 request.answer,
                 server,
@@ -133,11 +141,11 @@
             request.end_to_end_id,
             request.ended_by,
             request.retry_after_ms,
-            as_bytes(given.answer),
-            isinstance(given.answer, str),
-            given.service,
-            given.description_crc32,
-            given.recorded_at_ms,
+            as_bytes(recorded.answer),
+            isinstance(recorded.answer, str),
+            recorded.service,
+            recorded.description_crc32,
+            recorded.recorded_at_ms,
         )
 
     def record_attempt(self, attempt: Attempt, then: Continuation) -> None:
@@ -148,7 +156,7 @@
         self._put(CALL + request.id, record)
 
     def record_established(self, request: Request, attempt: Attempt, body: Body, then: Continuation) -> None:
-        given = request.recorded_answer = RecordedAnswer(
+        recorded = request.recorded_answer = RecordedAnswer(
             request.call_class,
             request.client,
             zlib.crc32(as_bytes(request.description)),
@@ -159,12 +167,12 @@
             CALL + request.id,
             records.Standing(
                 attempt.server,
-                given.recorded_at_ms,
-                given.service,
+                recorded.recorded_at_ms,
+                recorded.service,
                 request.team,
-                given.client,
+                recorded.client,
                 request.end_to_end_id,
-                given.description_crc32,
+                recorded.description_crc32,
                 isinstance(body, str),
                 as_bytes(body),
             ),
@@ -199,8 +207,8 @@
 
     def forget_call(self, call: str) -> None:
         if self.handover is not None:
-            # Guards against a call that the predecessor's store has as established, and that only this record
-            # marks as ended.
+            # The predecessor may still have the call recorded as established; then only this record says that
+            # it has ended.
             self._deferred_deletions.append(call)
         else:
             self._drop(CALL + call)
--- a/frostport/state/records.py
+++ b/frostport/state/records.py
@@ -89,7 +89,7 @@
 
 
 class Bus(msgspec.Struct, array_like=True):
-    """The last bus event that was applied, and the version of the server list after it."""
+    """The offset of the last bus event that was applied, and the version of the server list after it."""
 
     offset: int
     version: int
@@ -142,10 +142,11 @@
 
 
 class BadRecordError(ValueError):
-    """An intact frame whose record this version can't decode; the message names the key."""
+    """A record that was read intact but that this version can't decode; the message names its key."""
 
 
 def encode(record: Record) -> bytes:
+    """Encodes a record without its key, which `decode` needs to tell its kind."""
     return _encoder.encode(record)
 
 
--- a/frostport/state/recovery.py
+++ b/frostport/state/recovery.py
@@ -28,7 +28,7 @@
 
 
 def recorded_answer(record: Standing | Over) -> RecordedAnswer | None:
-    """Returns the answer for a client that repeats its set-up, None if the record keeps none."""
+    """Returns the answer for a client that repeats its set-up; None if the record keeps none."""
     if isinstance(record, Standing):
         body = record.answer
         at = record.at
@@ -51,14 +51,14 @@
     # Ends that clients have to be notified of. By call: client, outcome, since.
     pending_ends: dict[str, tuple[str, Outcome, float]] = field(default_factory=dict)
     releases: dict[tuple[str, str], None] = field(default_factory=dict)  # pending: (server, call)
-    # By address: server, dial address, since when it takes no new calls.
+    # By address: server, dial address, since when it takes no new calls (None: it does).
     servers: dict[str, tuple[api.Server, str, float | None]] = field(default_factory=dict)
     # By team and service: tokens, at.
     budgets: dict[tuple[str, str], tuple[float, float]] = field(default_factory=dict)
     peers: dict[str, tuple[int | None, float]] = field(default_factory=dict)  # by host: state id, started_ms
-    offset: int = -1
-    version: int = 0
-    state_id: int | None = None
+    offset: int = -1  # of the last bus event that was applied; -1: none
+    version: int = 0  # of the server list
+    state_id: int | None = None  # this node's own Origin-State-Id
     expired_keys: list[str] = field(default_factory=list)  # keys of outdated records, to be deleted
     clock_set_back_ms: float = 0.0  # how far the clock was set back since the last record
 
@@ -68,11 +68,14 @@
 
 
 def latest_time(decoded: Mapping[str, records.Record]) -> float:
+    """Returns the time of the latest record, 0.0 if there are none."""
     return max((record.at for record in decoded.values()), default=0.0)
 
 
 def restore(values: Mapping[str, bytes], now_ms: float, guard_ms: float) -> Restored:
-    """Restores all records. Raises BadRecordError: one that can't be decoded might be of an answered call."""
+    """Restores the state at the time `now_ms` from all records; `guard_ms` is how long a release guard lasts.
+
+    Raises BadRecordError if one can't be decoded: it may be that of an answered call."""
     decoded = {key: records.decode(key, value)[2] for key, value in values.items()}
     last_at = latest_time(decoded)
     restored = Restored(clock_set_back_ms=max(0.0, last_at - now_ms))
--- a/frostport/store/committer.py
+++ b/frostport/store/committer.py
@@ -28,14 +28,14 @@
 
 log = logging.getLogger("frostport.store")
 
-# A batch ends after so many changes; the changes of one call to `write` stay together.
+# A batch ends once it has this many changes; the changes of one call to `write` stay together.
 MAX_BATCH_CHANGES = 512
-NEARLY_FULL_RATIO = 0.9  # of `store_bytes`; above it no new call is accepted
-MAX_QUEUED_CHANGES = 100_000  # changes queued behind a hanging disk; past it the store is failed
-MAX_UNWRITTEN_KEYS = 200_000  # keys kept in memory while the store is failed; past it only a restart helps
+NEARLY_FULL_RATIO = 0.9  # live bytes to `store_bytes`; above it no new call is accepted
+MAX_QUEUED_CHANGES = 100_000  # queued while the disk hangs; with more the store fails
+MAX_UNWRITTEN_KEYS = 200_000  # kept in memory while the store is failed; with more only a restart helps
 RETRY_MS = 1000.0  # delay before the first retry; doubled for each further one
 MAX_RETRY_MS = 30_000.0  # most delay before a retry
-# After a commit, one background step runs, and one more for each so many changes in it.
+# After a commit, one background step runs, and one more for each this many changes in it.
 CHANGES_PER_BACKGROUND_STEP = 16
 
 Callback = Callable[[], object]
@@ -50,7 +50,7 @@
 
 
 class State(Enum):
-    """How far the store can be trusted."""
+    """Whether the store works; the module's docstring describes the first three states."""
 
     OPEN = "open"
     STALLED = "stalled"
@@ -62,22 +62,22 @@
     """Runs jobs one after the other, off the caller's thread."""
 
     def submit(self, job: Callable[[], Callable[[], None]]) -> None:
-        """Runs `job`, then what it returns on the caller's thread."""
+        """Queues `job`. What it returns is then called on the thread of the submitter."""
 
     def finish(self) -> None:
-        """Waits for all submitted jobs, for a bounded time."""
+        """Waits for all submitted jobs, for a bounded time. No job may be submitted afterwards."""
 
 
 class ThreadWorker:
-    """A worker with one thread; results return through the reactor's `callFromThread`."""
+    """A worker with one thread. `call_in_reactor` is the reactor's `callFromThread`."""
 
     JOIN_TIMEOUT_S = 5.0
     SWITCH_INTERVAL_S = 0.0005
 
-    def __init__(self, call: Callable[[Callable[[], None]], object]) -> None:
-        # By default a thread may hold the interpreter for 5 ms, for which the reactor would wait.
+    def __init__(self, call_in_reactor: Callable[[Callable[[], None]], object]) -> None:
+        # By default a thread may hold the interpreter's lock for 5 ms, for which the reactor would wait.
         sys.setswitchinterval(self.SWITCH_INTERVAL_S)
-        self._call_in_reactor = call
+        self._call_in_reactor = call_in_reactor
         self._jobs: queue.SimpleQueue[Callable[[], Callable[[], None]] | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
@@ -90,7 +90,7 @@
         self._jobs.put(job)
 
     def finish(self) -> None:
-        # The thread is abandoned if the disk hangs, so that the process can end.
+        # If the disk hangs the thread is left running: it is a daemon, so the process can still exit.
         self._jobs.put(None)
         self._thread.join(self.JOIN_TIMEOUT_S)
 
@@ -132,7 +132,7 @@
         self.stall_ms = stall_ms
         self.state = State.OPEN
         self.on_state_change: Callable[[State, str], None] = lambda state, reason: None
-        self.commits = self.written = 0
+        self.commits = self.written = 0  # commits done, changes in them
         self.nearly_full = False
         self._queued_groups: list[Sequence[Change]] = []
         self._queued_changes = 0  # number of changes in them
--- a/frostport/store/engine.py
+++ b/frostport/store/engine.py
@@ -30,11 +30,11 @@
 MAX_SPACE_SEGMENTS = 1.0
 CLEAN_RATIO = 1.5
 CLEAN_SEGMENTS = 0.5
-# One step of cleaning copies at most so many records, and stops once it has copied so many bytes.
+# One step of cleaning copies at most CLEAN_STEP_RECORDS records, and stops at CLEAN_STEP_BYTES bytes.
 CLEAN_STEP_RECORDS = 64
 CLEAN_STEP_BYTES = 64 * 1024
-PROBE_NAME = "probe.new"  # a crash may leave it; the next start removes it
-# Bytes that a probe writes beyond the keys and values to be written: in all, and for each record.
+PROBE_NAME = "probe.new"  # file that a write test creates; one left by a crash is removed at the next start
+# What a write test writes in addition to the keys and values to be written: in all, and for each record.
 PROBE_EXTRA_BYTES = 4096
 PROBE_RECORD_BYTES = 64
 CHECKPOINT_STEP_ROWS = 256  # index rows that one step of a checkpoint writes
@@ -69,14 +69,14 @@
         self.total_bytes = sum(segment.size for segment in self.segments)
         self.digest = sum(digest_term(location[SEQUENCE]) for location in self.locations.values())
         self.failure: str | None = None
-        self.cleaned = self.checkpoints = 0
+        self.cleaned = self.checkpoints = 0  # segments removed, checkpoints completed
         self._dirty: dict[str, Location | None] = {}
         self._changes_since_checkpoint = 0  # since the last checkpoint began
-        # left to write by the checkpoint
+        # rows that the running checkpoint has yet to write; None if none runs
         self._checkpoint_rows: Iterator[tuple[str, Location | None]] | None = None
         self._pending_checkpoint: Checkpoint | None = None
         self._open_files: dict[int, File] = {}
-        # segment and size covered by the last sync
+        # number and size of the last segment, as covered by the last sync
         self._durable_end = (contents.segments[-1].number, contents.segments[-1].size)
         if contents.verified_checkpoint is None:
             index.discard("rebuilding it from the log")
@@ -515,8 +515,8 @@
 
 
 def repair_after_crash(folder: Folder, contents: Contents) -> Watermark:
-    """Cuts off a torn tail, removes obsolete files and makes the recovered contents durable before anyone
-    relies on them.
+    """Cuts off a torn tail, removes obsolete files and makes the recovered contents durable before they are
+    used.
 
     A crash at any step is harmless: reading the store gives the same contents after each, and the next
     start repeats them."""
--- a/frostport/store/files.py
+++ b/frostport/store/files.py
@@ -15,52 +15,62 @@
 
 
 class File(Protocol):
-    """One open file. Every method may raise OSError; if `append` does, a part of the data may have been
-    written."""
+    """One open file. Every method may raise OSError."""
 
-    def append(self, data: bytes) -> None: ...
+    def append(self, data: bytes) -> None:
+        """Writes all of `data` at the end of the file. If it raises, a part may have been written."""
 
-    def write_at(self, offset: int, data: bytes) -> None: ...
+    def write_at(self, offset: int, data: bytes) -> None:
+        """Overwrites the bytes from `offset` on, and extends the file if they reach beyond its end."""
 
     def read_at(self, offset: int, size: int) -> bytes:
         """Returns up to `size` bytes; fewer only at the end of the file."""
 
-    def size(self) -> int: ...
+    def size(self) -> int:
+        """Returns the size in bytes, including what is not synced yet."""
 
-    def truncate(self, size: int) -> None: ...
+    def truncate(self, size: int) -> None:
+        """Cuts the file to `size` bytes; the next `append` continues there."""
 
     def sync(self) -> None:
         """Makes everything written so far durable. If it raises, nothing is known about what is on disk."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the file without a sync. A further call does nothing."""
 
 
 class Folder(Protocol):
-    """One flat folder of files."""
+    """One folder of files, without sub-folders. Every method may raise OSError."""
 
-    def names(self) -> set[str]: ...
+    def names(self) -> set[str]:
+        """Returns the names of all files."""
+
+    def open(self, name: str, create: bool = False) -> File:
+        """Opens a file for reading and writing.
 
-    def open(self, name: str, create: bool = False) -> File: ...
+        If there is none it is created with `create`, else FileNotFoundError is raised."""
 
     def replace(self, old: str, new: str) -> None:
         """Renames a file atomically, replacing a file of the new name; durable after `sync`."""
 
-    def remove(self, name: str) -> None: ...
+    def remove(self, name: str) -> None:
+        """Deletes a file, if it exists; durable after `sync`."""
 
     def sync(self) -> None:
-        """Makes the file names durable."""
+        """Makes the creation, renaming and removal of files durable."""
 
     def lock(self) -> None:
         """Raises LockedError if another process holds the lock. It is held until `unlock` or the process's
         end."""
 
-    def unlock(self) -> None: ...
+    def unlock(self) -> None:
+        """Releases the lock. Does nothing if it is not held here."""
 
     def database(self, name: str) -> sqlite3.Connection:
         """Opens the index file with SQLite."""
 
     def committed(self, name: str, database: sqlite3.Connection) -> None:
-        """Called after each commit to the index file."""
+        """Called after each commit to the index file, for a fake that keeps its files in memory."""
 
 
 class DiskFile:
@@ -71,11 +81,11 @@
         self._end = os.fstat(self._descriptor).st_size
 
     def append(self, data: bytes) -> None:
-        view = memoryview(data)
-        while view:  # after a short write, writes the rest or raises the error that explains it
-            written_bytes = os.pwrite(self._descriptor, view, self._end)
+        remaining = memoryview(data)
+        while remaining:  # after a short write, writes the rest or raises the error that explains it
+            written_bytes = os.pwrite(self._descriptor, remaining, self._end)
             self._end += written_bytes
-            view = view[written_bytes:]
+            remaining = remaining[written_bytes:]
 
     def write_at(self, offset: int, data: bytes) -> None:
         if os.pwrite(self._descriptor, data, offset) != len(data):
@@ -107,7 +117,7 @@
 
 
 class DiskFolder:
-    """A folder on disk; created if it does not exist, unless `make` is false."""
+    """A folder on disk, created with its parents if it does not exist, unless `make` is false."""
 
     LOCK_NAME = "lock"
 
@@ -115,7 +125,7 @@
         self.path = path
         if make:
             path.mkdir(mode=0o750, parents=True, exist_ok=True)
-        self._lock = -1
+        self._lock_descriptor = -1  # -1: the lock is not held
 
     def names(self) -> set[str]:
         return {entry.name for entry in os.scandir(self.path) if entry.is_file()}
@@ -144,12 +154,12 @@
         except OSError:
             os.close(descriptor)
             raise LockedError(f"{self.path / self.LOCK_NAME}: another process writes to this store") from None
-        self._lock = descriptor
+        self._lock_descriptor = descriptor
 
     def unlock(self) -> None:
-        if self._lock >= 0:
-            os.close(self._lock)
-            self._lock = -1
+        if self._lock_descriptor >= 0:
+            os.close(self._lock_descriptor)
+            self._lock_descriptor = -1
 
     def database(self, name: str) -> sqlite3.Connection:
         return sqlite3.connect(self.path / name, isolation_level=None, check_same_thread=False)
--- a/frostport/store/follower.py
+++ b/frostport/store/follower.py
@@ -16,7 +16,8 @@
     """Takes no lock and writes nothing. What it reads may not be durable yet, but is never a partial
     batch.
 
-    Raises StoreError if the folder holds no store or one that can't be read; OSError."""
+    The constructor and `poll` raise StoreError if the folder holds no store or one that can't be read, and
+    OSError."""
 
     def __init__(self, folder: Folder) -> None:
         self.folder = folder
@@ -64,8 +65,9 @@
         return changes
 
     def _read_new_batches(self, contents: Contents) -> bool:
-        """Applies the complete batches after the last one read; returns whether to call it again, since
-        the writer has started a new segment."""
+        """Applies the complete batches after the last one read.
+
+        Returns whether there may be more, as the writer has started a new segment."""
         segment = contents.segments[-1]
         file = self.folder.open(frames.segment_name(segment.number))
         try:
@@ -86,7 +88,7 @@
         if first_sequence is None:
             return False  # created, but its header is not written yet
         if first_sequence != contents.sequence + 1:
-            if size > segment.size:  # a batch of the segment before became complete after it was read
+            if size > segment.size:  # a batch of the previous segment became complete after it was read
                 return True
             raise DamagedError(
                 next_name, 0, f"begins at record {first_sequence}, not {contents.sequence + 1}"
--- a/frostport/store/frames.py
+++ b/frostport/store/frames.py
@@ -44,7 +44,7 @@
 
 
 def checksum(data: bytes) -> int:
-    """Returns the CRC-32C."""
+    """Returns the CRC-32C (Castagnoli)."""
     return int(google_crc32c.value(data))
 
 
@@ -57,8 +57,9 @@
 
 
 def decode(data: bytes, position: int, base: int = 0) -> Frame | None:
-    """Decodes the frame at `position` of `data`, which begins at offset `base` of its file; None if there
-    is no sound frame."""
+    """Decodes the frame at `position` of `data`, which begins at offset `base` of its file.
+
+    Returns None if no complete frame with a correct CRC begins there."""
     if position + FRAME_HEADER.size > len(data):
         return None
     crc, length, sequence, flags = FRAME_HEADER.unpack_from(data, position)
@@ -77,8 +78,9 @@
 
 
 def iter_frames(data: bytes, position: int, sequence: int, base: int = 0) -> Iterator[Frame]:
-    """Yields consecutive frames from a position and a sequence number on, up to the first that is not
-    sound."""
+    """Yields the frames from `position` on, of which the first has the number `sequence`.
+
+    Stops at the first one that is incomplete, damaged or out of sequence."""
     while (frame := decode(data, position, base)) is not None and frame.sequence == sequence:
         yield frame
         position = position + frame.size
@@ -100,14 +102,16 @@
 
 
 def segment_header(store_id: int, number: int, first_sequence: int) -> bytes:
+    """Returns the encoded header with which a segment's file begins."""
     return pack_with_crc(SEGMENT_HEADER, SEGMENT_MAGIC, FORMAT_VERSION, store_id, number, first_sequence)
 
 
 def segment_name(number: int) -> str:
+    """Returns the file name of a segment. The names sort by number."""
     return f"log-{number:010d}"
 
 
 def segment_number(name: str) -> int | None:
-    """Returns the number in a segment's file name; None for any other name."""
+    """Returns the number in a segment's file name; None if the name is not that of a segment."""
     digits = name[4:]
     return int(digits) if name.startswith("log-") and len(digits) == 10 and digits.isdecimal() else None
--- a/frostport/store/index.py
+++ b/frostport/store/index.py
@@ -29,6 +29,7 @@
     "mmap_size=0",
     "cell_size_check=ON",
 )
+# `live` has a row for each live record; `point` has one row, the checkpoint that they belong to.
 TABLES = (
     "CREATE TABLE IF NOT EXISTS live (key TEXT PRIMARY KEY, sequence INTEGER, segment INTEGER,"
     " offset INTEGER, size INTEGER) WITHOUT ROWID",
@@ -60,6 +61,7 @@
         return self.store_id, self.sequence, self.segment, self.offset, self.count, self.digest
 
     def crc(self) -> int:
+        """Returns the CRC-32C over the fields, as text; it is stored with them."""
         return int(google_crc32c.value(repr(self.fields()).encode()))
 
 
@@ -180,6 +182,7 @@
             self.discard(f"not written: {problem}")
 
     def close(self) -> None:
+        """Closes the database; rows that are not committed are lost. The file stays."""
         database = self.database
         self.database = None
         self.in_transaction = False
--- a/frostport/store/locations.py
+++ b/frostport/store/locations.py
@@ -15,7 +15,7 @@
 
 
 class LocationMap(MutableMapping[str, Location]):
-    """Maps keys to locations. The order of iteration has no meaning."""
+    """Maps keys to locations. Iteration yields the keys in no particular order."""
 
     def __init__(self, locations: Mapping[str, Location]) -> None:
         self._shards: list[dict[str, Location]] = [{} for _ in range(SHARD_COUNT)]
--- a/frostport/store/recovery.py
+++ b/frostport/store/recovery.py
@@ -20,8 +20,8 @@
 log = logging.getLogger("frostport.store")
 
 MANIFEST_NAME = "manifest"
-# The index is used if the log has at least so many times as many records as are live; else reading the whole
-# log is faster.
+# The index is used if the log has at least this many records for each live one; else reading the whole log is
+# faster.
 INDEX_MIN_LOG_RATIO = 2
 
 
@@ -124,12 +124,13 @@
 
 
 def read_store(folder: Folder, index: Index | None = None) -> Contents | None:
-    """Reads a whole store, through its index if that agrees with the log, else from the log alone; None if
-    there is none.
+    """Reads a whole store, through its index if that agrees with the log, else from the log alone.
+
+    Returns None if the folder holds no store.
 
     Raises DamagedError if an acknowledged record may be missing, UnknownFormatError, OSError."""
     collecting = gc.isenabled()
-    gc.disable()  # the collector would traverse all records of a large store repeatedly
+    gc.disable()  # it would traverse all records of a large store again and again
     try:
         return read_store_files(folder, index)
     finally:
--- a/frostport/store/tools.py
+++ b/frostport/store/tools.py
@@ -16,7 +16,7 @@
 from frostport.store.recovery import MANIFEST_NAME, Contents, Segment
 from frostport.store.watermark import Watermark
 
-MAX_ATTEMPTS = 20  # A running agent may clean a segment while it is copied; the copy then starts again.
+MAX_ATTEMPTS = 20  # to read or copy a store; a running agent may remove a segment meanwhile
 REPAIR_BATCH_RECORDS = 256  # per batch of a repaired store
 
 
@@ -41,7 +41,9 @@
 
 
 def contents(path: pathlib.Path) -> Contents:
-    """Reads a whole store from its log, without a lock; changes nothing."""
+    """Reads a whole store from its log, without a lock; changes nothing.
+
+    Raises StoreError, also if there is no store, or OSError."""
     for _ in range(MAX_ATTEMPTS):
         try:
             found = recovery.read_store(open_existing(path))
@@ -57,7 +59,7 @@
 
 
 def is_being_written(path: pathlib.Path) -> bool:
-    """Returns whether another process holds the store's lock."""
+    """Returns whether an agent uses the store, that is, holds its lock."""
     folder = open_existing(path)
     try:
         folder.lock()
@@ -68,7 +70,7 @@
 
 
 def verify(path: pathlib.Path) -> VerifyResult:
-    """Reads the whole store and summarizes it."""
+    """Reads the whole store and summarizes it. Raises DamagedError if it is not sound."""
     found = contents(path)
     return VerifyResult(
         len(found.locations),
@@ -88,8 +90,9 @@
 
 
 def backup(path: pathlib.Path, target: pathlib.Path) -> VerifyResult:
-    """Copies a store, also while an agent uses it. The copy is the store as it was at some moment during
-    the copying."""
+    """Copies a store to an empty or new folder, also while an agent uses it.
+
+    The copy is the store as it was at some moment during the copying. Raises StoreError, OSError."""
     source = open_existing(path)
     copy = DiskFolder(target)
     if copy.names():
@@ -108,9 +111,10 @@
 
 
 def copy_once(source: Folder, copy: Folder) -> None:
-    """Copies the watermark before the segments: every record that it names is then in the copied log.
+    """Copies the manifest, the watermark and the segments that exist at the start, in this order.
 
-    Only the segments that exist at the start are copied. All but the last one are complete."""
+    With the watermark before the segments, every record that it covers is in the copied log. All segments
+    but the last one are complete."""
     numbers = sorted(number for name in source.names() if (number := frames.segment_number(name)) is not None)
     for name in (MANIFEST_NAME, watermark.FILE_NAME, *(frames.segment_name(number) for number in numbers)):
         data = recovery.read_file(source, name)
@@ -139,7 +143,7 @@
 
 @dataclass(slots=True)
 class Salvage:
-    """The records that are still readable, and a line for each thing that is not."""
+    """The records that are still readable, and a line for each part of the store that is not."""
 
     values: dict[str, bytes]
     dropped: list[str]
@@ -149,8 +153,8 @@
 def repair(path: pathlib.Path) -> list[str]:
     """Builds a store of all records that are still readable, and keeps the damaged one under another name.
 
-    Returns a line for each thing dropped, with file and offset; none if the store was sound, which is then
-    unchanged."""
+    Returns a line for each part that was dropped, with file and offset. If the store was sound it stays
+    unchanged, and there are none."""
     folder = open_existing(path)
     folder.lock()
     try:
--- a/frostport/store/watermark.py
+++ b/frostport/store/watermark.py
@@ -52,7 +52,9 @@
 
     @classmethod
     def load(cls, folder: Folder, store_id: int) -> Watermark:
-        """Raises DamagedError if the file can't be read or belongs to another store."""
+        """Opens the file of a store.
+
+        Raises DamagedError if it is missing, has no intact slot or belongs to another store."""
         if FILE_NAME not in folder.names():
             raise DamagedError(FILE_NAME, -1, "missing: what was acknowledged can't be checked")
         file = folder.open(FILE_NAME)
@@ -80,7 +82,7 @@
         self._writes_since_sync = 0
 
     def advance(self, sequence: int) -> None:
-        """Writes a higher sequence number to the current slot."""
+        """Writes a higher sequence number to the current slot. A lower or equal one is ignored."""
         if sequence <= self.sequence:
             return
         self.file.write_at(
@@ -96,4 +98,5 @@
             self._writes_since_sync = 0
 
     def close(self) -> None:
+        """Closes the file. What `advance` has written since the last sync may not be durable."""
         self.file.close()
--- a/tests/diameter.py
+++ b/tests/diameter.py
@@ -45,11 +45,11 @@
     }
 
 
-def extra_avps(given: MessageFields) -> list[Avp]:
+def extra_avps(fields: MessageFields) -> list[Avp]:
     """The AVP that `with=CODE:FLAGS:DATA` adds."""
-    if "with" not in given:
+    if "with" not in fields:
         return []
-    code, flags, data = given["with"].split(":")
+    code, flags, data = fields["with"].split(":")
     return [Avp(int(code), bytes.fromhex(data), 0, int(flags, 16))]
 
 
@@ -89,15 +89,15 @@
                 self.inbox.append(received)
 
     def describe(self, message: Message) -> MessageFields:
-        """A message as its name, its session and its fields."""
+        """Returns a message as its name (under ""), its session (under "tag") and its fields."""
         suffix = (
             SUFFIX_BY_REQUEST_TYPE.get(message.get(avp.CC_REQUEST_TYPE), "")
             if message.command == avp.CC
             else ""
         )
-        way = "R" if message.is_request else "A"
+        letter = "R" if message.is_request else "A"
         received = {
-            "": f"{COMMAND_NAMES.get(message.command, message.command)}{way}{suffix}",
+            "": f"{COMMAND_NAMES.get(message.command, message.command)}{letter}{suffix}",
             "tag": message.get(avp.SESSION_ID) or "",
         }
         for name, definition in SHOWN_AVPS.items():
@@ -114,17 +114,21 @@
         return received
 
     def encode(self, text: str) -> bytes:
+        """Encodes a message as scripts write it, `raw HEX` being bytes, and adds the AVPs that it requires.
+
+        Besides the fields of SHOWN_AVPS: `host`, `dest`, `app`, `oc`, `T` (retransmitted), `id` (End-to-End),
+        `to` (Application-ID), `command`, `with=CODE:FLAGS:DATA` and `without=CODE` of AVPs."""
         if text.startswith("raw "):
             return bytes.fromhex(text[4:])
         name, *rest = text.split()
         session = rest.pop(0) if rest and "=" not in rest[0] else ""
-        given = dict(pair.split("=", 1) for pair in rest)
-        record_event(self, "sent", {"": name, "tag": session, **given})
-        avps = [make(avp.ORIGIN_HOST, given.get("host", self.name)), make(avp.ORIGIN_REALM, "there")]
+        fields = dict(pair.split("=", 1) for pair in rest)
+        record_event(self, "sent", {"": name, "tag": session, **fields})
+        avps = [make(avp.ORIGIN_HOST, fields.get("host", self.name)), make(avp.ORIGIN_REALM, "there")]
         if session:
             avps.insert(0, make(avp.SESSION_ID, session))
         if name[:2] == "CE":
-            application = int(given.get("app", avp.CREDIT_CONTROL))
+            application = int(fields.get("app", avp.CREDIT_CONTROL))
             avps += [
                 make(avp.HOST_IP_ADDRESS, b"\0\1\x7f\0\0\1"),
                 make(avp.VENDOR_ID, 0),
@@ -134,43 +138,43 @@
         if name[:2] in ("CE", "DW"):
             avps.append(make(avp.ORIGIN_STATE_ID, self.state_id))
         if name[2] == "A":
-            return self.encode_answer(name, session, given, avps)
+            return self.encode_answer(name, session, fields, avps)
         if name[:2] in ("CC", "AS"):
             avps += [make(avp.DESTINATION_REALM, "here"), make(avp.AUTH_APPLICATION_ID, avp.CREDIT_CONTROL)]
         if name[:2] == "AS":
             avps.append(make(avp.DESTINATION_HOST, "n0"))
         if name[:2] == "CC":
-            request_type = next(code for code, ending in SUFFIX_BY_REQUEST_TYPE.items() if ending == name[3:])
+            request_type = next(code for code, suffix in SUFFIX_BY_REQUEST_TYPE.items() if suffix == name[3:])
             avps += [
-                make(avp.SERVICE_CONTEXT_ID, given.get("svc", "race@there")),
+                make(avp.SERVICE_CONTEXT_ID, fields.get("svc", "race@there")),
                 make(avp.CC_REQUEST_TYPE, request_type),
                 make(avp.CC_REQUEST_NUMBER, 0),
             ]
-            avps += [make(avp.DESTINATION_HOST, given["dest"])] if "dest" in given else []
-            avps += [make(avp.OC_SUPPORTED_FEATURES, [])] if "oc" in given else []
+            avps += [make(avp.DESTINATION_HOST, fields["dest"])] if "dest" in fields else []
+            avps += [make(avp.OC_SUPPORTED_FEATURES, [])] if "oc" in fields else []
         for field, definition in SHOWN_AVPS.items():
-            if field in given and field != "svc":
+            if field in fields and field != "svc":
                 is_number = definition.data_format is not avp.DataFormat.TEXT
-                avps.append(make(definition, int(given[field]) if is_number else given[field]))
-        avps = [entry for entry in avps if str(entry.code) != given.get("without")]
-        avps += extra_avps(given)
+                avps.append(make(definition, int(fields[field]) if is_number else fields[field]))
+        avps = [entry for entry in avps if str(entry.code) != fields.get("without")]
+        avps += extra_avps(fields)
         self.last_id += 1
         command = next(code for code, short in COMMAND_NAMES.items() if short == name[:2])
         application = avp.CREDIT_CONTROL if command in (avp.CC, avp.AS) else 0
-        flags = avp.REQUEST | (avp.RETRANSMITTED if "T" in given else 0)
+        flags = avp.REQUEST | (avp.RETRANSMITTED if "T" in fields else 0)
         return Message(
-            int(given.get("command", command)),
-            int(given.get("to", application)),
+            int(fields.get("command", command)),
+            int(fields.get("to", application)),
             self.last_id,
-            int(given.get("id", self.last_id)),
+            int(fields.get("id", self.last_id)),
             flags,
             avps,
         ).encode()
 
-    def encode_answer(self, name: str, session: str, given: MessageFields, avps: list[Avp]) -> bytes:
+    def encode_answer(self, name: str, session: str, fields: MessageFields, avps: list[Avp]) -> bytes:
         """Encodes an answer to the last request of this kind and session."""
         request = self.requests[f"{name[:2]}R{name[3:] or ('-I' if name == 'CCA' else '')}", session]
-        result = int(given["result"])
+        result = int(fields["result"])
         return Message(
             request.command,
             request.application,
@@ -180,8 +184,8 @@
             [
                 *avps,
                 make(avp.RESULT_CODE, result),
-                *extra_avps(given),
-                *([make(avp.CALLED_STATION_ID, given["key"])] if "key" in given else []),
+                *extra_avps(fields),
+                *([make(avp.CALLED_STATION_ID, fields["key"])] if "key" in fields else []),
             ],
         ).encode()
 
@@ -235,28 +239,28 @@
     may_resend_at: dict[str, float] = {}  # session -> when it may be sent again, ms
     final_answers: dict[str, int] = {}
     set_ups: dict[str, int] = {}
-    for at, who, direction, message, closed_since_ms in world.log:
+    for at, peer, direction, message, closed_since_ms in world.log:
         name = message[""]
         call = message["tag"]
-        if who.startswith("c"):
+        if peer.startswith("c"):
             set_ups[call] = set_ups.get(call, 0) + (name == "CCR-I")
             final_answers[call] = final_answers.get(call, 0) + (name == "CCA-I")
             continue
         if name == "CCR-I":
             if call in server_by_session:
-                yield f"{call}: two attempts out, at {server_by_session[call]} and {who}"
+                yield f"{call}: two attempts out, at {server_by_session[call]} and {peer}"
             if at < may_resend_at.get(call, 0.0):
                 yield f"{call}: sent again {may_resend_at[call] - at:.0f} ms too early"
             if closed_since_ms is not None and at > closed_since_ms + 2000.0:
-                yield f"{call}: sent to {who}, draining since {at - closed_since_ms:.0f} ms"
-            server_by_session[call] = who
-        elif name.startswith("CCA") and direction == "sent" and server_by_session.get(call) == who:
+                yield f"{call}: sent to {peer}, draining since {at - closed_since_ms:.0f} ms"
+            server_by_session[call] = peer
+        elif name.startswith("CCA") and direction == "sent" and server_by_session.get(call) == peer:
             del server_by_session[call]
-        elif name == "CCR-T" and server_by_session.get(call) == who:
+        elif name == "CCR-T" and server_by_session.get(call) == peer:
             del server_by_session[call]
             may_resend_at[call] = at + 500.0
         elif name == "closed":
-            for lost in [session for session, server in server_by_session.items() if server == who]:
+            for lost in [session for session, server in server_by_session.items() if server == peer]:
                 del server_by_session[lost]
                 may_resend_at[lost] = at + 500.0
     for call, count in final_answers.items():
--- a/tests/restart.py
+++ b/tests/restart.py
@@ -40,12 +40,13 @@
         self.schedule()
 
     def schedule(self) -> None:
+        """Lets the event loop call `run_next`, unless jobs are held back."""
         if not self.scheduled and self.state != "hold":
             self.scheduled = True
             self.world.later.append(self.run_next)
 
     def run_next(self) -> None:
-        """Runs one job at a time, as the worker thread does."""
+        """Runs one job, as the worker thread does, and reports those that may be reported."""
         self.scheduled = False
         if self.jobs and self.state != "hold":
             self.unreported.append(self.jobs.pop(0)())
@@ -88,6 +89,7 @@
                 wire.other.loseConnection()
 
     def restart(self: Any) -> None:
+        """Starts a new agent on the files that the last one left."""
         self.running = True
         self.clock._last = 0.0  # a new process has no earlier reading
         self.begin()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -652,11 +652,10 @@
         + """
         send s0 STARTED a blob=table
         send disk hold
-        send s0 FINISH b rc=16
         expect c1 STARTED a
         send disk free
         wait 200
-    """.replace("        send s0 FINISH b rc=16\n", "")
+    """
         + RESTART
         + """
         expect agent standing 1
@@ -809,7 +808,7 @@
 
 
 class AnswerChecks(DiameterRestarts):
-    """Adds a step that checks answers to terminations in the log, as the stand-in doesn't report them."""
+    """Adds a step that checks answers to terminations in the log, as DiameterActor puts none in its inbox."""
 
     def step(self, line: str) -> None:
         match line.split():
@@ -970,21 +969,23 @@
         record: dict[str, Any] = platform() if protocol == "platform" else diameter.config()
         world_class = PlatformRestarts if protocol == "platform" else DiameterRestarts
         self.world = world_class({**record, "chance": seed})
-        # By server and call: "out", "lost" or "stands".
+        # By server and call: "out" (unanswered), "lost" (unanswered, connection closed) or "stands".
         self.held: dict[str, dict[str, str]] = {"s0": {}, "s1": {}}
         self.waiting: dict[str, str] = {}  # unanswered calls and their clients
         self.established: dict[str, str] = {}  # calls that their clients know as established
-        self.unsure: set[str] = set()  # whose connection broke before the answer
-        self.failed: set[str] = set()  # ended before they were answered
-        self.ended: set[str] = set()  # ended by their server; their client has to be notified
-        self.free_at: dict[str, float] = {}
+        self.uncertain: set[str] = set()  # calls whose client lost its connection before the answer
+        self.failed: set[str] = set()  # calls that ended before they were answered
+        self.ended: set[str] = set()  # calls that their server has ended; their client has to be notified
+        self.resend_at: dict[str, float] = {}  # when a call may be set up again at a server, ms
         self.count = self.kills = 0
 
     def send(self, who: str, kind: str, *fields: str) -> None:
+        """Sends a message of PROTOCOLS, then handles what the agent has sent in response."""
         self.world.step(f"send {who} " + self.messages[kind].format(*fields))
         self.receive()
 
     def receive(self) -> None:
+        """Checks and handles messages until no client or server has any left."""
         while any(actor.inbox for actor in self.world.actors.values()):
             for name, actor in self.world.actors.items():
                 received = actor.inbox
@@ -1002,15 +1003,15 @@
             # Its pending set-ups go on; each is answered on a later connection, and released there.
             for lost in [lost for lost, how in self.held[name].items() if how == "out"]:
                 self.held[name][lost] = "lost"
-                self.free_at[lost] = self.world.clock.at + 500.0
+                self.resend_at[lost] = self.world.clock.at + 500.0
         elif verb == self.messages["asked"]:
             holders = [server for server, calls in self.held.items() if calls.get(call, "lost") != "lost"]
             assert not holders, f"{call} set up at {name} while at {holders}"
-            assert self.world.clock.at >= self.free_at.get(call, 0.0), f"{call} set up again too early"
+            assert self.world.clock.at >= self.resend_at.get(call, 0.0), f"{call} set up again too early"
             self.held[name][call] = "out"
         elif verb == self.messages["released"]:
             if self.held[name].pop(call, "") == "out":
-                self.free_at[call] = self.world.clock.at + 500.0
+                self.resend_at[call] = self.world.clock.at + 500.0
             self.world.step(f"send {name} " + self.messages["release answer"].format(call))
 
     def at_client(self, name: str, message: dict[str, str]) -> None:
@@ -1019,7 +1020,7 @@
         if verb == "closed":
             for waiting in [waiting for waiting, client in self.waiting.items() if client == name]:
                 del self.waiting[waiting]
-                self.unsure.add(waiting)
+                self.uncertain.add(waiting)
         elif call in self.waiting and verb in (self.messages["answer"], self.messages["refusal"]):
             assert self.waiting.pop(call) == name
             if verb == self.messages["answer"] and message.get("result", "2001") == "2001":
@@ -1031,12 +1032,13 @@
             if call in self.established:
                 assert call in self.ended or self.kills, f"{call} is over, and nobody ended it"
             self.established.pop(call, None)
-            self.unsure.discard(call)
+            self.uncertain.discard(call)
             self.world.step(f"send {name} " + self.messages["over answer"].format(call))
         else:
             assert verb not in (self.messages["answer"],), f"{name} received {message} unasked"
 
     def step(self) -> None:
+        """Does one action, drawn at random; nothing if it is not possible now."""
         rng = self.rng
         held = [(server, call, how) for server, calls in self.held.items() for call, how in calls.items()]
         out = [(server, call) for server, call, how in held if how != "stands"]
@@ -1077,11 +1079,11 @@
                 self.world.step("send agent start")
                 self.receive()
                 self.wait(1200.0)
-            case "again" if self.unsure:
-                call = rng.choice(sorted(self.unsure))
+            case "again" if self.uncertain:
+                call = rng.choice(sorted(self.uncertain))
                 client = rng.choice(("c1", "c2"))
-                if client == self.asker(call):
-                    self.unsure.discard(call)
+                if client == self.repeating_client(call):
+                    self.uncertain.discard(call)
                     self.waiting[call] = client
                     self.send(client, "ask", call, "0")
             case "disk":
@@ -1093,7 +1095,8 @@
             case _:
                 self.wait(rng.choice((1.0, 200.0, 3000.0)))
 
-    def asker(self, call: str) -> str:
+    def repeating_client(self, call: str) -> str:
+        """Returns the only client that may repeat the set-up of this call."""
         return "c1" if int(call, 16) % 2 else "c2"
 
     def wait(self, ms: float) -> None:
@@ -1114,7 +1117,7 @@
                 calls[call] = "stands"
                 self.send(server, "stands", call)
         left = {call: how for calls in self.held.values() for call, how in calls.items()}
-        assert left.keys() <= self.unsure and "out" not in left.values(), f"{left} left at servers"
+        assert left.keys() <= self.uncertain and "out" not in left.values(), f"{left} left at servers"
         for server, calls in self.held.items():
             for call in list(calls):
                 del calls[call]
--- a/tests/test_sigkill.py
+++ b/tests/test_sigkill.py
@@ -79,12 +79,12 @@
 
     Each end is confirmed by the agent, after it is recorded."""
 
-    def left() -> set[str]:
+    def unexpected_calls() -> set[str]:
         return {call for lobby in lobbies for call in lobby.calls} - observed.uncertain
 
     with contextlib.suppress(TimeoutError):  # for release guards, and messages that servers repeat
-        await wait_until(lambda: not left())
-    for call in left():
+        await wait_until(lambda: not unexpected_calls())
+    for call in unexpected_calls():
         observed.report_violation(f"{call}: left at a server, and its client knows nothing of it")
     for lobby in lobbies:
         lobby.end_all()
@@ -92,7 +92,7 @@
 
 
 async def stop_callers(callers: Sequence[Caller]) -> None:
-    """Lets clients stop asking, and release all calls that they know to be established."""
+    """Lets clients send no more set-ups, and release all calls that they know to be established."""
     for caller in callers:
         caller.sends_set_ups = False
     await wait_until(
@@ -114,6 +114,7 @@
 
 
 async def wait_until(condition: object, timeout_s: float = TIMEOUT_S) -> None:
+    """Waits until `condition()` is true; raises TimeoutError if it is not in time."""
     assert callable(condition)
     for _ in range(int(timeout_s / 0.05)):
         if condition():
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -99,6 +99,7 @@
 
 
 def damaged(how: str, data: bytes, at: int) -> bytes:
+    """Returns `data` cut off at offset `at`, or with one bit of the byte there flipped."""
     return data[:at] if how == "cut" else data[:at] + bytes([data[at] ^ 1 << at % 8]) + data[at + 1 :]
 
 
@@ -112,7 +113,7 @@
     monkeypatch.setattr(recovery, "INDEX_MIN_LOG_RATIO", min_log_ratio)
     folder, acknowledged, written = small_store()
     files = folder.contents()
-    refused = came_back = 0
+    refused = recovered = 0
     for name, data in files.items():
         for at in range(len(data)):
             found = MemoryFolder({**files, name: damaged(how, data, at)})
@@ -125,10 +126,10 @@
                 kept = found.contents()  # a refusal leaves the files unchanged, except for the index
                 assert all(kept[name] == before[name] for name in before if name != "index.db")
             else:
-                came_back += 1
+                recovered += 1
                 assert contents in (acknowledged, written), (name, at)
-    print(f"{how}: {refused} refused, {came_back} came back")
-    assert refused > 500 and came_back > 2000
+    print(f"{how}: {refused} refused, {recovered} recovered")
+    assert refused > 500 and recovered > 2000
 
 
 def test_files_cut_and_flipped_on_a_disk(tmp_path: pathlib.Path) -> None:
@@ -239,7 +240,8 @@
         self.acknowledged = 0  # the oldest model that a restart may bring back
         self.engine = Engine.open(self.folder, SMALL, store_id=9)
 
-    def guarded(self, action: str) -> bool:
+    def succeeds(self, action: str) -> bool:
+        """Calls a method of the engine; returns whether it did not raise FailedError."""
         try:
             getattr(self.engine, action)()
         except FailedError:
@@ -262,22 +264,22 @@
             self.models.append(applied(self.models[-1], changes))
             return
         self.models.append(applied(self.models[-1], changes))
-        if sync and self.guarded("sync"):
+        if sync and self.succeeds("sync"):
             self.acknowledged = len(self.models) - 1
 
     @rule()
     def sync(self) -> None:
-        if self.guarded("sync"):
+        if self.succeeds("sync"):
             self.acknowledged = len(self.models) - 1
 
     @rule(steps=st.integers(1, 6))
     def tidy(self, steps: int) -> None:
         for _ in range(steps):
-            self.guarded("run_background_step")
+            self.succeeds("run_background_step")
 
     @rule()
     def compact(self) -> None:
-        self.guarded("compact")
+        self.succeeds("compact")
 
     @precondition(lambda self: self.engine.failure is None)
     @rule(after=st.integers(1, 12), number=st.sampled_from([5, 28]), lasting=st.booleans())
@@ -288,7 +290,7 @@
     @rule(power=st.booleans())
     def crash(self, power: bool) -> None:
         self.folder = self.folder.after_power_loss(self.rng) if power else self.folder.after_kill()
-        self.come_back()
+        self.reopen_engine()
 
     @rule()
     def restart(self) -> None:
@@ -297,9 +299,10 @@
         if clean and self.engine.failure is None and self.engine.synced == self.engine.sequence:
             self.acknowledged = len(self.models) - 1
         self.folder = self.folder.after_kill()
-        self.come_back()
+        self.reopen_engine()
 
-    def come_back(self) -> None:
+    def reopen_engine(self) -> None:
+        """Opens the files as they are, and checks that no acknowledged batch is missing."""
         self.engine = Engine.open(self.folder, SMALL, store_id=9)
         contents = self.engine.take_recovered()
         assert contents in self.models[self.acknowledged :]
@@ -388,7 +391,7 @@
     rng = random.Random(seed)
     folder = MemoryFolder(rng=rng)
     worker = ManualWorker()
-    revived = 0
+    recoveries = 0
     limits = Limits(segment_bytes=2048, record_bytes=256, store_bytes=64 * 1024, checkpoint_records=20)
     clock = ManualClock()
     deadlines = Deadlines()
@@ -414,7 +417,7 @@
         for _ in range(3):
             deadlines.run(clock.at)
             worker.run()
-        revived += before is committer.State.FAILED and store_committer.state is committer.State.OPEN
+        recoveries += before is committer.State.FAILED and store_committer.state is committer.State.OPEN
         assert callbacks_run
         if store_committer.state is committer.State.OPEN and (
             how is committer.Durability.ALWAYS or before is committer.State.FAILED
@@ -422,7 +425,7 @@
             acknowledged_model = current
             if store_committer.engine.synced == store_committer.engine.sequence:
                 assert reopened(folder.after_power_loss(rng)) == acknowledged_model
-    assert revived > 1
+    assert recoveries > 1
     folder.fails_at_operation = -1
     folder.persistent = False
     while store_committer.state is committer.State.FAILED:
@@ -500,11 +503,11 @@
     for image in images:
         assert reopened(MemoryFolder({**folder.contents(), "index.db": image})) == model
     other = MemoryFolder()
-    stranger = Engine.open(other, SMALL, store_id=2)
-    stranger.append([("call/1", b"another store's")])
-    stranger.close()
-    foreign = other.contents()["index.db"]
-    assert reopened(MemoryFolder({**folder.contents(), "index.db": foreign})) == model
+    other_engine = Engine.open(other, SMALL, store_id=2)
+    other_engine.append([("call/1", b"another store's")])
+    other_engine.close()
+    other_index = other.contents()["index.db"]
+    assert reopened(MemoryFolder({**folder.contents(), "index.db": other_index})) == model
 
 
 @pytest.mark.parametrize(
