--- a/frostport/state/records.py
+++ b/frostport/state/records.py
@@ -8,8 +8,14 @@
 
 import msgspec
 
-CALL, SERVER, BUDGET, OWED, RELEASE, PEER = "call/", "server/", "budget/", "owed/", "release/", "peer/"
-BUS, NODE = "bus", "node"
+CALL = "call/"
+SERVER = "server/"
+BUDGET = "budget/"
+OWED = "owed/"
+RELEASE = "release/"
+PEER = "peer/"
+BUS = "bus"
+NODE = "node"
 KEY_SEPARATOR = "\0"  # between the two parts of a compound key
 
 
@@ -83,7 +89,7 @@
 
 
 class Bus(msgspec.Struct, array_like=True):
-    """The last bus event that was applied, and the version of the server list after it."""
+    """The offset of the last bus event that was applied, and the version of the server list after it."""
 
     offset: int
     version: int
@@ -136,10 +142,11 @@
 
 
 class BadRecordError(ValueError):
-    """An intact frame whose record this version can't decode; the message names the key."""
+    """A record that was read intact but that this version can't decode; the message names its key."""
 
 
 def encode(record: Record) -> bytes:
+    """Encodes a record without its key, which `decode` needs to tell its kind."""
     return _encoder.encode(record)
 
 
--- a/frostport/store/recovery.py
+++ b/frostport/store/recovery.py
@@ -20,8 +20,8 @@
 log = logging.getLogger("frostport.store")
 
 MANIFEST_NAME = "manifest"
-# The index is used if the log has at least so many times as many records as are live; else reading the whole
-# log is faster.
+# The index is used if the log has at least this many records for each live one; else reading the whole log is
+# faster.
 INDEX_MIN_LOG_RATIO = 2
 
 
@@ -124,12 +124,13 @@
 
 
 def read_store(folder: Folder, index: Index | None = None) -> Contents | None:
-    """Reads a whole store, through its index if that agrees with the log, else from the log alone; None if
-    there is none.
+    """Reads a whole store, through its index if that agrees with the log, else from the log alone.
+
+    Returns None if the folder holds no store.
 
     Raises DamagedError if an acknowledged record may be missing, UnknownFormatError, OSError."""
     collecting = gc.isenabled()
-    gc.disable()  # the collector would traverse all records of a large store repeatedly
+    gc.disable()  # it would traverse all records of a large store again and again
     try:
         return read_store_files(folder, index)
     finally:
@@ -167,7 +168,10 @@
             folder, contents, numbers_in_use, first_sequence, checkpoint, rows
         )
         if not used_index:
-            contents.segments, contents.locations, contents.values, contents.changed_keys = [], {}, {}, {}
+            contents.segments = []
+            contents.locations = {}
+            contents.values = {}
+            contents.changed_keys = {}
             contents.verified_checkpoint = contents.checkpoint = None
     if not used_index:
         contents.sequence = first_sequence - 1
@@ -204,7 +208,8 @@
 
     Only the last one may have a torn tail: each of the others was synced before its successor was created."""
     for number in numbers_in_use[skip:]:
-        name, last = frames.segment_name(number), number == numbers_in_use[-1]
+        name = frames.segment_name(number)
+        last = number == numbers_in_use[-1]
         data = read_file(folder, name)
         first_sequence = read_segment_header(folder, contents, number, data)
         if first_sequence is None and last and number != numbers_in_use[0]:
@@ -275,14 +280,13 @@
                 or (frame.sequence, frame.size) != (location[SEQUENCE], location[SIZE])
             ):
                 return False
-            contents.locations[key], contents.values[key] = location, frame.value
+            contents.locations[key] = location
+            contents.values[key] = frame.value
     if checkpoint.offset > len(data):
         return False
-    contents.sequence, segment.size, contents.verified_checkpoint = (
-        checkpoint.sequence,
-        checkpoint.offset,
-        checkpoint,
-    )
+    contents.sequence = checkpoint.sequence
+    segment.size = checkpoint.offset
+    contents.verified_checkpoint = checkpoint
     apply_batches(contents, segment, data, checkpoint.offset)
     contents.torn_bytes = len(data) - segment.size
     if number != numbers_in_use[-1]:
--- a/tests/restart.py
+++ b/tests/restart.py
@@ -29,20 +29,24 @@
     """The worker of the store: runs jobs in the scenario's own event loop, or holds them back."""
 
     def __init__(self, world: Any) -> None:
-        self.world, self.jobs, self.unreported = world, list[Job](), list[Callable[[], None]]()
-        self.state, self.scheduled = "free", False
+        self.world = world
+        self.jobs = list[Job]()
+        self.unreported = list[Callable[[], None]]()
+        self.state = "free"
+        self.scheduled = False
 
     def submit(self, job: Job) -> None:
         self.jobs.append(job)
         self.schedule()
 
     def schedule(self) -> None:
+        """Lets the event loop call `run_next`, unless jobs are held back."""
         if not self.scheduled and self.state != "hold":
             self.scheduled = True
             self.world.later.append(self.run_next)
 
     def run_next(self) -> None:
-        """Runs one job at a time, as the worker thread does."""
+        """Runs one job, as the worker thread does, and reports those that may be reported."""
         self.scheduled = False
         if self.jobs and self.state != "hold":
             self.unreported.append(self.jobs.pop(0)())
@@ -85,6 +89,7 @@
                 wire.other.loseConnection()
 
     def restart(self: Any) -> None:
+        """Starts a new agent on the files that the last one left."""
         self.running = True
         self.clock._last = 0.0  # a new process has no earlier reading
         self.begin()
@@ -102,7 +107,8 @@
                 self.folder.fail(1, lambda: OSError(28, "No space left on device"), persistent=True)
                 return
             case ["send", "disk", "roomy"]:
-                self.folder.fails_at_operation, self.folder.persistent = -1, False
+                self.folder.fails_at_operation = -1
+                self.folder.persistent = False
             case ["send", "disk", how]:
                 self.disk.state = how
                 self.disk.schedule()
