--- a/frostport/admission/addresses.py
+++ b/frostport/admission/addresses.py
@@ -48,11 +48,9 @@
     profit from this is limited by the bucket of its prefix."""
 
     def __init__(self, rate_per_second: float, burst: float, max_entries: int) -> None:
-        self.rate_per_second, self.burst, self.max_entries = (
-            rate_per_second,
-            max(1.0, burst or rate_per_second),
-            max_entries,
-        )
+        self.rate_per_second = rate_per_second
+        self.burst = max(1.0, burst or rate_per_second)
+        self.max_entries = max_entries
         self._tokens: OrderedDict[str, tuple[float, float]] = OrderedDict()  # tokens, and as of when
 
     def __len__(self) -> int:
@@ -78,7 +76,9 @@
     Each is refused for an exponentially growing, bounded time. An initial time of 0: never."""
 
     def __init__(self, initial_ms: float, max_ms: float, max_entries: int) -> None:
-        self.initial_ms, self.max_ms, self.max_entries = initial_ms, max_ms, max_entries
+        self.initial_ms = initial_ms
+        self.max_ms = max_ms
+        self.max_entries = max_entries
         # By address: consecutive offences, refused until.
         self._until: OrderedDict[str, tuple[int, float]] = OrderedDict()
 
@@ -106,7 +106,8 @@
     """Addresses with a successful call within the last `keep_ms`."""
 
     def __init__(self, keep_ms: float, max_entries: int) -> None:
-        self.keep_ms, self.max_entries = keep_ms, max_entries
+        self.keep_ms = keep_ms
+        self.max_entries = max_entries
         self._succeeded_at: OrderedDict[str, float] = OrderedDict()
 
     def __len__(self) -> int:
--- a/frostport/admission/gate.py
+++ b/frostport/admission/gate.py
@@ -212,12 +212,16 @@
 
     def reload(self, limits: Limits, now: float) -> None:
         """Replaces the limits. Open connections stay; `shed_surplus` closes what exceeds them, in batches."""
-        trusted, offenders = self.trusted, self.offenders
+        trusted = self.trusted
+        offenders = self.offenders
         self.limits = limits
         self._create_tables(limits)
-        trusted.keep_ms, trusted.max_entries = limits.earned_ms, limits.remembered
-        offenders.initial_ms, offenders.max_ms = limits.back_off_ms, limits.back_off_most_ms
-        self.trusted, self.offenders = trusted, offenders
+        trusted.keep_ms = limits.earned_ms
+        trusted.max_entries = limits.remembered
+        offenders.initial_ms = limits.back_off_ms
+        offenders.max_ms = limits.back_off_most_ms
+        self.trusted = trusted
+        self.offenders = offenders
         self.buffers.limit = limits.buffered_bytes
         self.buffers.connection_limit = limits.buffered_connection_bytes
         self._update_load()
@@ -264,7 +268,8 @@
 
     def _refusal_reason(self, address: str, prefix: str, known: bool, now: float) -> Reason | None:
         """Why this address may not connect now, regardless of free capacity."""
-        limits, clients_behind = self.limits, self._clients_behind(address)
+        limits = self.limits
+        clients_behind = self._clients_behind(address)
         if limits.ladder and (
             (self.ladder.step >= Step.SCARCE and not known)
             or (self.ladder.step >= Step.EXHAUSTED and not in_networks(address, limits.known))
@@ -287,8 +292,11 @@
         """Ensures capacity for one more connection, if need be by evictions, which it appends to `shed`.
 
         Unknown clients never use the reserve. Evicts nothing if the evictions would not suffice."""
-        limits, planned = self.limits, list[Admission]()
-        connections, unknown, unidentified = len(self.admissions), self.unknown, self.unidentified
+        limits = self.limits
+        planned = list[Admission]()
+        connections = len(self.admissions)
+        unknown = self.unknown
+        unidentified = self.unidentified
         if not known and connections > limits.connections:
             return Reason.FULL  # `shed_surplus` closes what exceeds a lowered limit, in batches
         if not known and limits.unidentified and unidentified >= limits.unidentified:
@@ -298,7 +306,8 @@
                 return Reason.UNIDENTIFIED
             planned.append(stale)
         max_unknown = limits.connections if known else limits.connections - limits.reserve
-        connections, unknown = connections - len(planned), unknown - len(planned)
+        connections -= len(planned)
+        unknown -= len(planned)
         victims = (admission for admission in self._eviction_order(known, now) if admission not in planned)
         while (
             connections >= limits.connections
@@ -311,7 +320,8 @@
                     return Reason.DESCRIPTORS
                 return Reason.FULL if connections >= limits.connections else Reason.RESERVE
             planned.append(victim)
-            connections, unknown = connections - 1, unknown - (not victim.known)
+            connections -= 1
+            unknown -= not victim.known
         for victim in planned:
             self._evict(victim, Reason.MADE_ROOM)
         shed += planned
--- a/frostport/admission/resources.py
+++ b/frostport/admission/resources.py
@@ -25,7 +25,8 @@
     """
 
     def __init__(self, limit: int, reserved: int) -> None:
-        self.limit, self.reserved = limit, reserved
+        self.limit = limit
+        self.reserved = reserved
         self.open: Counter[Owner] = Counter()
         self.guaranteed: Counter[Owner] = Counter()  # how many each other owner must be able to open
         self.refused: Counter[Owner] = Counter()
@@ -80,7 +81,8 @@
     """Bytes written to connections and not yet read by the other side. A limit of 0: none."""
 
     def __init__(self, limit: int, connection_limit: int) -> None:
-        self.limit, self.connection_limit = limit, connection_limit
+        self.limit = limit
+        self.connection_limit = connection_limit
         self.by_number: dict[int, int] = {}
         self.total = 0
 
--- a/frostport/agreement/applier.py
+++ b/frostport/agreement/applier.py
@@ -19,7 +19,8 @@
 
     def __init__(self, state_machine: StateMachine, index: int, snapshot: bytes) -> None:
         """`index`: the last entry that `snapshot` covers. Raises msgspec.MsgspecError if that is invalid."""
-        self.state_machine, self.applied_index = state_machine, index
+        self.state_machine = state_machine
+        self.applied_index = index
         self.blocked_reason = ""
         # A str is the id of a read, which is done once all entries before it are applied.
         self.queue: deque[Entry | str] = deque()
@@ -31,7 +32,8 @@
         except UnsupportedVersionError as problem:
             self.blocked_reason = str(problem)
         else:
-            self.applied_index, self.blocked_reason = index, ""
+            self.applied_index = index
+            self.blocked_reason = ""
 
     def install(self, index: int, snapshot: bytes) -> None:
         """Replaces the state by a snapshot that covers all up to `index`. Raises msgspec.MsgspecError."""
--- a/frostport/agreement/leader.py
+++ b/frostport/agreement/leader.py
@@ -138,7 +138,8 @@
         peer.disk_id = reply.disk_id
         if sender in self.voters and self.voters[sender] != reply.disk_id:
             return  # the voter has lost its disk: it must be removed and added again
-        peer.last_received_at, peer.acknowledged_round = now, max(peer.acknowledged_round, reply.round)
+        peer.last_received_at = now
+        peer.acknowledged_round = max(peer.acknowledged_round, reply.round)
         if reply.success:
             peer.match_index = max(peer.match_index, reply.match_index)
             peer.next_index = max(peer.next_index, peer.match_index + 1)
@@ -154,11 +155,13 @@
     def _handle_install_snapshot_reply(self, sender: str, reply: InstallSnapshotReply, now: float) -> None:
         peer = self.progress.get(sender) or self.joining.get(sender)
         if self.role is Role.LEADER and peer is not None and reply.term == self.term:
-            peer.last_received_at, peer.disk_id = now, reply.disk_id
+            peer.last_received_at = now
+            peer.disk_id = reply.disk_id
             if reply.index != self.log.snapshot_meta.index:
                 peer.snapshot_offset = 0
             elif reply.offset >= self.log.snapshot_meta.size_bytes:
-                peer.snapshot_offset, peer.next_index = 0, reply.index + 1
+                peer.snapshot_offset = 0
+                peer.next_index = reply.index + 1
             else:
                 peer.snapshot_offset = reply.offset
             self._replicate(sender, peer)
--- a/frostport/agreement/learner.py
+++ b/frostport/agreement/learner.py
@@ -60,7 +60,9 @@
         self.members: tuple[str, ...] = ()
         self.fed_learners: dict[str, FedLearner] = {}
         self.feed_request_at = now + self.rng.random() * self.settings.feed_request_interval_ms
-        self.feeder, self.feeder_last_received_at, self.feeder_term = "", now, 0
+        self.feeder = ""
+        self.feeder_last_received_at = now
+        self.feeder_term = 0
 
     def latest_leader_term(self) -> int:
         """The latest term in which this agent knows of a leader, by its own term or from its feeder."""
@@ -97,7 +99,8 @@
             self.feeder_last_received_at = now
         if message.term >= max(self.term, self.feeder_term) and not self.is_voter():
             # Kept apart from `term`, which must be durable before any message mentions it.
-            self.feeder_term, self.leader = message.term, message.leader
+            self.feeder_term = message.term
+            self.leader = message.leader
         match_index = self._merge_entries(message.prev_index, message.prev_term, message.entries)
         if (
             match_index is not None
--- a/frostport/agreement/log.py
+++ b/frostport/agreement/log.py
@@ -15,7 +15,10 @@
 
 Write = tuple[str, bytes | None]
 
-META_KEY, BASE_KEY, ENTRY_PREFIX, SNAPSHOT_PREFIX = "raft/meta", "raft/base", "raft/log/", "raft/snapshot/"
+META_KEY = "raft/meta"
+BASE_KEY = "raft/base"
+ENTRY_PREFIX = "raft/log/"
+SNAPSHOT_PREFIX = "raft/snapshot/"
 SNAPSHOT_RECORD_BYTES = 64 * 1024  # a snapshot is stored in records of this size
 VOTERS_KIND = "voters"  # kind of the entries that set the voters
 
@@ -111,10 +114,8 @@
         term = self.term_at(index)
         assert term is not None
         voters, _ = self.latest_voters(index)
-        removed, self.entries = (
-            self.entries[: index - self.snapshot_meta.index],
-            self.entries[index - self.snapshot_meta.index :],
-        )
+        removed = self.entries[: index - self.snapshot_meta.index]
+        self.entries = self.entries[index - self.snapshot_meta.index :]
         return self._replace_snapshot(
             SnapshotMeta(index, term, voters, len(snapshot), crc32c(snapshot)), snapshot, removed
         )
@@ -123,12 +124,14 @@
         """Replaces what another agent's snapshot covers, or the entire log if it differs at `meta.index`."""
         matches = self.term_at(meta.index) == meta.term
         covered = meta.index - self.snapshot_meta.index if matches else len(self.entries)
-        removed, self.entries = self.entries[:covered], self.entries[covered:]
+        removed = self.entries[:covered]
+        self.entries = self.entries[covered:]
         return self._replace_snapshot(meta, snapshot, removed)
 
     def _replace_snapshot(self, meta: SnapshotMeta, snapshot: bytes, removed: Sequence[Entry]) -> list[Write]:
         old_record_count = -(-self.snapshot_meta.size_bytes // SNAPSHOT_RECORD_BYTES)
-        self.snapshot_meta, self.snapshot = meta, snapshot
+        self.snapshot_meta = meta
+        self.snapshot = snapshot
         writes: list[Write] = [(entry_key(entry.index), None) for entry in removed]
         record_count = -(-meta.size_bytes // SNAPSHOT_RECORD_BYTES)
         writes += [
--- a/frostport/agreement/raft.py
+++ b/frostport/agreement/raft.py
@@ -78,8 +78,11 @@
     ) -> None:
         """`disk_id` is drawn at random when the store is created. `founding_voters`: the configured voters,
         used only to bootstrap a new cluster. `records` are the recovered records under `raft/`."""
-        self.name, self.disk_id, self.founding_voters = name, disk_id, tuple(sorted(founding_voters))
-        self.settings, self.rng = settings, rng
+        self.name = name
+        self.disk_id = disk_id
+        self.founding_voters = tuple(sorted(founding_voters))
+        self.settings = settings
+        self.rng = rng
         try:
             self.log = Log(records)
             state = (
@@ -91,9 +94,11 @@
             raise BadLogError(str(problem)) from None
         if state.disk_id != disk_id:
             raise BadLogError("the records belong to another disk")
-        self.term, self.voted_for = state.term, state.voted_for
+        self.term = state.term
+        self.voted_for = state.voted_for
         self.voters, self.voters_index = self.log.latest_voters()
-        self.role, self.leader = Role.FOLLOWER, ""
+        self.role = Role.FOLLOWER
+        self.leader = ""
         self.commit_index = self.last_applied = self.log.snapshot_meta.index
         self.leader_last_received_at = -NEVER
         self.votes_granted: set[str] = set()
@@ -237,12 +242,15 @@
         return [(META_KEY, _encoder.encode(PersistentState(self.term, self.voted_for, self.disk_id)))]
 
     def _enter_term(self, term: int, vote: str = "") -> None:
-        self.term, self.voted_for = term, vote
+        self.term = term
+        self.voted_for = vote
         self.output.writes += self._persistent_state()
 
     def _start_pre_vote(self, now: float) -> None:
         """Asks, without a change of term, whether a majority would vote for this server (9.6)."""
-        self.role, self.leader, self.votes_granted = Role.PRE_CANDIDATE, "", {self.name}
+        self.role = Role.PRE_CANDIDATE
+        self.leader = ""
+        self.votes_granted = {self.name}
         self.election_at = now + self._election_timeout_ms()
         self._send_vote_requests(self.term + 1, True)
         if now - self.leader_last_received_at > 3.0 * self.settings.election_timeout_ms:
@@ -259,7 +267,8 @@
         if len(self.votes_granted) <= len(self.voters) // 2:
             return
         if self.role is Role.PRE_CANDIDATE:
-            self.role, self.votes_granted = Role.CANDIDATE, {self.name}
+            self.role = Role.CANDIDATE
+            self.votes_granted = {self.name}
             self._enter_term(self.term + 1, self.name)
             self._send_vote_requests(self.term, False)
             self._record("candidate")
@@ -268,8 +277,13 @@
             self._become_leader(now)
 
     def _become_leader(self, now: float) -> None:
-        self.role, self.leader, self.leader_last_received_at = Role.LEADER, self.name, now
-        self.heartbeat_round, self.pending_reads, self.joining, self.join_command_ids = 0, [], {}, {}
+        self.role = Role.LEADER
+        self.leader = self.name
+        self.leader_last_received_at = now
+        self.heartbeat_round = 0
+        self.pending_reads = []
+        self.joining = {}
+        self.join_command_ids = {}
         self.progress = {
             name: Progress(self.log.last_index + 1, last_received_at=now)
             for name in self.voters
@@ -289,8 +303,12 @@
             self._enter_term(term)
         if self.role is Role.LEADER or (leader and leader != self.leader):
             self._record("follower", why=why, leader=leader)
-        self.role, self.leader = Role.FOLLOWER, leader
-        self.progress, self.joining, self.join_command_ids, self.pending_reads = {}, {}, {}, []
+        self.role = Role.FOLLOWER
+        self.leader = leader
+        self.progress = {}
+        self.joining = {}
+        self.join_command_ids = {}
+        self.pending_reads = []
         self.election_at = now + self._election_timeout_ms()
 
     def _handle_request_vote(self, sender: str, request: RequestVote, now: float) -> None:
@@ -340,7 +358,8 @@
             return
         if message.term > self.term or self.role is not Role.FOLLOWER or self.leader != sender:
             self._become_follower(message.term, sender, now)
-        self.leader_last_received_at, self.election_at = now, now + self._election_timeout_ms()
+        self.leader_last_received_at = now
+        self.election_at = now + self._election_timeout_ms()
         match_index = self._merge_entries(message.prev_index, message.prev_term, message.entries)
         if match_index is None:
             # Where the leader should retry: not past the end of this log, and not before its commit index.
@@ -367,7 +386,8 @@
                     if self.log.snapshot_meta.index <= prev_index + len(entries)
                     else None
                 )
-            prev_index, entries = self.log.snapshot_meta.index, entries[covered:]
+            prev_index = self.log.snapshot_meta.index
+            entries = entries[covered:]
         elif self.log.term_at(prev_index) != prev_term:
             return None
         for position, entry in enumerate(entries):
@@ -408,10 +428,8 @@
                     self._become_follower(message.term, sender, now)
                 if message.term in (0, self.term):
                     if message.term:
-                        self.leader_last_received_at, self.election_at = (
-                            now,
-                            now + self._election_timeout_ms(),
-                        )
+                        self.leader_last_received_at = now
+                        self.election_at = now + self._election_timeout_ms()
                     self._handle_install_snapshot(sender, message, now)
             case InstallSnapshotReply():
                 self._handle_install_snapshot_reply(sender, message, now)
--- a/frostport/agreement/snapshots.py
+++ b/frostport/agreement/snapshots.py
@@ -47,14 +47,18 @@
         wrong, the transfer starts again."""
         if message.meta != self.meta:
             if message.meta.size_bytes > MAX_SNAPSHOT_BYTES or message.offset:
-                self.meta, self.data = None, bytearray()
+                self.meta = None
+                self.data = bytearray()
                 return None
-            self.meta, self.data = message.meta, bytearray()
+            self.meta = message.meta
+            self.data = bytearray()
         if message.offset == len(self.data):
             self.data += message.data
         if len(self.data) < message.meta.size_bytes:
             return None
-        snapshot, self.meta, self.data = bytes(self.data), None, bytearray()
+        snapshot = bytes(self.data)
+        self.meta = None
+        self.data = bytearray()
         return (
             snapshot
             if len(snapshot) == message.meta.size_bytes and crc32c(snapshot) == message.meta.checksum
--- a/frostport/agreement/state_machine.py
+++ b/frostport/agreement/state_machine.py
@@ -48,7 +48,8 @@
 
     def __init__(self) -> None:
         self.applied_numbers: OrderedDict[str, deque[int]] = OrderedDict()
-        self.digest, self.applied_count = "", 0  # digest: over the ids of all applied commands, in order
+        self.digest = ""  # over the ids of all applied commands, in order
+        self.applied_count = 0
         self.notes: deque[tuple[int, str]] = deque(maxlen=MAX_NOTES)
         self.kinds: dict[str, tuple[int, Any, Callable[[Entry, Any], None]]] = {"note": (1, Note, self._note)}
         self.state_handlers: dict[str, tuple[Callable[[], bytes], Callable[[bytes], None]]] = {
@@ -132,6 +133,7 @@
         self.applied_numbers = OrderedDict(
             (origin, deque(numbers, MAX_NUMBERS_PER_ORIGIN)) for origin, numbers in saved.applied_numbers
         )
-        self.digest, self.applied_count = saved.digest, saved.count
+        self.digest = saved.digest
+        self.applied_count = saved.count
         for kind, (_, state) in saved.parts.items():
             self.state_handlers[kind][1](state)
--- a/frostport/maintenance/commands.py
+++ b/frostport/maintenance/commands.py
@@ -9,7 +9,9 @@
 import msgspec
 
 VERSION = 1
-AGENT, SERVER = "agent", "server"  # the kinds of machine
+# The kinds of machine
+AGENT = "agent"
+SERVER = "server"
 
 
 class Limits(msgspec.Struct, array_like=True, frozen=True, tag="limits"):
--- a/frostport/maintenance/plan.py
+++ b/frostport/maintenance/plan.py
@@ -140,12 +140,10 @@
     def restore(self, data: bytes) -> None:
         """Replaces the state by one that `save` has returned. Raises msgspec.MsgspecError."""
         saved = msgspec.msgpack.decode(data, type=PlanSnapshot)
-        self.now_ms, self.limits, self.held_by, self.last_number = (
-            saved.now_ms,
-            saved.limits,
-            saved.held_by,
-            saved.last_number,
-        )
+        self.now_ms = saved.now_ms
+        self.limits = saved.limits
+        self.held_by = saved.held_by
+        self.last_number = saved.last_number
         self.limits_set = saved.limits_set
         self.machines = {machine.name: machine for machine in saved.machines}
         self.tickets = saved.tickets
@@ -159,7 +157,8 @@
         """Applies the command of the log entry at `index`, which a leader of `term` has appended."""
         match command:
             case Limits():
-                self.limits, self.limits_set = command, True
+                self.limits = command
+                self.limits_set = True
             case MaintenanceRequest():
                 self._add_tickets(index, command)
             case Hold():
@@ -173,10 +172,8 @@
             case AgentLoad():
                 machine = self.machines.get(command.name)
                 if machine is not None and machine.life == command.life:
-                    machine.calls_per_second, machine.unreachable = (
-                        command.calls_per_second,
-                        command.unreachable,
-                    )
+                    machine.calls_per_second = command.calls_per_second
+                    machine.unreachable = command.unreachable
             case DrainConfirmed():
                 ticket = self.open_ticket(command.machine)
                 machine = self.machines.get(command.agent)
@@ -194,7 +191,8 @@
                     for ticket in self._open_tickets.values():
                         if ticket.timer_unset:
                             # Guards against counting time from before the state began: this tick covers some.
-                            ticket.since_ms, ticket.timer_unset = self.now_ms, False
+                            ticket.since_ms = self.now_ms
+                            ticket.timer_unset = False
         self._advance(index)
 
     def _add_tickets(self, index: int, command: MaintenanceRequest) -> None:
@@ -223,11 +221,14 @@
                 confirmations={},
             )
             if machine is None:
-                ticket.state, ticket.note = TicketState.REFUSED, "no machine of that name is known"
+                ticket.state = TicketState.REFUSED
+                ticket.note = "no machine of that name is known"
             elif (other := self.open_ticket(name)) is not None:
-                ticket.state, ticket.note = TicketState.REFUSED, f"ticket {other.number} has it already"
+                ticket.state = TicketState.REFUSED
+                ticket.note = f"ticket {other.number} has it already"
             elif len(self._open_tickets) >= MAX_OPEN_TICKETS:
-                ticket.state, ticket.note = TicketState.REFUSED, f"{MAX_OPEN_TICKETS} tickets already"
+                ticket.state = TicketState.REFUSED
+                ticket.note = f"{MAX_OPEN_TICKETS} tickets already"
             else:
                 self._open_tickets[name] = ticket
             self.tickets.append(ticket)
@@ -257,9 +258,13 @@
         if machine.kind != AGENT:
             return
         if machine.life != command.life:
-            machine.calls_per_second, machine.unreachable = -1.0, ()
-        machine.zone, machine.life, machine.voter = command.zone, command.life, command.voter
-        machine.up, machine.left = command.up, command.left
+            machine.calls_per_second = -1.0
+            machine.unreachable = ()
+        machine.zone = command.zone
+        machine.life = command.life
+        machine.voter = command.voter
+        machine.up = command.up
+        machine.left = command.left
 
     def _update_servers(self, command: ServerList) -> None:
         # A server off the list is forgotten unless a ticket still refers to it.
@@ -281,11 +286,9 @@
 
     def _set_state(self, ticket: Ticket, state: TicketState) -> None:
         """Enters a state and drops old ended tickets. OUT and WARMING are timed from the next tick."""
-        ticket.state, ticket.since_ms, ticket.timer_unset = (
-            state,
-            self.now_ms,
-            state in (TicketState.OUT, TicketState.WARMING),
-        )
+        ticket.state = state
+        ticket.since_ms = self.now_ms
+        ticket.timer_unset = state in (TicketState.OUT, TicketState.WARMING)
         if state in ENDED_STATES:
             del self._open_tickets[ticket.name]
             ended = [each for each in self.tickets if each.state in ENDED_STATES]
@@ -306,7 +309,8 @@
             ):
                 self._set_state(ticket, TicketState.DONE)
         while (ticket_to_start := self._next_ticket()) is not None:
-            ticket_to_start.start_index, ticket_to_start.confirmations = index, {}
+            ticket_to_start.start_index = index
+            ticket_to_start.confirmations = {}
             self._set_state(ticket_to_start, TicketState.GOING)
 
     def _next_ticket(self) -> Ticket | None:
@@ -442,7 +446,8 @@
 
     def blocking_reason(self, ticket: Ticket, known_out: dict[str, Machine] | None = None) -> str:
         """Why a waiting ticket may not start now, or "". `known_out`: `out_of_service()`, if at hand."""
-        limits, machine = self.limits, self.machines.get(ticket.name)
+        limits = self.limits
+        machine = self.machines.get(ticket.name)
         if machine is None:
             return "it is no longer known"
         if self.held_by:
--- a/frostport/maintenance/reconciler.py
+++ b/frostport/maintenance/reconciler.py
@@ -25,7 +25,9 @@
 from frostport.maintenance.plan import ENDED_STATES, HELD_OUT_STATES, Plan, TicketState
 
 REPROPOSE_MS = 2000.0  # an unchanged command that has not taken effect is proposed again after this
-MIN_TICK_MS, MAX_TICK_MS = 1000.0, 30_000.0  # the leader ticks when something is due, within these intervals
+# The leader ticks when something is due, at intervals within these bounds.
+MIN_TICK_MS = 1000.0
+MAX_TICK_MS = 30_000.0
 LOAD_REPORT_MS = 60_000.0  # interval of reports of an unchanged load
 CHANGED_LOAD_REPORT_MS = 5000.0  # least interval of reports of a changed load
 LOAD_CHANGE_RATIO = 0.2  # hysteresis: less (or under one call a second) is no change of the load
@@ -117,7 +119,10 @@
     ) -> None:
         """`limits`: those of the configuration; the leader proposes them where the plan has none yet."""
         self.limits = limits
-        self.name, self.life, self.started_ms, self.storage_intact = name, life, now_ms, storage_intact
+        self.name = name
+        self.life = life
+        self.started_ms = now_ms
+        self.storage_intact = storage_intact
         self.serving = False  # the start is over
         self.drain_ticket = 0  # number of the ticket that keeps this agent out; 0: none
         self.drain_started_ms = now_ms
@@ -159,7 +164,8 @@
         ticket = plan.open_ticket(self.name)
         if ticket is not None and ticket.kind == AGENT and ticket.state in HELD_OUT_STATES:
             if self.drain_ticket != ticket.number or local.phase == "serving":
-                self.drain_ticket, self.drain_started_ms = ticket.number, now_ms
+                self.drain_ticket = ticket.number
+                self.drain_started_ms = now_ms
                 if local.phase == "serving":
                     actions.append(Drain())
             elif local.phase == "drained" or (
@@ -232,7 +238,8 @@
         if now_ms - self._load_reported_ms >= (
             CHANGED_LOAD_REPORT_MS if changed and last is not None else LOAD_REPORT_MS
         ):
-            self._reported_load, self._load_reported_ms = load, now_ms
+            self._reported_load = load
+            self._load_reported_ms = now_ms
             actions.append(ProposeCommand(load))
 
     # The leader's observations, and time
--- a/frostport/membership/swim.py
+++ b/frostport/membership/swim.py
@@ -74,11 +74,16 @@
     ) -> None:
         """`incarnation`: Unix time in ms at the start of the process; `seeds`: addresses that Joins are sent
         to; `supersedes`: an older process of this name may still answer."""
-        self.name, self.info, self.incarnation, self.supersedes = name, info, incarnation, supersedes
+        self.name = name
+        self.info = info
+        self.incarnation = incarnation
+        self.supersedes = supersedes
         self.seeds = [seed for seed in seeds if seed != info.address]
-        self.settings, self.rng = settings, rng
+        self.settings = settings
+        self.rng = rng
         self.phase = Phase.JOINING
-        self.table, self.pending_updates = Table(), UpdateBuffer()
+        self.table = Table()
+        self.pending_updates = UpdateBuffer()
         self.health = 0  # Lifeguard's local health multiplier, 0: healthy
         self.probe: Probe | None = None
         self.probes_for_others: dict[int, IndirectProbe] = {}
@@ -187,10 +192,8 @@
         if self.probe is not None:
             self.probe.indirect_at += pause_ms
         for indirect in self.probes_for_others.values():
-            indirect.nack_at, indirect.expires_at = (
-                indirect.nack_at + pause_ms,
-                indirect.expires_at + pause_ms,
-            )
+            indirect.nack_at += pause_ms
+            indirect.expires_at += pause_ms
         for claim in self.claims.values():
             claim.expires_at += pause_ms
         for member in self.table.suspects.values():
--- a/frostport/membership/table.py
+++ b/frostport/membership/table.py
@@ -72,14 +72,16 @@
             return None
         if update.incarnation > member.incarnation or update.state is not State.SUSPECT:
             member.suspected_by.clear()
-        member.incarnation, member.info = update.incarnation, update.info or member.info
+        member.incarnation = update.incarnation
+        member.info = update.info or member.info
         if update.state is not member.state:
             self._set_state(member, update.state, now_ms)
         return member
 
     def _set_state(self, member: Member, state: State, now_ms: float) -> None:
         self._size += (state <= State.SUSPECT) - (member.state <= State.SUSPECT)
-        member.state, member.changed_at = state, now_ms
+        member.state = state
+        member.changed_at = now_ms
         if state is State.SUSPECT:
             self.suspects[member.name] = member
         else:
--- a/frostport/replication/epochs.py
+++ b/frostport/replication/epochs.py
@@ -60,13 +60,12 @@
             case Succeed(owner, epoch, successor, incarnation):
                 stream = self.streams.get((owner, epoch))
                 if stream is not None and not stream.successor and successor != owner:
-                    stream.ended, stream.successor, stream.successor_incarnation = (
-                        True,
-                        successor,
-                        incarnation,
-                    )
+                    stream.ended = True
+                    stream.successor = successor
+                    stream.successor_incarnation = incarnation
                 elif stream is not None and stream.successor and self._successor_gone(stream):
-                    stream.successor, stream.successor_incarnation = successor, incarnation
+                    stream.successor = successor
+                    stream.successor_incarnation = incarnation
             case TakeoverDone(owner, epoch, successor):
                 stream = self.streams.get((owner, epoch))
                 if stream is not None and stream.successor == successor:
--- a/frostport/replication/holder.py
+++ b/frostport/replication/holder.py
@@ -30,7 +30,9 @@
 
 MAX_TOMBSTONES = 4000  # deletions remembered in each copy; the oldest are dropped first
 REMAINDER_PART_BYTES = 256 * 1024  # size of one part sent to a successor
-RECORD_PREFIX, PROGRESS_PREFIX = "copy/", "copies/"  # prefixes of storage keys
+# Prefixes of storage keys
+RECORD_PREFIX = "copy/"
+PROGRESS_PREFIX = "copies/"
 SEPARATOR = "\0"
 
 
@@ -48,10 +50,8 @@
     value: bytes | None
 
 
-_progress_decoder, _record_decoder = (
-    msgspec.msgpack.Decoder(CopyProgress),
-    msgspec.msgpack.Decoder(StoredRecord),
-)
+_progress_decoder = msgspec.msgpack.Decoder(CopyProgress)
+_record_decoder = msgspec.msgpack.Decoder(StoredRecord)
 encode = msgspec.msgpack.Encoder().encode
 
 
@@ -114,7 +114,8 @@
             if key.startswith(PROGRESS_PREFIX):
                 progress = _progress_decoder.decode(value)
                 copy = self._get_copy(*self._parse_stream_key(key[len(PROGRESS_PREFIX) :]))
-                copy.batch_number, copy.verified = progress.batch_number, progress.verified
+                copy.batch_number = progress.batch_number
+                copy.verified = progress.verified
             elif key.startswith(RECORD_PREFIX):
                 owner, epoch, name = key[len(RECORD_PREFIX) :].split(SEPARATOR, 2)
                 record = _record_decoder.decode(value)
@@ -169,7 +170,8 @@
         return out
 
     def _from_owner(self, message: Append | Digests | RangePart | Verify, out: Output) -> None:
-        owner, epoch = message.owner, message.epoch
+        owner = message.owner
+        epoch = message.epoch
         copy = self.copies.get((owner, epoch))
         if copy is None:
             copy = self._get_copy(owner, epoch)
@@ -220,12 +222,10 @@
         copy.missing_ranges = set(copy.table.differing_ranges(message.leaves))
         copy.partial_ranges.clear()
         copy.next_part.clear()
-        copy.batch_number, copy.verified, copy.digests_received, copy.round = (
-            message.batch_number,
-            False,
-            True,
-            message.round,
-        )
+        copy.batch_number = message.batch_number
+        copy.verified = False
+        copy.digests_received = True
+        copy.round = message.round
         self._save_progress(copy, out)
         out.messages.append(
             (
@@ -329,7 +329,8 @@
                     copy.owner, copy.epoch, copy.batch_number, tuple(part), False, copy.verified
                 )
                 out.messages.append((sender, remainder))
-                part, size = [], 0
+                part = []
+                size = 0
         out.messages.append(
             (sender, Remainder(copy.owner, copy.epoch, copy.batch_number, tuple(part), True, copy.verified))
         )
--- a/frostport/replication/stream.py
+++ b/frostport/replication/stream.py
@@ -68,8 +68,11 @@
         self, owner: str, epoch: int, settings: Settings, records: Iterable[tuple[str, bytes]]
     ) -> None:
         """`records`: the initial records, from disk."""
-        self.owner, self.epoch, self.settings = owner, epoch, settings
-        self.table, self.batch_number = DigestTable(), 0
+        self.owner = owner
+        self.epoch = epoch
+        self.settings = settings
+        self.table = DigestTable()
+        self.batch_number = 0
         for key, value in records:
             self.table.put(key, 0, value)
         self.retained: deque[tuple[int, Batch]] = deque()
@@ -113,12 +116,10 @@
                 del self.holders[name]
 
     def _start_round(self, name: str, holder: HolderState, now_ms: float, out: Out) -> None:
-        holder.phase, holder.acked, holder.sent, holder.round_base = (
-            Phase.NEW,
-            0,
-            self.batch_number,
-            self.batch_number,
-        )
+        holder.phase = Phase.NEW
+        holder.acked = 0
+        holder.sent = self.batch_number
+        holder.round_base = self.batch_number
         holder.round += 1
         holder.pending_ranges.clear()
         holder.pending_entries.clear()
@@ -139,7 +140,8 @@
         last = min(self.batch_number, max(holder.acked, holder.round_base) + self.settings.window_batches)
         batches = tuple(self.retained[number - oldest][1] for number in range(first, last + 1))
         if batches:
-            holder.sent, holder.sent_at_ms = last, now_ms
+            holder.sent = last
+            holder.sent_at_ms = now_ms
             out.append((name, Append(self.owner, self.epoch, first, batches)))
 
     # Messages of holders
@@ -155,11 +157,13 @@
             case RangesWanted(_, _, batch_number, range_numbers, round_number) if (
                 holder.phase is Phase.NEW and round_number == holder.round
             ):
-                holder.last_received_at_ms, holder.acked = now_ms, max(holder.acked, batch_number)
+                holder.last_received_at_ms = now_ms
+                holder.acked = max(holder.acked, batch_number)
                 holder.pending_ranges.extend(
                     range_number for range_number in range_numbers if 0 <= range_number < 256
                 )
-                holder.phase, holder.tokens_updated_at_ms = Phase.TRANSFER, now_ms
+                holder.phase = Phase.TRANSFER
+                holder.tokens_updated_at_ms = now_ms
                 self._send_parts(sender, holder, now_ms, out)
             case Ack(_, _, batch_number, verified, complete, round_number) if (
                 round_number == holder.round or (round_number == 0 and verified)
@@ -211,9 +215,11 @@
                     (key, self.table.entries[key][1])
                     for key in sorted(self.table.keys_by_range[holder.pending_ranges[0]])
                 ]
-                holder.next_part, holder.range_batch = 0, self.batch_number
+                holder.next_part = 0
+                holder.range_batch = self.batch_number
                 self._send_batches(name, holder, now_ms, out)
-            size, entries = 0, []
+            size = 0
+            entries = []
             while holder.pending_entries and size < settings.part_bytes:
                 key, value = holder.pending_entries.pop()
                 size += len(key) + len(value)
--- a/frostport/replication/successor.py
+++ b/frostport/replication/successor.py
@@ -21,7 +21,9 @@
     """One takeover, from the successor's command in the agreed log until the stream's records are known."""
 
     def __init__(self, copy: StreamCopy, others: Iterable[str], now_ms: float) -> None:
-        self.copy, self.started_at_ms, self.asked_at_ms = copy, now_ms, -math.inf
+        self.copy = copy
+        self.started_at_ms = now_ms
+        self.asked_at_ms = -math.inf
         self.pending = set(others)
         self.later_writes: dict[str, tuple[int, bytes | None]] = {}  # that its own copy lacks
         # A copy that was still catching up has a batch number but may lack earlier batches: all writes are
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -186,14 +186,17 @@
     """The second process is refused with an error in the log; the first goes on."""
     await rig.wait_for_leader()
     await propose_notes(rig, rig.names)
-    first, ports = rig.programs["n1"], rig.ports["n1"]
+    first = rig.programs["n1"]
+    ports = rig.ports["n1"]
     for pair in [pair for pair in rig.relays if "n1" in pair]:
         rig.add_history(f"the second process is reached without the relays {pair}")
     rig.ports["n1"] = dict(zip(ports, free_ports(len(ports)), strict=True))
-    rig.fleet_options["path"], rig.fleet_options["record"] = "second.fleet", "second.jsonl"
+    rig.fleet_options["path"] = "second.fleet"
+    rig.fleet_options["record"] = "second.jsonl"
     await rig.start("n1")
     second = rig.programs["n1"]
-    rig.programs["n1"], rig.ports["n1"] = first, ports
+    rig.programs["n1"] = first
+    rig.ports["n1"] = ports
     rig.fleet_options.clear()
     assert await asyncio.wait_for(second.wait(), 60) == 1
     assert "refused by the fleet: another n1 answers at" in (rig.folder / "log").read_text(encoding="utf-8")
@@ -314,7 +317,8 @@
     ends exactly once."""
     environment = rig.environment
     assert environment is not None
-    observed, rng = environment.observed, random.Random(rig.seed)
+    observed = environment.observed
+    rng = random.Random(rig.seed)
     environment.start_callers()
     await rig.wait_for_leader()
     await propose_notes(rig, rig.names)
@@ -393,7 +397,9 @@
 async def random_faults(rig: Rig) -> None:
     """Random faults, determined by the rig's seed."""
     await rig.wait_for_leader()
-    rng, down, frozen = random.Random(rig.seed), set[str](), set[str]()
+    rng = random.Random(rig.seed)
+    down = set[str]()
+    frozen = set[str]()
     for _ in range(12):
         name = rng.choice(rig.names)
         action = rng.choice(("kill", "stop", "cut", "apart", "heal", "back", "note", "note"))
@@ -414,7 +420,8 @@
                 rig.unfreeze(other_name)
             for other_name in down:
                 await rig.start(other_name)
-            down, frozen = set(), set()
+            down = set()
+            frozen = set()
         await propose_notes(
             rig, [other_name for other_name in rig.names if other_name not in down | frozen], 2
         )
--- a/tests/fleet/test_startup.py
+++ b/tests/fleet/test_startup.py
@@ -27,7 +27,9 @@
     """Takes one rig through the faults, one after the other."""
 
     def __init__(self, rig: Rig, site: ColdSite) -> None:
-        self.rig, self.site, self.list = rig, site, site.limited_list
+        self.rig = rig
+        self.site = site
+        self.list = site.limited_list
 
     async def startup_status(self, name: str) -> list[str]:
         return await self.rig.ask(name, "startup")
@@ -114,7 +116,8 @@
             return all(float(lines[1].split("heard ")[1].split()[0]) > 4000.0 for lines in answers if lines)
 
         await self.rig.wait_until("all agents know that the service is down", noticed)
-        since, number = len(self.list.accepted_at), self.publish_event()
+        since = len(self.list.accepted_at)
+        number = self.publish_event()
         for party in self.site.endpoints().values():
             await party.open()
         await self.wait_for_event(number)
@@ -122,11 +125,13 @@
         self.assert_not_overloaded(since, POSSIBLE_FEEDERS)
 
     async def feeders_stall(self) -> None:
-        stalled, since = await self.wait_for_zone_feeders("z0"), len(self.list.accepted_at)
+        stalled = await self.wait_for_zone_feeders("z0")
+        since = len(self.list.accepted_at)
         assert len(stalled) == FEEDERS
         for name in stalled:
             await self.rig.freeze_and_wait(name)
-        number, others = self.publish_event(), [name for name in self.rig.names if name not in stalled]
+        number = self.publish_event()
+        others = [name for name in self.rig.names if name not in stalled]
         found = await self.wait_for_event(number, others)
         for name in stalled:
             # The feeders were stopped all the time.
@@ -140,7 +145,8 @@
         self.assert_not_overloaded(since, POSSIBLE_FEEDERS)
 
     async def feeders_die(self) -> None:
-        dead, since = await self.wait_for_zone_feeders("z0"), len(self.list.accepted_at)
+        dead = await self.wait_for_zone_feeders("z0")
+        since = len(self.list.accepted_at)
         assert len(dead) == FEEDERS
         for name in dead:
             await self.rig.kill(name)
--- a/tests/fleet/test_work.py
+++ b/tests/fleet/test_work.py
@@ -367,7 +367,8 @@
 
 async def random_faults(rig: Rig) -> None:
     """Seeded random kills, stalls and partitions while four machines are to go out."""
-    rng, down = random.Random(rig.seed), set[str]()
+    rng = random.Random(rig.seed)
+    down = set[str]()
     await request(rig, "n0", "h0,n1,h1,n2")
     for _ in range(10):
         name = rng.choice(rig.names)
@@ -415,7 +416,8 @@
 
 async def wait_for_answers(rig: Rig, count: int = 20) -> None:
     assert rig.environment is not None
-    observed, before = rig.environment.observed, rig.environment.observed.answers
+    observed = rig.environment.observed
+    before = rig.environment.observed.answers
 
     async def answered() -> bool:
         return observed.answers >= before + count
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -155,7 +155,8 @@
     def tables_match_the_open_connections(self) -> None:
         if not hasattr(self, "gate"):
             return
-        gate, limits = self.gate, self.limits
+        gate = self.gate
+        limits = self.limits
         assert gate.admissions == self.open
         assert gate.descriptors.open[Owner.CLIENTS] == len(self.open)
         assert gate.by_address == Counter(admission.address for admission in self.open.values())
@@ -460,7 +461,8 @@
 def test_clients_leave_what_is_guaranteed_to_the_bus_and_the_servers() -> None:
     """Servers with more than the reserve, a disconnected bus, and clients that use all they may."""
     descriptors = Descriptors(40, 4)
-    descriptors.guaranteed[Owner.BUS], descriptors.guaranteed[Owner.SERVERS] = 2, 8
+    descriptors.guaranteed[Owner.BUS] = 2
+    descriptors.guaranteed[Owner.SERVERS] = 8
     descriptors.acquire(Owner.SERVERS, 6)
     while descriptors.available(Owner.CLIENTS):
         descriptors.acquire(Owner.CLIENTS)
@@ -471,7 +473,8 @@
     descriptors.acquire(Owner.BUS, 2)
     assert not descriptors.available(Owner.BUS) and descriptors.total() == 40
     guaranteed_more = Descriptors(40, 4)
-    guaranteed_more.guaranteed[Owner.BUS], guaranteed_more.guaranteed[Owner.SERVERS] = 2, 400
+    guaranteed_more.guaranteed[Owner.BUS] = 2
+    guaranteed_more.guaranteed[Owner.SERVERS] = 400
     while guaranteed_more.available(Owner.CLIENTS):
         guaranteed_more.acquire(Owner.CLIENTS)
     assert guaranteed_more.open[Owner.CLIENTS] == 20  # what servers have not opened withholds at most half
@@ -488,7 +491,8 @@
     """,
         platform(),
     )
-    agent, factory = world.agent, world.reactor.factory
+    agent = world.agent
+    factory = world.reactor.factory
     descriptors = agent.gate.descriptors
     for _ in range(2 * agent.config.sockets):
         wire = Wire(world, factory.buildProtocol(None))
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -61,13 +61,11 @@
     def __init__(
         self, names: tuple[str, ...] = VOTERS, settings: RaftSettings = SMALL_MESSAGES, seed: int = 1
     ) -> None:
-        self.now, self.seed, self.settings, self.last_command_number, self.delivered = (
-            0.0,
-            seed,
-            settings,
-            0,
-            0,
-        )
+        self.now = 0.0
+        self.seed = seed
+        self.settings = settings
+        self.last_command_number = 0
+        self.delivered = 0
         self.disks: dict[str, dict[str, bytes]] = {name: {} for name in names}
         self.disk_ids = {name: number + 1 for number, name in enumerate(names)}
         self.agents: dict[str, Raft] = {}
@@ -236,7 +234,9 @@
 
 
 def count_states(begin: Cluster, depth: int, max_states: int) -> int:
-    seen, layer, count = {state_hash(begin)}, [pickle.dumps(begin)], 1
+    seen = {state_hash(begin)}
+    layer = [pickle.dumps(begin)]
+    count = 1
     for _ in range(depth):
         next_layer: list[bytes] = []
         for data in layer:
@@ -489,7 +489,9 @@
 
 def campaign_without_pre_vote(self: Raft, now: float) -> None:
     """An election without the pre-vote."""
-    self.role, self.leader, self.votes_granted = Role.CANDIDATE, "", {self.name}
+    self.role = Role.CANDIDATE
+    self.leader = ""
+    self.votes_granted = {self.name}
     self.election_at = now + self._election_timeout_ms()
     self._enter_term(self.term + 1, self.name)
     self._send_vote_requests(self.term, False)
@@ -520,7 +522,8 @@
 def test_paused_leader_continues_as_if_it_led() -> None:
     cluster = cluster_with_leader()
     old = cluster.leader()
-    paused, in_flight_before = cluster.agents.pop(old), cluster.in_flight
+    paused = cluster.agents.pop(old)
+    in_flight_before = cluster.in_flight
     cluster.run_reliably(10_000.0)
     new = cluster.leader()
     assert new != old
@@ -664,7 +667,8 @@
     first_unsupported = next(
         (entry.index for entry in entries if (entry.kind, entry.version) != ("note", 1)), 80
     )
-    earlier, later = Applier(StateMachine(), 0, b""), Applier(LaterStateMachine(), 0, b"")
+    earlier = Applier(StateMachine(), 0, b"")
+    later = Applier(LaterStateMachine(), 0, b"")
     snapshots = {0: b""}
     for entry in entries:
         for applier in (earlier, later):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -44,9 +44,11 @@
 def run(proxies: list[Proxy], seconds: float, calls_per_second: float, first: int = 0) -> dict[str, int]:
     """Each proxy offers calls at random times, all answered immediately. Returns the number of sends by
     server address."""
-    rng, sent = random.Random(5), {server(n).address: 0 for n in range(8)}
+    rng = random.Random(5)
+    sent = {server(n).address: 0 for n in range(8)}
     for proxy in proxies:
-        arrival, end = proxy.now + rng.expovariate(calls_per_second) * 1000.0, proxy.now + seconds * 1000.0
+        arrival = proxy.now + rng.expovariate(calls_per_second) * 1000.0
+        end = proxy.now + seconds * 1000.0
         while arrival < end:
             actions = proxy.run(arrival - proxy.now)
             actions += proxy.call(rng.choice(["plain", "plain", "plain", "dear"]), first)[1]
--- a/tests/test_gossip_wire.py
+++ b/tests/test_gossip_wire.py
@@ -79,10 +79,12 @@
 
 
 def test_messages_with_the_longest_updates_fit_a_datagram() -> None:
-    name, text = "n" * messages.MAX_NAME_BYTES, "t" * messages.MAX_TEXT_BYTES
+    name = "n" * messages.MAX_NAME_BYTES
+    text = "t" * messages.MAX_TEXT_BYTES
     info = Info(text, messages.INTEGER_LIMIT - 1, text, text, text, text)
     agent = Swim(name, info, messages.INTEGER_LIMIT >> 1, [text[1:]], Settings(), random.Random(1))
-    now, longest = 0.0, 0
+    now = 0.0
+    longest = 0
     agent.handle(Started(), now)
     others = tuple(
         Update(f"{number:02}" + name[2:], messages.INTEGER_LIMIT - 1, State.ALIVE, info)
@@ -103,7 +105,9 @@
 
 @given(st.lists(st.builds(Frame, st.text(max_size=8), st.binary(max_size=200)), max_size=6), st.data())
 def test_frames_are_read_from_any_segmentation(frames: list[Frame], data: st.DataObject) -> None:
-    remaining, decoder, found = b"".join(map(encode_frame, frames)), FrameDecoder(), list[bytes]()
+    remaining = b"".join(map(encode_frame, frames))
+    decoder = FrameDecoder()
+    found = list[bytes]()
     while remaining:
         size = data.draw(st.integers(1, len(remaining)))
         found += decoder.feed(remaining[:size])
@@ -126,7 +130,8 @@
     """A transport that records what is written."""
 
     def __init__(self) -> None:
-        self.written, self.aborted = b"", False
+        self.written = b""
+        self.aborted = False
 
     def write(self, data: bytes) -> None:
         self.written += data
@@ -147,7 +152,9 @@
 def make_link(
     name: str, known: str = "ab"
 ) -> tuple[Link, ManualClock, Deadlines, list[tuple[str, str, bytes]]]:
-    clock, deadlines, received = ManualClock(1000.0), Deadlines(), list[tuple[str, str, bytes]]()
+    clock = ManualClock(1000.0)
+    deadlines = Deadlines()
+    received = list[tuple[str, str, bytes]]()
     own_link = Link(
         "coastline",
         name,
@@ -163,7 +170,8 @@
 
 
 def open_connection(own_link: Link, dialled: str = "") -> tuple[Connection, RecordingTransport]:
-    connection, wire = Connection(own_link, dialled), RecordingTransport()
+    connection = Connection(own_link, dialled)
+    wire = RecordingTransport()
     connection.transport = wire
     connection.connectionMade()
     return connection, wire
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -54,7 +54,8 @@
 
 def allowed(plan: Plan, name: str) -> bool:
     """Whether a machine may be taken out in this state (docs/design/maintenance.md, the order)."""
-    machine, limits = plan.machines[name], plan.limits
+    machine = plan.machines[name]
+    limits = plan.limits
     out = []
     for other in plan.machines.values():
         if other.name == name:
@@ -205,15 +206,20 @@
     """One agent: what it keeps over a restart (the log it has applied), and what is lost with the process."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.life, self.applied = name, 1, 0
+        self.name = name
+        self.life = 1
+        self.applied = 0
         self.plan = Plan()
-        self.alive, self.cut = True, False
+        self.alive = True
+        self.cut = False
         self.storage_intact = True  # its disk has once held the log up to the leader's commit index
         self.start()
 
     def start(self) -> None:
         self.reconciler = Reconciler(self.name, self.life, 0.0, self.storage_intact)
-        self.phase, self.busy, self.must_apply = "starting", dict.fromkeys(SERVERS, 0), 0
+        self.phase = "starting"
+        self.busy = dict.fromkeys(SERVERS, 0)
+        self.must_apply = 0
 
 
 class Fleet:
@@ -277,11 +283,14 @@
                         if not (node.cut or command in self.log[node.applied :] or isinstance(command, Tick)):
                             self.log.append(command)
                     case Serve():
-                        node.phase, again = "serving", True
+                        node.phase = "serving"
+                        again = True
                     case Drain():
-                        node.phase, again = "draining" if any(node.busy.values()) else "drained", True
+                        node.phase = "draining" if any(node.busy.values()) else "drained"
+                        again = True
                     case TurnAway():
-                        node.phase, again = "turning away", True
+                        node.phase = "turning away"
+                        again = True
                     case Resume():
                         node.phase = "serving"
                     case HoldOut() | PutBack():
@@ -359,11 +368,14 @@
                 self.reconcile(node)
             case "kill" if node is not None:
                 self.deaths -= 1
-                node.alive, node.busy = False, dict.fromkeys(SERVERS, 0)
+                node.alive = False
+                node.busy = dict.fromkeys(SERVERS, 0)
             case "return" | "return empty" if node is not None:
-                node.alive, node.life = True, node.life + 1
+                node.alive = True
+                node.life += 1
                 if what == "return empty":
-                    node.applied, node.plan = 0, Plan()
+                    node.applied = 0
+                    node.plan = Plan()
                     node.storage_intact = False
                 node.start()
                 node.must_apply = len(self.log)
@@ -505,7 +517,9 @@
         Limits(all=rng.randint(1, 2), servers=1, zone=2, warm_ms=1000.0, overtakes=rng.randint(1, 3))
     )
     for number in range(steps):
-        fleet.calls, fleet.deaths, fleet.cuts = 2, 1, 1
+        fleet.calls = 2
+        fleet.deaths = 1
+        fleet.cuts = 1
         events = list(fleet.events())
         weights = [{"kill": 0.1, "cut": 0.2, "alone": 0.3}.get(what, 1.0) for what, _ in events]
         fleet.step(*rng.choices(events, weights)[0])
@@ -598,7 +612,8 @@
     reconciler: Reconciler, plan: Plan, local: LocalState, now_ms: float
 ) -> list[object]:
     local.caught_up = True
-    reconciler.started_ms, reconciler.storage_intact = -1e9, True
+    reconciler.started_ms = -1e9
+    reconciler.storage_intact = True
     return list(RECONCILE(reconciler, plan, local, now_ms))
 
 
@@ -616,7 +631,9 @@
     ]
 
 
-APPLY, MISSING_CONFIRMATIONS, RECONCILE = Plan.apply, Plan.missing_confirmations, Reconciler.reconcile
+APPLY = Plan.apply
+MISSING_CONFIRMATIONS = Plan.missing_confirmations
+RECONCILE = Reconciler.reconcile
 MUTATIONS: dict[str, tuple[type, str, object]] = {
     "a confirmation counted across processes": (Plan, "apply", ignore_process),
     "a confirmation counted across tickets": (Plan, "apply", ignore_ticket),
@@ -685,7 +702,8 @@
     index = 1000
     for tick in (Tick(1, 5000.0),) * 14:
         plan.apply(index := index + 1, 1, tick)
-    waiting, late = plan.open_ticket("a1"), plan.open_ticket("h0")
+    waiting = plan.open_ticket("a1")
+    late = plan.open_ticket("h0")
     assert waiting is not None and late is not None
     assert plan.explain(waiting) == "held: h0 overdue" and plan.is_overdue(late)
     plan.apply(index + 1, 1, Force("h0", "ann", "its disk is gone"))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -41,7 +41,9 @@
     """Three agents, the datagrams in flight between them, and the time. Copied by pickle."""
 
     def __init__(self) -> None:
-        self.now, self.lives, self.crashes = 0.0, 3, 0
+        self.now = 0.0
+        self.lives = 3
+        self.crashes = 0
         self.agents: dict[str, Swim] = {}
         self.flight: list[tuple[str, str, object]] = []
         for number, name in enumerate(NAMES):
@@ -153,7 +155,9 @@
     M3: the incarnation of a process never falls, nor does (incarnation, state) of a member in its view.
     M4: a view has one entry for each name, and none for its own agent.
     """
-    seen, layer, count = {state_digest(first)}, [pickle.dumps(first)], 1
+    seen = {state_digest(first)}
+    layer = [pickle.dumps(first)]
+    count = 1
     last: list[bytes] = []
     for _ in range(depth):
         next_layer = []
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -128,7 +128,9 @@
 
 
 def test_digests_tell_which_ranges_differ_whatever_the_order_of_writes() -> None:
-    rng, one, other = random.Random(1), DigestTable(), DigestTable()
+    rng = random.Random(1)
+    one = DigestTable()
+    other = DigestTable()
     entries = [(f"call/{number}", bytes([number % 251])) for number in range(500)]
     for key, value in entries:
         one.put(key, 1, value)
@@ -164,7 +166,9 @@
 def test_an_epoch_has_one_owner_and_one_successor_and_is_kept_until_taken_over(
     commands: list[Command],
 ) -> None:
-    epochs, owners, lost = Epochs(), dict[int, tuple[str, int]](), set[tuple[str, int]]()
+    epochs = Epochs()
+    owners = dict[int, tuple[str, int]]()
+    lost = set[tuple[str, int]]()
     for index, command in enumerate(commands, start=1):
         before = {key: (stream.successor, stream.ended) for key, stream in epochs.streams.items()}
         epochs.apply(index, command)
@@ -202,7 +206,8 @@
     """A holder and its disk."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.disk = name, dict[str, bytes]()
+        self.name = name
+        self.disk = dict[str, bytes]()
         self.holder = Holder({})
         self.epoch_ended = False  # it has applied the successor's command
         self.up = True
@@ -304,7 +309,8 @@
             case "owner dies":
                 self.owner = None
             case "owner cut":
-                self.cut, self.faults = True, self.faults - 1
+                self.cut = True
+                self.faults -= 1
             case "lease runs out":
                 self.lease = False
             case "owner back" if self.owner is not None:
@@ -331,7 +337,8 @@
                     self.hosts[first].disk.clear()
                     self.lost += 1
                     if first == self.successor and self.taken_over is None:
-                        self.successor, self.takeover = "", None  # another holder becomes the successor
+                        self.successor = ""  # another holder becomes the successor
+                        self.takeover = None
                 self.hosts[first].start()
                 if first == self.successor and self.taken_over is None:
                     self.succeed(first)
@@ -596,10 +603,13 @@
     """Runs an owner and one holder until the holder is verified. `spoil` gets each message to the holder
     with its number and returns what arrives. None: it is lost, and unless `alone`, also all other messages
     in flight."""
-    owner, host, now = Stream("a", 7, PAIR, HELD), Holder({}), 0.0
+    owner = Stream("a", 7, PAIR, HELD)
+    host = Holder({})
+    now = 0.0
     out: stream.Out = []
     owner.set_holders(["b"], now, out)
-    wire, count = deque(message for _, message in out), 0
+    wire = deque(message for _, message in out)
+    count = 0
     for _ in range(max_steps):
         if count in (4, 9):
             out = []
@@ -613,7 +623,8 @@
             owner.tick(now, out)
             wire.extend(message for _, message in out)
             continue
-        delivered, count = spoil(count, wire.popleft()), count + 1
+        delivered = spoil(count, wire.popleft())
+        count += 1
         if delivered is None:
             if not alone:
                 wire.clear()
@@ -657,7 +668,8 @@
 
 
 def test_a_byte_flipped_in_transit_never_verifies_a_wrong_copy() -> None:
-    encoder, decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
+    encoder = msgspec.msgpack.Encoder()
+    decoder = msgspec.msgpack.Decoder(Message)
     _, _, count = caught_up(lambda number, message: message)
     flipped = 0
     for at in range(count):
