--- a/frostport/admission/gate.py
+++ b/frostport/admission/gate.py
@@ -227,7 +227,8 @@
         self._update_load()
 
     def evict_one(self, now: float) -> list[Admission]:
-        """Frees a descriptor for an outgoing connection; returns what to close, if anything may be."""
+        """Frees a descriptor for an outgoing connection; returns the one connection to close, or none
+        if none may be evicted."""
         victims = list(itertools.islice(self._eviction_order(True, now), 1))
         for admission in victims:
             self._evict(admission, Reason.MADE_ROOM)
--- a/frostport/admission/settings.py
+++ b/frostport/admission/settings.py
@@ -42,4 +42,4 @@
     buffered_bytes: int = 0  # unread by all clients together
     buffered_connection_bytes: int = 0
     ladder: bool = False  # whether the ladder's steps refuse and shed; if not, idle connections are evicted
-    remembered: int = 4096  # at most so many addresses, prefixes and offenders are kept, in each table
+    remembered: int = 4096  # maximum entries of each table of addresses, prefixes or offenders
--- a/frostport/agreement/learner.py
+++ b/frostport/agreement/learner.py
@@ -57,6 +57,7 @@
     commit_index: int
 
     def init_learner_state(self, now: float) -> None:
+        """Called once, by the constructor of `Raft`; `now` in milliseconds."""
         self.members: tuple[str, ...] = ()
         self.fed_learners: dict[str, FedLearner] = {}
         self.feed_request_at = now + self.rng.random() * self.settings.feed_request_interval_ms
@@ -119,6 +120,7 @@
     # As a feeder
 
     def handle_feed_request(self, sender: str, message: FeedRequest, now: float) -> None:
+        """Starts or renews the lease of a learner, and sends it the next entries."""
         learner = self.fed_learners.get(sender)
         if learner is None or message.index + 1 != learner.next_index or learner.expires_at <= now:
             learner = self.fed_learners[sender] = FedLearner(
@@ -128,6 +130,9 @@
         self._feed_learner(sender, learner)
 
     def feed_learners(self, now: float) -> None:
+        """Sends newly committed entries to the fed learners; drops those whose lease has expired.
+
+        Called whenever the commit index advances."""
         for name, learner in list(self.fed_learners.items()):
             if learner.expires_at <= now:
                 del self.fed_learners[name]
@@ -172,6 +177,9 @@
             )
 
     def handle_fed_snapshot_reply(self, sender: str, reply: InstallSnapshotReply, now: float) -> None:
+        """Continues the transfer of a snapshot to a fed learner, or goes on with entries once it is complete.
+
+        Called by the leader's handler, which gets the replies of voters and learners alike."""
         learner = self.fed_learners.get(sender)
         if learner is not None:
             complete = (
--- a/frostport/agreement/log.py
+++ b/frostport/agreement/log.py
@@ -66,10 +66,12 @@
 
     @property
     def last_index(self) -> int:
+        """Index of the last entry, which the snapshot may cover; 0 if the log is empty."""
         return self.snapshot_meta.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
+        """Term of the entry at `last_index`."""
         return self.entries[-1].term if self.entries else self.snapshot_meta.term
 
     def term_at(self, index: int) -> int | None:
@@ -81,7 +83,9 @@
         return None
 
     def entries_after(self, index: int, last_index: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Entries after `index` up to `last_index`, about `max_bytes` at most but one at least, if any."""
+        """Entries after `index` up to `last_index`, about `max_bytes` at most but one at least, if any.
+
+        Counts 64 bytes for the fields of an entry other than its data."""
         selected: list[Entry] = []
         for entry in self.entries[index - self.snapshot_meta.index : last_index - self.snapshot_meta.index]:
             if selected and max_bytes < len(entry.data) + 64:
@@ -100,6 +104,7 @@
     # Changes: each returns the records to write
 
     def append(self, entries: Sequence[Entry]) -> list[Write]:
+        """Appends entries, the first of which must have the index after `last_index`."""
         self.entries.extend(entries)
         return [(entry_key(entry.index), _encoder.encode(entry)) for entry in entries]
 
@@ -149,4 +154,5 @@
 
 
 def entry_key(index: int) -> str:
+    """Storage key of an entry; its fixed width makes keys sort by index."""
     return f"{ENTRY_PREFIX}{index:016x}"
--- a/frostport/agreement/messages.py
+++ b/frostport/agreement/messages.py
@@ -49,6 +49,8 @@
 
 
 class RequestVoteReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """A vote counts only if `disk_id` is the one that the current voters have for the sender."""
+
     term: int
     pre_vote: bool
     granted: bool
@@ -128,6 +130,8 @@
 
 
 class ReadIndexReply(msgspec.Struct, array_like=True, frozen=True, tag=11):
+    """`index`: the read is answered once the entry at this index is applied."""
+
     id: str
     index: int
 
--- a/frostport/agreement/settings.py
+++ b/frostport/agreement/settings.py
@@ -14,8 +14,8 @@
     heartbeat_interval_ms: float = 300.0
     command_retry_ms: float = 1000.0  # a command that is not committed by then is sent again
     feed_request_interval_ms: float = 1000.0  # a learner renews its request to be fed
-    feed_lease_ms: float = 3500.0  # a learner is fed for so long after its last request
-    feeder_timeout_ms: float = 4000.0  # a feeder that is silent for so long is replaced
+    feed_lease_ms: float = 3500.0  # a learner is fed for this long after its last request
+    feeder_timeout_ms: float = 4000.0  # a feeder that is silent for this long is replaced
     max_batch_bytes: int = 64 * 1024  # entries in one message
     snapshot_chunk_bytes: int = 64 * 1024  # snapshot data in one message
     max_fed_learners: int = 8  # learners per feeder in the tree; more only after failures of others
--- a/frostport/maintenance/__init__.py
+++ b/frostport/maintenance/__init__.py
@@ -1,1 +1,4 @@
-"""Planned maintenance of machines: the replicated plan, each agent's reconciler. Decisions only, no I/O."""
+"""Planned maintenance of machines: the replicated plan and the reconciler of each agent.
+
+Decisions only, no I/O.
+"""
--- a/frostport/maintenance/commands.py
+++ b/frostport/maintenance/commands.py
@@ -65,7 +65,7 @@
 
 
 class Force(msgspec.Struct, array_like=True, frozen=True, tag="force"):
-    """An operator vouches for a machine: a draining one counts as out, an overdue one as given up."""
+    """An operator overrides a machine's state: a draining one counts as out, an overdue one as given up."""
 
     name: str
     operator: str
--- a/frostport/maintenance/operator_commands.py
+++ b/frostport/maintenance/operator_commands.py
@@ -31,7 +31,7 @@
     """Parses `90s`, `30m` or `2h`."""
     match = DURATION.match(text)
     if match is None or float(match[1]) <= 0.0:
-        raise InvalidCommandError(f"{name}: not like 90s, 30m or 2h")
+        raise InvalidCommandError(f"{name}: not a duration like 90s, 30m or 2h")
     return float(match[1]) * UNITS_MS[match[2]]
 
 
@@ -90,7 +90,7 @@
         return parse_limits(rest, plan.limits)
     name, _, rest = rest.strip().partition(" ")
     if not name:
-        raise InvalidCommandError("no name")
+        raise InvalidCommandError("no machine name given")
     ticket = plan.open_ticket(name)
     if ticket is None:
         raise InvalidCommandError(f"{name[:30]!r} has no ticket")
--- a/frostport/maintenance/plan.py
+++ b/frostport/maintenance/plan.py
@@ -29,7 +29,7 @@
     Tick,
 )
 
-MAX_TICK_MS = 60_000.0  # limits what one tick with an absurd duration can do to plan time
+MAX_TICK_MS = 60_000.0  # most that one tick adds to plan time, however long it claims to be
 MAX_ENDED_TICKETS = 200  # ended tickets that are kept for `work-status`
 MAX_OPEN_TICKETS = 1000  # tickets of further machines are refused
 
--- a/frostport/maintenance/reconciler.py
+++ b/frostport/maintenance/reconciler.py
@@ -31,7 +31,7 @@
 LOAD_REPORT_MS = 60_000.0  # interval of reports of an unchanged load
 CHANGED_LOAD_REPORT_MS = 5000.0  # least interval of reports of a changed load
 LOAD_CHANGE_RATIO = 0.2  # hysteresis: less (or under one call a second) is no change of the load
-NO_LEADER_START_MS = 5000.0  # an agent that reaches no leader at its start relies on its disk after this
+NO_LEADER_START_MS = 5000.0  # an agent without a leader for this long after its start relies on its disk
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,8 +137,8 @@
         actions: list[Action] = []
         # First, and before the start is over: no call may go to a server that is out.
         self._reconcile_servers(plan, local, now_ms, actions)
-        mine = plan.machines.get(self.name)
-        known = mine is not None and mine.life == self.life and not mine.left
+        own_machine = plan.machines.get(self.name)
+        known = own_machine is not None and own_machine.life == self.life and not own_machine.left
         without_leader = self.storage_intact and now_ms - self.started_ms >= NO_LEADER_START_MS
         if not self.serving and local.start_ready and ((local.caught_up and known) or without_leader):
             self.serving = True
@@ -218,8 +218,8 @@
     # This agent's load
 
     def _report_load(self, plan: Plan, local: LocalState, now_ms: float, actions: list[Action]) -> None:
-        mine = plan.machines.get(self.name)
-        if mine is None or mine.life != self.life or local.phase != "serving":
+        own_machine = plan.machines.get(self.name)
+        if own_machine is None or own_machine.life != self.life or local.phase != "serving":
             return
         load = AgentLoad(
             self.name,
@@ -230,7 +230,7 @@
         last = self._reported_load
         changed = (
             last is None
-            or mine.calls_per_second < 0.0
+            or own_machine.calls_per_second < 0.0
             or last.unreachable != load.unreachable
             or abs(last.calls_per_second - load.calls_per_second)
             > max(1.0, LOAD_CHANGE_RATIO * last.calls_per_second)
--- a/frostport/membership/dissemination.py
+++ b/frostport/membership/dissemination.py
@@ -48,6 +48,7 @@
 
 
 def encoded_size(update: Update) -> int:
+    """Bytes that the update takes in a datagram."""
     return len(_encoder.encode(update))
 
 
--- a/frostport/membership/events.py
+++ b/frostport/membership/events.py
@@ -13,7 +13,7 @@
 
     JOINING = "joining"  # no other member has admitted it yet; it answers messages all the same
     MEMBER = "member"
-    LEFT = "left"  # it has announced that it leaves, and takes no more part
+    LEFT = "left"  # it has announced that it leaves, and no longer takes part
     REFUSED = "refused"  # another process of its name is alive
     SUPERSEDED = "followed"  # a later process of its name has replaced it
 
--- a/frostport/membership/messages.py
+++ b/frostport/membership/messages.py
@@ -139,13 +139,14 @@
 
 
 def validate_info(info: Info) -> None:
+    """Raises BadMessageError if `life` is out of range, a text too long or the address empty."""
     texts = (info.zone, info.phase, info.version, info.link)
     if (
         not 0 <= info.life < INTEGER_LIMIT
         or not info.address
         or any(len(text.encode()) > MAX_TEXT_BYTES for text in (info.address, *texts))
     ):
-        raise BadMessageError("info out of range")
+        raise BadMessageError(f"info: life out of range, address empty, or text over {MAX_TEXT_BYTES} bytes")
 
 
 def validate(message: Message) -> None:
@@ -164,10 +165,10 @@
                 not 0 <= update.incarnation < INTEGER_LIMIT
                 or len(update.suspected_by.encode()) > MAX_NAME_BYTES
             ):
-                raise BadMessageError("update out of range")
+                raise BadMessageError("update: incarnation out of range, or suspected_by too long")
             if update.info is not None:
                 validate_info(update.info)
             elif update.state is State.ALIVE:
                 raise BadMessageError("ALIVE update without info")
     if any(not name or len(name.encode()) > MAX_NAME_BYTES for name in names):
-        raise BadMessageError("name out of range")
+        raise BadMessageError(f"name empty or over {MAX_NAME_BYTES} bytes")
--- a/frostport/membership/settings.py
+++ b/frostport/membership/settings.py
@@ -22,7 +22,7 @@
     gossip_fanout: int = 3
     exchange_interval_ms: float = 30_000.0  # between two exchanges of full views (anti-entropy)
     forget_after_ms: float = 60_000.0  # how long a dead or left member stays in the list
-    reconnect_interval_ms: float = 5_000.0  # between two messages to a dead member, or to a seed not a member
+    reconnect_interval_ms: float = 5_000.0  # between messages to dead members and absent seeds
     join_interval_ms: float = 1_000.0  # between two attempts to join
     datagram_bytes: int = 220  # maximum of one message without version and digest
 
--- a/frostport/replication/holder.py
+++ b/frostport/replication/holder.py
@@ -272,7 +272,7 @@
         ):
             return
         if message.part != copy.next_part.get(range_number, 0) or message.batch_number > copy.batch_number:
-            # a part, or an earlier message, was lost
+            # A part, or an earlier message, was lost.
             if message.part != 0 or message.batch_number > copy.batch_number:
                 self._request_round(copy, out)
                 return
@@ -299,6 +299,7 @@
     def _verify(self, copy: StreamCopy, message: Verify, out: Output) -> None:
         if not copy.digests_received and not copy.verified:
             self._request_round(copy, out)
+        # A verified copy that was read from disk has no round yet: any round is accepted.
         if message.round != copy.round if copy.digests_received else not copy.verified:
             return
         if message.batch_number != copy.batch_number or copy.missing_ranges:
--- a/frostport/replication/stream.py
+++ b/frostport/replication/stream.py
@@ -170,7 +170,7 @@
             ):
                 holder.last_received_at_ms = now_ms
                 if batch_number > self.batch_number:
-                    # it has batches that this process never wrote
+                    # The holder has batches that this process never wrote.
                     self._start_round(sender, holder, now_ms, out)
                     return
                 holder.acked = max(holder.acked, batch_number)
@@ -201,7 +201,7 @@
             )
 
     def _send_parts(self, name: str, holder: HolderState, now_ms: float, out: Out) -> None:
-        """Sends parts of the missing ranges, within the rate limit."""
+        """Sends parts of the missing ranges, within the rate limit and in bursts of at most four."""
         settings = self.settings
         holder.tokens = min(
             4.0, holder.tokens + (now_ms - holder.tokens_updated_at_ms) * settings.parts_per_second / 1000.0
@@ -209,8 +209,8 @@
         holder.tokens_updated_at_ms = now_ms
         while holder.pending_ranges and holder.tokens >= 1.0:
             if not holder.pending_entries:
-                # A range is read in one go. Later changes in it follow as batches, which win by their
-                # numbers.
+                # The whole range is read now. Later changes in it follow as batches, which take
+                # precedence by their higher numbers.
                 holder.pending_entries = [
                     (key, self.table.entries[key][1])
                     for key in sorted(self.table.keys_by_range[holder.pending_ranges[0]])
--- a/frostport/replication/successor.py
+++ b/frostport/replication/successor.py
@@ -59,7 +59,7 @@
 
     def records(self) -> dict[str, bytes]:
         """Returns the stream's records."""
-        # else another holder's answer has all of it
+        # Otherwise the answer of another holder, whose copy is verified, contains all records.
         use_own_copy = self.copy.verified or not self.verified_copy_found
         found = {key: value for key, (_, value) in self.copy.table.entries.items()} if use_own_copy else {}
         for key, (_, value) in self.later_writes.items():
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -323,7 +323,7 @@
     await rig.wait_for_leader()
     await propose_notes(rig, rig.names)
 
-    async def more(count: int = 30) -> None:
+    async def wait_for_answers(count: int = 30) -> None:
         before = observed.answers
 
         async def answered() -> bool:
@@ -331,57 +331,57 @@
 
         await rig.wait_until(f"{count} more answers", answered)
 
-    async def shown(name: str, where: str, what: str) -> None:
+    async def wait_for_fault(name: str, where: str, what: str) -> None:
         async def recorded() -> bool:
             return relays[name, where].counts[what] > 0
 
         await rig.wait_until(f"{name}/{where} {what}", recorded)
 
     relays = environment.relays
-    await more()
+    await wait_for_answers()
     for what, change in (("throttled", {"rate": 4000.0}), ("delayed", {"delay_ms": 30.0, "jitter_ms": 40.0})):
         name = rng.choice(rig.names)
         rig.add_history(f"{name}/h0 {what}")
         for way in relays[name, "h0"].faults.values():
             for field, value in change.items():
                 setattr(way, field, value)
-        await more()
-        await shown(name, "h0", what)
+        await wait_for_answers()
+        await wait_for_fault(name, "h0", what)
         rig.heal()
     for name in rig.names:
         rig.add_history(f"reset all at {name}")
         for what in ("clients", "h0", "h1", "list"):
             relays[name, what].reset()
-        await more(10)
+        await wait_for_answers(10)
         for what in ("clients", "h0", "h1", "list"):
-            await shown(name, what, "reset")
+            await wait_for_fault(name, what, "reset")
     name = rng.choice(rig.names)
     rig.add_history(f"{name}/list refuses, and another server is drained")
     relays[name, "list"].refusing = True
     relays[name, "list"].reset()
     environment.list_service.publish([{**environment.hosts[1], "health": "draining"}])
-    await more()
-    await shown(name, "list", "refused")
+    await wait_for_answers()
+    await wait_for_fault(name, "list", "refused")
     rig.heal()
     name = rng.choice(rig.names)
     rig.add_history(f"{name}/h0 and its list hear nothing")
     for what in ("h0", "list"):
         relays[name, what].faults[FORWARD].cut = True
     environment.observed.partitioned.add(f"{name}.h0")
-    await more()
-    await shown(name, "h0", "cut")
-    await shown(name, "list", "cut")
+    await wait_for_answers()
+    await wait_for_fault(name, "h0", "cut")
+    await wait_for_fault(name, "list", "cut")
     rig.heal()
     name = rng.choice(rig.names)
     rig.add_history(f"{name}/h1 reads nothing")
     environment.observed.partitioned.add(f"{name}.h1")
     relays[name, "h1"].stalled = True
-    await more()
-    await shown(name, "h1", "stalled")
+    await wait_for_answers()
+    await wait_for_fault(name, "h1", "stalled")
     rig.heal()
     await rig.kill(name)
     await rig.start(name)
-    await more()
+    await wait_for_answers()
 
     async def drained() -> bool:
         text = (rig.folder / "log").read_text(encoding="utf-8")
--- a/tests/fleet/test_startup.py
+++ b/tests/fleet/test_startup.py
@@ -29,7 +29,7 @@
     def __init__(self, rig: Rig, site: ColdSite) -> None:
         self.rig = rig
         self.site = site
-        self.list = site.limited_list
+        self.list_service = site.limited_list
 
     async def startup_status(self, name: str) -> list[str]:
         return await self.rig.ask(name, "startup")
@@ -45,7 +45,7 @@
         """Waits until the feeders are connected to the list service, and no other agent is."""
 
         async def settled() -> bool:
-            return len(self.list.connections) == 2 * FEEDERS
+            return len(self.list_service.connections) == 2 * FEEDERS
 
         await self.rig.wait_until(f"{2 * FEEDERS} agents are connected to the list service", settled)
 
@@ -71,9 +71,9 @@
 
     def publish_event(self) -> int:
         """Publishes an event, in which a server drains or is ready again; returns its number."""
-        number = len(self.list.events) + 1
+        number = len(self.list_service.events) + 1
         state = "draining" if number % 2 == 0 else "ready"
-        self.list.publish([{**self.site.hosts[-1], "health": state}])
+        self.list_service.publish([{**self.site.hosts[-1], "health": state}])
         return number
 
     async def wait_for_event(self, number: int, names: list[str] | None = None) -> dict[str, dict[str, Any]]:
@@ -93,8 +93,10 @@
     def assert_not_overloaded(self, since: int, max_connections: int) -> None:
         """Asserts that the list service accepted few connections after the first `since`, that it sent no
         complete list, and that nothing collapsed."""
-        assert len(self.list.accepted_at) - since <= max_connections, len(self.list.accepted_at) - since
-        assert self.list.complete_lists == 0
+        assert len(self.list_service.accepted_at) - since <= max_connections, (
+            len(self.list_service.accepted_at) - since
+        )
+        assert self.list_service.complete_lists == 0
         assert [name for name, party in self.site.endpoints().items() if party.processor.collapsed] == []
 
     # Faults
@@ -116,7 +118,7 @@
             return all(float(lines[1].split("heard ")[1].split()[0]) > 4000.0 for lines in answers if lines)
 
         await self.rig.wait_until("all agents know that the service is down", noticed)
-        since = len(self.list.accepted_at)
+        since = len(self.list_service.accepted_at)
         number = self.publish_event()
         for party in self.site.endpoints().values():
             await party.open()
@@ -126,7 +128,7 @@
 
     async def feeders_stall(self) -> None:
         stalled = await self.wait_for_zone_feeders("z0")
-        since = len(self.list.accepted_at)
+        since = len(self.list_service.accepted_at)
         assert len(stalled) == FEEDERS
         for name in stalled:
             await self.rig.freeze_and_wait(name)
@@ -146,7 +148,7 @@
 
     async def feeders_die(self) -> None:
         dead = await self.wait_for_zone_feeders("z0")
-        since = len(self.list.accepted_at)
+        since = len(self.list_service.accepted_at)
         assert len(dead) == FEEDERS
         for name in dead:
             await self.rig.kill(name)
@@ -161,7 +163,7 @@
         self.assert_not_overloaded(since, 2 * POSSIBLE_FEEDERS)
 
     async def zone_is_partitioned(self) -> None:
-        since = len(self.list.accepted_at)
+        since = len(self.list_service.accepted_at)
         self.rig.partition([name for name in self.rig.names if self.rig.zone(name) == "z1"])
         found = await self.wait_for_event(self.publish_event())
         assert all(
--- a/tests/fleet/test_work.py
+++ b/tests/fleet/test_work.py
@@ -172,10 +172,10 @@
     for name in lost:
         await rig.kill(name)
 
-    async def says_so() -> bool:
+    async def no_leader_reported() -> bool:
         return any("no leader is heard" in line for line in await status(rig, leader))
 
-    await rig.wait_until("it says that nothing goes on", says_so)
+    await rig.wait_until(f"{leader} reports that it hears no leader", no_leader_reported)
     for name in lost:
         await rig.start(name)
     await wait_for_state(rig, "h0", "out")
@@ -283,11 +283,11 @@
     rig.partition(["n0", "n2"])
     await rig.kill("n0")
 
-    async def nobody_leads() -> bool:
+    async def no_leader_on_either_side() -> bool:
         answers = [await status(rig, name) for name in ("n1", "n2")]
         return all(lines and "no leader is heard" in lines[0] for lines in answers)
 
-    await rig.wait_until("both sides say that nothing goes on", nobody_leads)
+    await rig.wait_until("both sides report that they hear no leader", no_leader_on_either_side)
     await wait_for_answers(rig)
     await rig.start("n0")
     await rig.wait_for_leader(["n0", "n2"])
@@ -425,8 +425,8 @@
     await rig.wait_until(f"{count} more answers", answered)
 
 
-def check_tickets(rig: Rig, most: int) -> list[tuple[int, int, str, str]]:
-    """Checks that all agents record the same ticket events and never more machines out than `most`.
+def check_tickets(rig: Rig, max_out: int) -> list[tuple[int, int, str, str]]:
+    """Checks that all agents record the same ticket events and never more machines out than `max_out`.
 
     Returns the events in order, as (index, number, machine, state).
     """
@@ -441,7 +441,7 @@
     order = [(*key, *event) for key, event in sorted(events.items())]
     for index in sorted({entry[0] for entry in order}):
         state.update({number: to for at, number, _, to in order if at == index})
-        assert sum(each in OUT_OF_SERVICE_STATES for each in state.values()) <= most, (
+        assert sum(each in OUT_OF_SERVICE_STATES for each in state.values()) <= max_out, (
             f"too many out at {index}: {order}"
         )
     return order
@@ -461,12 +461,14 @@
     for (number, machine, state), since in first.items():
         if state == "out" and number not in forced and machine.startswith("h"):
             until = min(first.get((number, machine, later), 1e18) for later in ("back", "warming", "done"))
-            came = [
+            calls_while_out = [
                 call
                 for at, server, call in rig.environment.observed.set_ups
                 if server.endswith(f".{machine}") and since < at < until
             ]
-            assert not came, f"{machine} received calls while out: {came}; {rig.history}"
+            assert not calls_while_out, (
+                f"{machine} received calls while out: {calls_while_out}; {rig.history}"
+            )
 
 
 SCENARIOS: dict[str, Scenario] = {
@@ -494,14 +496,15 @@
         random_faults,
     )
 }
-AGENTS = {"agent_confirms_and_restarts_without_its_disk": 4}  # other scenarios have three; three are voters
+# The other scenarios have three agents; three are voters.
+AGENT_COUNTS = {"agent_confirms_and_restarts_without_its_disk": 4}
 
 
 async def run_scenario(folder: pathlib.Path, name: str, seed: int) -> None:
     (folder / name).mkdir()
     environment = Environment(1)
     async with Rig(
-        folder / name, AGENTS.get(name, 3), 3, seed, environment=environment, work={"warm_ms": 500.0}
+        folder / name, AGENT_COUNTS.get(name, 3), 3, seed, environment=environment, work={"warm_ms": 500.0}
     ) as rig:
         try:
             await rig.wait_for_leader()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -319,14 +319,14 @@
 def test_a_connection_within_its_grace_period_is_not_evicted_by_a_flood() -> None:
     gate = Gate(dataclasses.replace(BASE, connections=12))
     fill(gate, "10.0.0.1", 11, 1000.0, identified=True)
-    usual = gate.admit("10.0.1.1", 1001.0).admission
-    assert usual is not None
+    newcomer = gate.admit("10.0.1.1", 1001.0).admission
+    assert newcomer is not None
     for number in range(20):
         verdict = gate.admit("10.0.0.1", 1002.0 + number)
-        assert verdict.admission is not None and usual not in verdict.shed
+        assert verdict.admission is not None and newcomer not in verdict.shed
         gate.mark_identified(verdict.admission)
     late = gate.admit("10.0.0.1", 1002.0 + IDENTIFICATION_GRACE_MS)
-    assert late.shed == (usual,)  # past the grace period it is evicted first
+    assert late.shed == (newcomer,)  # past the grace period it is evicted first
 
 
 def test_unknown_clients_never_use_the_reserve_and_known_clients_are_admitted() -> None:
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -233,9 +233,9 @@
     return hashlib.sha256(repr((state, sorted(cluster.disks), cluster.in_flight[:6])).encode()).digest()
 
 
-def count_states(begin: Cluster, depth: int, max_states: int) -> int:
-    seen = {state_hash(begin)}
-    layer = [pickle.dumps(begin)]
+def count_states(initial: Cluster, depth: int, max_states: int) -> int:
+    seen = {state_hash(initial)}
+    layer = [pickle.dumps(initial)]
     count = 1
     for _ in range(depth):
         next_layer: list[bytes] = []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -175,8 +175,8 @@
     assert proxy.control().ceiling is None
 
 
-def test_tokens_in_hand_of_a_whole_fleet_do_not_push_a_cold_server_over() -> None:
-    # Guards against a surge of dear calls that finds one token at each of 286 proxies (incident i99cb61).
+def test_unspent_tokens_of_a_whole_fleet_do_not_overload_a_cold_server() -> None:
+    # Guards against a surge of dear calls that finds one unspent token at each of 286 proxies.
     all_proxies = fleet(286)
     for number in (0, 1):
         report_lines(all_proxies, number, 1000.0, 1000.0)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -542,12 +542,12 @@
                 fleet.step("ready", ticket.name)
         fleet.log.append(Tick(1, 5000.0))
         fleet.settle()
-    left = [
+    unfinished = [
         (ticket.name, ticket.state.value, plan.explain(ticket))
         for ticket in plan.tickets
         if ticket.state not in ENDED_STATES
     ]
-    assert not left, left
+    assert not unfinished, unfinished
     return fleet
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -86,7 +86,7 @@
             self.tick()
 
 
-def suspecting() -> SmallWorld:
+def world_with_a_suspect() -> SmallWorld:
     """One agent has just received that another is suspect, and the suspect has not."""
     world = SmallWorld()
     incarnation = world.agents["b"].incarnation
@@ -210,18 +210,18 @@
     return count
 
 
-@pytest.mark.parametrize("first", [SmallWorld, suspecting])
+@pytest.mark.parametrize("first", [SmallWorld, world_with_a_suspect])
 def test_every_order_of_three_agents_to_depth_eight(first: Callable[[], SmallWorld]) -> None:
     count = explore(first(), 8, 8_000, 80)
     print(f"{count} states")
     assert count > 4_000
 
 
-def incarnation_not_raised(agent: Swim) -> None:
+def keep_incarnation(agent: Swim) -> None:
     agent.pending_updates.add(agent._own_update())
 
 
-def ignored(agent: Swim, update: Update) -> None:
+def ignore_update(agent: Swim, update: Update) -> None:
     pass
 
 
@@ -232,8 +232,8 @@
 @pytest.mark.parametrize(
     ("owner", "name", "fault"),
     [
-        (Swim, "_raise_incarnation", incarnation_not_raised),
-        (Swim, "_own_state_received", ignored),
+        (Swim, "_raise_incarnation", keep_incarnation),
+        (Swim, "_own_state_received", ignore_update),
         (table, "overrides", always_overrides),
     ],
 )
@@ -242,7 +242,7 @@
 ) -> None:
     monkeypatch.setattr(owner, name, fault)
     with pytest.raises(AssertionError):
-        explore(suspecting(), 6, 4_000, 80)
+        explore(world_with_a_suspect(), 6, 4_000, 80)
 
 
 # Simulations of many agents
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -47,7 +47,7 @@
 # Reconciliation
 
 
-def better(key: str, one: bytes, other: bytes) -> bytes:
+def preferred_value(key: str, one: bytes, other: bytes) -> bytes:
     """The preference function of the state, as the agent passes it."""
     return records.encode(merge.preferred(records.decode(key, one)[2], records.decode(key, other)[2]))
 
@@ -58,7 +58,7 @@
 OVER = records.encode(Over("stands", "h0", 3.0, 0.0, "c", -1, -1, 0.0, b"a table"))
 FAILED = records.encode(Over("failed", "h1", 4.0, 0.0, "c", -1, -1, 0.0, b""))
 VALUES: tuple[bytes | None, ...] = (OPEN, STANDING, OVER, FAILED, None)
-SMALL: list[dict[int, LastWrite]] = [{}] + [
+SMALL_VERSIONS: list[dict[int, LastWrite]] = [{}] + [
     {epoch: (number, frozenset({value})) for epoch, number, value in chosen}
     for chosen in (
         [(1, 1, OPEN)],
@@ -74,12 +74,12 @@
 
 
 def test_the_rule_is_a_join_over_all_pairs_and_triples_of_small_copies() -> None:
-    for one in SMALL:
+    for one in SMALL_VERSIONS:
         assert join_versions(one, one) == one
-    for one, other in itertools.product(SMALL, SMALL):
+    for one, other in itertools.product(SMALL_VERSIONS, SMALL_VERSIONS):
         assert join_versions(one, other) == join_versions(other, one)
         assert join_versions(join_versions(one, other), other) == join_versions(one, other)
-    for one, other, third in itertools.product(SMALL, SMALL, SMALL):
+    for one, other, third in itertools.product(SMALL_VERSIONS, SMALL_VERSIONS, SMALL_VERSIONS):
         assert join_versions(join_versions(one, other), third) == join_versions(
             one, join_versions(other, third)
         )
@@ -106,21 +106,21 @@
 
 
 def test_effective_values_follow_the_table_of_the_rule() -> None:
-    def one(*entries: tuple[int, int, bytes | None]) -> bytes | None:
+    def value_of(*entries: tuple[int, int, bytes | None]) -> bytes | None:
         found: Mapping[int, LastWrite] = {}
         for epoch, number, value in entries:
             found = join_versions(found, {epoch: (number, frozenset({value}))})
-        return effective_value(CALL, found, better)
-
-    assert one((1, 1, OPEN), (1, 2, STANDING)) == STANDING  # the longer prefix of one epoch
-    assert one((1, 3, None), (1, 2, OVER)) is None
-    assert one((1, 2, STANDING), (2, 1, OVER)) == one((1, 2, OVER), (2, 1, STANDING)) == OVER
-    assert one((1, 2, OVER), (2, 1, FAILED)) == OVER  # a final answer is never replaced
-    assert one((1, 2, FAILED), (2, 1, OVER)) == OVER  # the earlier of the two
-    assert one((1, 2, STANDING), (2, 1, None)) is None  # deleted in the later epoch
-    assert one((1, 4, None), (2, 1, STANDING)) == STANDING
+        return effective_value(CALL, found, preferred_value)
+
+    assert value_of((1, 1, OPEN), (1, 2, STANDING)) == STANDING  # the longer prefix of one epoch
+    assert value_of((1, 3, None), (1, 2, OVER)) is None
+    assert value_of((1, 2, STANDING), (2, 1, OVER)) == value_of((1, 2, OVER), (2, 1, STANDING)) == OVER
+    assert value_of((1, 2, OVER), (2, 1, FAILED)) == OVER  # a final answer is never replaced
+    assert value_of((1, 2, FAILED), (2, 1, OVER)) == OVER  # the earlier of the two
+    assert value_of((1, 2, STANDING), (2, 1, None)) is None  # deleted in the later epoch
+    assert value_of((1, 4, None), (2, 1, STANDING)) == STANDING
     copy = {CALL: {1: (2, frozenset({STANDING, OVER}))}, "call/2": {1: (1, frozenset({OPEN}))}}
-    found, conflicts = resolve_copy(copy, better)
+    found, conflicts = resolve_copy(copy, preferred_value)
     assert found == {"call/2": OPEN}
     assert (
         len(conflicts) == 1 and "call/1" in conflicts[0] and "2 values of epoch 1, number 2" in conflicts[0]
@@ -174,9 +174,9 @@
         epochs.apply(index, command)
         for (owner, epoch), stream_ in epochs.streams.items():
             assert owners.setdefault(epoch, (owner, stream_.incarnation)) == (owner, stream_.incarnation)
-            by, over = before.get((owner, epoch), ("", False))
-            assert not over or stream_.ended  # an ended epoch stays ended
-            if by and stream_.successor != by:
+            successor_before, ended_before = before.get((owner, epoch), ("", False))
+            assert not ended_before or stream_.ended  # an ended epoch stays ended
+            if successor_before and stream_.successor != successor_before:
                 assert isinstance(command, Succeed)
         for key in before.keys() - epochs.streams.keys():  # R3
             assert (isinstance(command, TakeoverDone) and before[key][0] == command.successor) or (
@@ -392,11 +392,11 @@
 
     def check(self) -> None:
         if self.owner is not None and self.lease and not self.owner.ended:
-            settled = self.owner.confirmed()
-            assert settled <= self.written
-            if settled > self.effects:
+            confirmed = self.owner.confirmed()
+            assert confirmed <= self.written
+            if confirmed > self.effects:
                 assert self.taken_over is None, "an effect left the owner after the takeover"
-                self.effects = settled
+                self.effects = confirmed
         for host in self.hosts.values():
             copy = host.holder.copies.get(("a", 1))
             if copy is not None and copy.verified:
@@ -455,7 +455,7 @@
         )
 
 
-def begun(required_acks: int) -> World:
+def world_with_verified_holders(required_acks: int) -> World:
     """Both holders are verified."""
     world = World(required_acks)
     settle(world)
@@ -464,9 +464,9 @@
     return world
 
 
-def written(required_acks: int) -> World:
+def world_with_batches_in_flight(required_acks: int) -> World:
     """Three batches are on their way to verified holders."""
-    world = begun(required_acks)
+    world = world_with_verified_holders(required_acks)
     for _ in range(3):
         world.step("write", "", "")
     return world
@@ -492,7 +492,11 @@
     raise AssertionError("the holders never catch up")
 
 
-BEGINNINGS: dict[str, Callable[[int], World]] = {"empty": World, "begun": begun, "written": written}
+BEGINNINGS: dict[str, Callable[[int], World]] = {
+    "empty": World,
+    "begun": world_with_verified_holders,
+    "written": world_with_batches_in_flight,
+}
 
 
 @pytest.mark.parametrize("required_acks", [1, 2])
@@ -501,7 +505,7 @@
     assert explored(BEGINNINGS[name](required_acks), 6, 2_000) > 1_000
 
 
-def run_random(seed: int, steps: int = 150) -> None:
+def random_run(seed: int, steps: int = 150) -> None:
     """A random run; at its end, either the owner's holders are verified or a successor has taken over."""
     rng = random.Random(seed)
     world = World(rng.choice((1, 2)))
@@ -526,15 +530,15 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_long_random_runs_lose_nothing_confirmed(seed: int) -> None:
-    run_random(seed)
+    random_run(seed)
 
 
-def taken_over_while_catching_up() -> None:
+def takeover_while_catching_up() -> None:
     """`b` has lost its disk and is catching up when the owner dies. `c` has all records, `b` is the
     successor."""
     for required_acks in (1, 2):
         for after in range(12):
-            world = written(required_acks)
+            world = world_with_batches_in_flight(required_acks)
             settle(world)
             world.step("restart empty", "b", "")
             world.lost = 0  # nothing may be lost: another holder has a verified copy
@@ -552,10 +556,10 @@
             take_over_by_b(world)
 
 
-def taken_over_while_behind() -> None:
+def takeover_while_behind() -> None:
     """`b` has received only some batches, `c` all five; the last ones contain deletions."""
     for required_acks, received in itertools.product((1, 2), range(6)):
-        world = begun(required_acks)
+        world = world_with_verified_holders(required_acks)
         for _ in BATCHES:
             world.step("write", "", "")
             for _ in range(10):
@@ -587,23 +591,23 @@
 
 
 def test_a_successor_that_is_behind_or_catching_up_gets_the_rest_from_another() -> None:
-    taken_over_while_catching_up()
-    taken_over_while_behind()
+    takeover_while_catching_up()
+    takeover_while_behind()
 
 
 # Catching up with each message lost and each byte flipped
 
-PAIR = Settings(copies=1, part_bytes=60, parts_per_second=1e6, retained_batches=50)
-HELD = [(f"call/{number}", bytes([65 + number]) * 20) for number in range(12)]
+PAIR_SETTINGS = Settings(copies=1, part_bytes=60, parts_per_second=1e6, retained_batches=50)
+INITIAL_RECORDS = [(f"call/{number}", bytes([65 + number]) * 20) for number in range(12)]
 
 
-def caught_up(
-    spoil: Callable[[int, Message], Message | None], alone: bool = False, max_steps: int = 400
+def catch_up(
+    deliver_as: Callable[[int, Message], Message | None], alone: bool = False, max_steps: int = 400
 ) -> tuple[Stream, Holder, int]:
-    """Runs an owner and one holder until the holder is verified. `spoil` gets each message to the holder
+    """Runs an owner and one holder until the holder is verified. `deliver_as` gets each message to the holder
     with its number and returns what arrives. None: it is lost, and unless `alone`, also all other messages
     in flight."""
-    owner = Stream("a", 7, PAIR, HELD)
+    owner = Stream("a", 7, PAIR_SETTINGS, INITIAL_RECORDS)
     host = Holder({})
     now = 0.0
     out: stream.Out = []
@@ -623,7 +627,7 @@
             owner.tick(now, out)
             wire.extend(message for _, message in out)
             continue
-        delivered = spoil(count, wire.popleft())
+        delivered = deliver_as(count, wire.popleft())
         count += 1
         if delivered is None:
             if not alone:
@@ -636,7 +640,7 @@
     raise AssertionError("the holder is never verified")
 
 
-def verified(owner: Stream, host: Holder) -> None:
+def assert_verified(owner: Stream, host: Holder) -> None:
     copy = host.copies["a", 7]
     assert copy.verified and copy.table.root() == owner.table.root()
     assert {key: value for key, (_, value) in copy.table.entries.items()} == {
@@ -645,39 +649,39 @@
 
 
 def test_a_catch_up_interrupted_at_any_message_completes_without_resending_ranges() -> None:
-    owner, host, count = caught_up(lambda number, message: message)
-    verified(owner, host)
+    owner, host, count = catch_up(lambda number, message: message)
+    assert_verified(owner, host)
     assert count > 12
     for cut in range(count):
         for alone in (False, True):
-            verified(
-                *caught_up(
+            assert_verified(
+                *catch_up(
                     lambda number, message: None if number == cut else message,  # noqa: B023
                     alone,
                 )[:2]
             )
     ranges = list[int]()
 
-    def watched(number: int, message: Message) -> Message | None:
+    def count_ranges(number: int, message: Message) -> Message | None:
         if isinstance(message, RangePart) and message.last:
             ranges.append(message.range_number)
         return None if number == 8 else message
 
-    verified(*caught_up(watched)[:2])
+    assert_verified(*catch_up(count_ranges)[:2])
     assert max(ranges.count(each) for each in ranges) <= 2  # received ranges are not sent again
 
 
 def test_a_byte_flipped_in_transit_never_verifies_a_wrong_copy() -> None:
     encoder = msgspec.msgpack.Encoder()
     decoder = msgspec.msgpack.Decoder(Message)
-    _, _, count = caught_up(lambda number, message: message)
+    _, _, count = catch_up(lambda number, message: message)
     flipped = 0
     for at in range(count):
         positions = itertools.count()
         for position in positions:
             size = 0
 
-            def spoil(number: int, message: Message) -> Message | None:
+            def deliver_as(number: int, message: Message) -> Message | None:
                 nonlocal size, flipped
                 if number != at:  # noqa: B023
                     return message
@@ -691,7 +695,7 @@
                 except (msgspec.MsgspecError, UnicodeDecodeError):
                     return None  # the link would close the connection
 
-            verified(*caught_up(spoil)[:2])
+            assert_verified(*catch_up(deliver_as)[:2])
             if (position + 1) * (1 if size < 400 else 97) >= size:
                 break
     assert flipped > 500
@@ -745,10 +749,10 @@
 
     def caught() -> bool:
         try:
-            taken_over_while_catching_up()
-            taken_over_while_behind()
+            takeover_while_catching_up()
+            takeover_while_behind()
             for seed in range(60):
-                run_random(seed)
+                random_run(seed)
         except AssertionError:
             return True
         return False
