--- a/frostport/agreement/log.py
+++ b/frostport/agreement/log.py
@@ -15,7 +15,10 @@
 
 Write = tuple[str, bytes | None]
 
-META_KEY, BASE_KEY, ENTRY_PREFIX, SNAPSHOT_PREFIX = "raft/meta", "raft/base", "raft/log/", "raft/snapshot/"
+META_KEY = "raft/meta"
+BASE_KEY = "raft/base"
+ENTRY_PREFIX = "raft/log/"
+SNAPSHOT_PREFIX = "raft/snapshot/"
 SNAPSHOT_RECORD_BYTES = 64 * 1024  # a snapshot is stored in records of this size
 VOTERS_KIND = "voters"  # kind of the entries that set the voters
 
@@ -63,10 +66,12 @@
 
     @property
     def last_index(self) -> int:
+        """Index of the last entry, which the snapshot may cover; 0 if the log is empty."""
         return self.snapshot_meta.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
+        """Term of the entry at `last_index`."""
         return self.entries[-1].term if self.entries else self.snapshot_meta.term
 
     def term_at(self, index: int) -> int | None:
@@ -78,7 +83,9 @@
         return None
 
     def entries_after(self, index: int, last_index: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Entries after `index` up to `last_index`, about `max_bytes` at most but one at least, if any."""
+        """Entries after `index` up to `last_index`, about `max_bytes` at most but one at least, if any.
+
+        Counts 64 bytes for the fields of an entry other than its data."""
         selected: list[Entry] = []
         for entry in self.entries[index - self.snapshot_meta.index : last_index - self.snapshot_meta.index]:
             if selected and max_bytes < len(entry.data) + 64:
@@ -97,6 +104,7 @@
     # Changes: each returns the records to write
 
     def append(self, entries: Sequence[Entry]) -> list[Write]:
+        """Appends entries, the first of which must have the index after `last_index`."""
         self.entries.extend(entries)
         return [(entry_key(entry.index), _encoder.encode(entry)) for entry in entries]
 
@@ -111,10 +119,8 @@
         term = self.term_at(index)
         assert term is not None
         voters, _ = self.latest_voters(index)
-        removed, self.entries = (
-            self.entries[: index - self.snapshot_meta.index],
-            self.entries[index - self.snapshot_meta.index :],
-        )
+        removed = self.entries[: index - self.snapshot_meta.index]
+        self.entries = self.entries[index - self.snapshot_meta.index :]
         return self._replace_snapshot(
             SnapshotMeta(index, term, voters, len(snapshot), crc32c(snapshot)), snapshot, removed
         )
@@ -123,12 +129,14 @@
         """Replaces what another agent's snapshot covers, or the entire log if it differs at `meta.index`."""
         matches = self.term_at(meta.index) == meta.term
         covered = meta.index - self.snapshot_meta.index if matches else len(self.entries)
-        removed, self.entries = self.entries[:covered], self.entries[covered:]
+        removed = self.entries[:covered]
+        self.entries = self.entries[covered:]
         return self._replace_snapshot(meta, snapshot, removed)
 
     def _replace_snapshot(self, meta: SnapshotMeta, snapshot: bytes, removed: Sequence[Entry]) -> list[Write]:
         old_record_count = -(-self.snapshot_meta.size_bytes // SNAPSHOT_RECORD_BYTES)
-        self.snapshot_meta, self.snapshot = meta, snapshot
+        self.snapshot_meta = meta
+        self.snapshot = snapshot
         writes: list[Write] = [(entry_key(entry.index), None) for entry in removed]
         record_count = -(-meta.size_bytes // SNAPSHOT_RECORD_BYTES)
         writes += [
@@ -146,4 +154,5 @@
 
 
 def entry_key(index: int) -> str:
+    """Storage key of an entry; its fixed width makes keys sort by index."""
     return f"{ENTRY_PREFIX}{index:016x}"
--- a/frostport/replication/successor.py
+++ b/frostport/replication/successor.py
@@ -21,7 +21,9 @@
     """One takeover, from the successor's command in the agreed log until the stream's records are known."""
 
     def __init__(self, copy: StreamCopy, others: Iterable[str], now_ms: float) -> None:
-        self.copy, self.started_at_ms, self.asked_at_ms = copy, now_ms, -math.inf
+        self.copy = copy
+        self.started_at_ms = now_ms
+        self.asked_at_ms = -math.inf
         self.pending = set(others)
         self.later_writes: dict[str, tuple[int, bytes | None]] = {}  # that its own copy lacks
         # A copy that was still catching up has a batch number but may lack earlier batches: all writes are
@@ -57,7 +59,7 @@
 
     def records(self) -> dict[str, bytes]:
         """Returns the stream's records."""
-        # else another holder's answer has all of it
+        # Otherwise the answer of another holder, whose copy is verified, contains all records.
         use_own_copy = self.copy.verified or not self.verified_copy_found
         found = {key: value for key, (_, value) in self.copy.table.entries.items()} if use_own_copy else {}
         for key, (_, value) in self.later_writes.items():
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -186,14 +186,17 @@
     """The second process is refused with an error in the log; the first goes on."""
     await rig.wait_for_leader()
     await propose_notes(rig, rig.names)
-    first, ports = rig.programs["n1"], rig.ports["n1"]
+    first = rig.programs["n1"]
+    ports = rig.ports["n1"]
     for pair in [pair for pair in rig.relays if "n1" in pair]:
         rig.add_history(f"the second process is reached without the relays {pair}")
     rig.ports["n1"] = dict(zip(ports, free_ports(len(ports)), strict=True))
-    rig.fleet_options["path"], rig.fleet_options["record"] = "second.fleet", "second.jsonl"
+    rig.fleet_options["path"] = "second.fleet"
+    rig.fleet_options["record"] = "second.jsonl"
     await rig.start("n1")
     second = rig.programs["n1"]
-    rig.programs["n1"], rig.ports["n1"] = first, ports
+    rig.programs["n1"] = first
+    rig.ports["n1"] = ports
     rig.fleet_options.clear()
     assert await asyncio.wait_for(second.wait(), 60) == 1
     assert "refused by the fleet: another n1 answers at" in (rig.folder / "log").read_text(encoding="utf-8")
@@ -314,12 +317,13 @@
     ends exactly once."""
     environment = rig.environment
     assert environment is not None
-    observed, rng = environment.observed, random.Random(rig.seed)
+    observed = environment.observed
+    rng = random.Random(rig.seed)
     environment.start_callers()
     await rig.wait_for_leader()
     await propose_notes(rig, rig.names)
 
-    async def more(count: int = 30) -> None:
+    async def wait_for_answers(count: int = 30) -> None:
         before = observed.answers
 
         async def answered() -> bool:
@@ -327,57 +331,57 @@
 
         await rig.wait_until(f"{count} more answers", answered)
 
-    async def shown(name: str, where: str, what: str) -> None:
+    async def wait_for_fault(name: str, where: str, what: str) -> None:
         async def recorded() -> bool:
             return relays[name, where].counts[what] > 0
 
         await rig.wait_until(f"{name}/{where} {what}", recorded)
 
     relays = environment.relays
-    await more()
+    await wait_for_answers()
     for what, change in (("throttled", {"rate": 4000.0}), ("delayed", {"delay_ms": 30.0, "jitter_ms": 40.0})):
         name = rng.choice(rig.names)
         rig.add_history(f"{name}/h0 {what}")
         for way in relays[name, "h0"].faults.values():
             for field, value in change.items():
                 setattr(way, field, value)
-        await more()
-        await shown(name, "h0", what)
+        await wait_for_answers()
+        await wait_for_fault(name, "h0", what)
         rig.heal()
     for name in rig.names:
         rig.add_history(f"reset all at {name}")
         for what in ("clients", "h0", "h1", "list"):
             relays[name, what].reset()
-        await more(10)
+        await wait_for_answers(10)
         for what in ("clients", "h0", "h1", "list"):
-            await shown(name, what, "reset")
+            await wait_for_fault(name, what, "reset")
     name = rng.choice(rig.names)
     rig.add_history(f"{name}/list refuses, and another server is drained")
     relays[name, "list"].refusing = True
     relays[name, "list"].reset()
     environment.list_service.publish([{**environment.hosts[1], "health": "draining"}])
-    await more()
-    await shown(name, "list", "refused")
+    await wait_for_answers()
+    await wait_for_fault(name, "list", "refused")
     rig.heal()
     name = rng.choice(rig.names)
     rig.add_history(f"{name}/h0 and its list hear nothing")
     for what in ("h0", "list"):
         relays[name, what].faults[FORWARD].cut = True
     environment.observed.partitioned.add(f"{name}.h0")
-    await more()
-    await shown(name, "h0", "cut")
-    await shown(name, "list", "cut")
+    await wait_for_answers()
+    await wait_for_fault(name, "h0", "cut")
+    await wait_for_fault(name, "list", "cut")
     rig.heal()
     name = rng.choice(rig.names)
     rig.add_history(f"{name}/h1 reads nothing")
     environment.observed.partitioned.add(f"{name}.h1")
     relays[name, "h1"].stalled = True
-    await more()
-    await shown(name, "h1", "stalled")
+    await wait_for_answers()
+    await wait_for_fault(name, "h1", "stalled")
     rig.heal()
     await rig.kill(name)
     await rig.start(name)
-    await more()
+    await wait_for_answers()
 
     async def drained() -> bool:
         text = (rig.folder / "log").read_text(encoding="utf-8")
@@ -393,7 +397,9 @@
 async def random_faults(rig: Rig) -> None:
     """Random faults, determined by the rig's seed."""
     await rig.wait_for_leader()
-    rng, down, frozen = random.Random(rig.seed), set[str](), set[str]()
+    rng = random.Random(rig.seed)
+    down = set[str]()
+    frozen = set[str]()
     for _ in range(12):
         name = rng.choice(rig.names)
         action = rng.choice(("kill", "stop", "cut", "apart", "heal", "back", "note", "note"))
@@ -414,7 +420,8 @@
                 rig.unfreeze(other_name)
             for other_name in down:
                 await rig.start(other_name)
-            down, frozen = set(), set()
+            down = set()
+            frozen = set()
         await propose_notes(
             rig, [other_name for other_name in rig.names if other_name not in down | frozen], 2
         )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -44,9 +44,11 @@
 def run(proxies: list[Proxy], seconds: float, calls_per_second: float, first: int = 0) -> dict[str, int]:
     """Each proxy offers calls at random times, all answered immediately. Returns the number of sends by
     server address."""
-    rng, sent = random.Random(5), {server(n).address: 0 for n in range(8)}
+    rng = random.Random(5)
+    sent = {server(n).address: 0 for n in range(8)}
     for proxy in proxies:
-        arrival, end = proxy.now + rng.expovariate(calls_per_second) * 1000.0, proxy.now + seconds * 1000.0
+        arrival = proxy.now + rng.expovariate(calls_per_second) * 1000.0
+        end = proxy.now + seconds * 1000.0
         while arrival < end:
             actions = proxy.run(arrival - proxy.now)
             actions += proxy.call(rng.choice(["plain", "plain", "plain", "dear"]), first)[1]
@@ -173,8 +175,8 @@
     assert proxy.control().ceiling is None
 
 
-def test_tokens_in_hand_of_a_whole_fleet_do_not_push_a_cold_server_over() -> None:
-    # Guards against a surge of dear calls that finds one token at each of 286 proxies (incident i99cb61).
+def test_unspent_tokens_of_a_whole_fleet_do_not_overload_a_cold_server() -> None:
+    # Guards against a surge of dear calls that finds one unspent token at each of 286 proxies.
     all_proxies = fleet(286)
     for number in (0, 1):
         report_lines(all_proxies, number, 1000.0, 1000.0)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -41,7 +41,9 @@
     """Three agents, the datagrams in flight between them, and the time. Copied by pickle."""
 
     def __init__(self) -> None:
-        self.now, self.lives, self.crashes = 0.0, 3, 0
+        self.now = 0.0
+        self.lives = 3
+        self.crashes = 0
         self.agents: dict[str, Swim] = {}
         self.flight: list[tuple[str, str, object]] = []
         for number, name in enumerate(NAMES):
@@ -84,7 +86,7 @@
             self.tick()
 
 
-def suspecting() -> SmallWorld:
+def world_with_a_suspect() -> SmallWorld:
     """One agent has just received that another is suspect, and the suspect has not."""
     world = SmallWorld()
     incarnation = world.agents["b"].incarnation
@@ -153,7 +155,9 @@
     M3: the incarnation of a process never falls, nor does (incarnation, state) of a member in its view.
     M4: a view has one entry for each name, and none for its own agent.
     """
-    seen, layer, count = {state_digest(first)}, [pickle.dumps(first)], 1
+    seen = {state_digest(first)}
+    layer = [pickle.dumps(first)]
+    count = 1
     last: list[bytes] = []
     for _ in range(depth):
         next_layer = []
@@ -206,18 +210,18 @@
     return count
 
 
-@pytest.mark.parametrize("first", [SmallWorld, suspecting])
+@pytest.mark.parametrize("first", [SmallWorld, world_with_a_suspect])
 def test_every_order_of_three_agents_to_depth_eight(first: Callable[[], SmallWorld]) -> None:
     count = explore(first(), 8, 8_000, 80)
     print(f"{count} states")
     assert count > 4_000
 
 
-def incarnation_not_raised(agent: Swim) -> None:
+def keep_incarnation(agent: Swim) -> None:
     agent.pending_updates.add(agent._own_update())
 
 
-def ignored(agent: Swim, update: Update) -> None:
+def ignore_update(agent: Swim, update: Update) -> None:
     pass
 
 
@@ -228,8 +232,8 @@
 @pytest.mark.parametrize(
     ("owner", "name", "fault"),
     [
-        (Swim, "_raise_incarnation", incarnation_not_raised),
-        (Swim, "_own_state_received", ignored),
+        (Swim, "_raise_incarnation", keep_incarnation),
+        (Swim, "_own_state_received", ignore_update),
         (table, "overrides", always_overrides),
     ],
 )
@@ -238,7 +242,7 @@
 ) -> None:
     monkeypatch.setattr(owner, name, fault)
     with pytest.raises(AssertionError):
-        explore(suspecting(), 6, 4_000, 80)
+        explore(world_with_a_suspect(), 6, 4_000, 80)
 
 
 # Simulations of many agents
