--- a/frostport/membership/joining.py
+++ b/frostport/membership/joining.py
@@ -91,7 +91,7 @@
                 return
             if join.supersedes and join.incarnation > self.incarnation:
                 self._send(address, Welcome(self.name, join.info.life, (self._own_update(),)))
-                self._set_phase(Phase.SUPERSEDED, f"superseded by a later process at {join.info.address}")
+                self._set_phase(Phase.SUPERSEDED, f"followed by a later process at {join.info.address}")
             elif not join.supersedes:
                 self._send(address, Refused(self.name, join.info.life, self.info.address))
             return
@@ -127,7 +127,7 @@
         more = self._alive_updates(join.sender, room)
         self._send(address, msgspec.structs.replace(welcome, updates=(*updates, *more)))
         if self.phase is Phase.JOINING:
-            self._set_phase(Phase.MEMBER, f"{join.sender} has joined")
+            self._set_phase(Phase.MEMBER, f"{join.sender} has come")
 
     def _alive_updates(self, excluded: str, room: int = 0) -> tuple[Update, ...]:
         """Updates of as many alive members as fit into `room` bytes; the others follow over the link."""
--- a/frostport/membership/swim.py
+++ b/frostport/membership/swim.py
@@ -172,7 +172,7 @@
         for member in active[: self.settings.max_sends(self.table.size())]:
             self._sequence += 1
             self._send(member.info.address, Ping(self.name, self._sequence, member.name, (left,)))
-        self._set_phase(Phase.LEFT, "this agent is stopping")
+        self._set_phase(Phase.LEFT, "it leaves")
 
     def _set_phase(self, phase: Phase, why: str) -> None:
         if phase is not self.phase:
@@ -349,7 +349,7 @@
                     self._apply_updates(message.updates, now)
                     if self.phase is Phase.JOINING:
                         self._next_join_at = NEVER
-                        self._set_phase(Phase.MEMBER, f"admitted by {message.sender}")
+                        self._set_phase(Phase.MEMBER, f"taken in by {message.sender}")
                         self._actions.append(ExchangeViews(message.sender))
             case Refused():
                 # Only while joining: a late datagram must not remove a member.
@@ -398,7 +398,7 @@
     def _own_state_received(self, update: Update) -> None:
         if update.info is not None and update.info.life != self.info.life:
             if update.state is State.ALIVE and update.incarnation > self.incarnation:
-                self._set_phase(Phase.SUPERSEDED, f"superseded by a later process at {update.info.address}")
+                self._set_phase(Phase.SUPERSEDED, f"a later process of this name is at {update.info.address}")
             elif update.state is State.ALIVE:
                 self._raise_incarnation()
             return
