--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -91,9 +91,11 @@
     def __init__(
         self, config: Config, reactor: Any, clock: Clock | None = None, durability: Durability | None = None
     ) -> None:
-        self.config, self.reactor = config, reactor
+        self.config = config
+        self.reactor = reactor
         self.path: pathlib.Path | None = None  # the configuration file, which a reload reads again
-        self.clock, self.deadlines = clock or Clock(), Deadlines()
+        self.clock = clock or Clock()
+        self.deadlines = Deadlines()
         self.lifecycle = Lifecycle()
         call_settings = contracts.with_contracts(config.settings, config.contracts)
         self.rules = Rules(call_settings, config.drain_grace_ms)
@@ -241,7 +243,8 @@
             self.metrics.configuration_loaded(False)
             return
         self.metrics.configuration_loaded(True)
-        old, names = self.config, [item.name for item in dataclasses.fields(Config)]
+        old = self.config
+        names = [item.name for item in dataclasses.fields(Config)]
         changed = [
             name
             for name in names
@@ -282,7 +285,8 @@
     def _check_drained(self) -> None:
         """Checks whether no client connection and no request is left, which ends a drain or a handover."""
         self.side.front.drain()  # guards against a connection whose last call ended without a message on it
-        phase, empty = self.lifecycle.phase, not self.side.front.unclosed() and not self.broker.open_count
+        phase = self.lifecycle.phase
+        empty = not self.side.front.unclosed() and not self.broker.open_count
         if phase is Phase.DRAINING and empty:
             self.lifecycle.enter(Phase.DRAINED)
         elif phase is Phase.HANDING_OVER and empty:
@@ -415,7 +419,9 @@
 
         durability = store_durability.Durability.open(config.store, upgrade=inherited is not None)
     agent = Agent(limit_to_process(config), reactor, durability=durability)
-    agent.path, agent.count_own_descriptors, agent.inherited_fd = path, count_own_descriptors, inherited
+    agent.path = path
+    agent.count_own_descriptors = count_own_descriptors
+    agent.inherited_fd = inherited
     if config.fleet is not None:
         from frostport import fleet
 
--- a/frostport/config.py
+++ b/frostport/config.py
@@ -368,7 +368,8 @@
     section = read_field(record, "diameter", dict, {})
     if call_settings.probes or call_settings.peers:
         raise ConfigError("settings.caps: probes and peer messages are not supported with Diameter")
-    clients, servers = read_field(section, "clients", list, [], prefix), []
+    clients = read_field(section, "clients", list, [], prefix)
+    servers = []
     for index, client in enumerate(clients):
         read_name(f"{prefix}clients.{index}", client)
     for index, entry in enumerate(read_field(section, "servers", list, [], prefix)):
--- a/frostport/config_fleet.py
+++ b/frostport/config_fleet.py
@@ -15,7 +15,8 @@
 from frostport.membership.messages import MAX_NAME_BYTES, MAX_TEXT_BYTES
 
 VOTER_COUNTS = (0, 1, 3, 5, 7)
-MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64
+MIN_KEY_BYTES = 16
+MAX_KEY_BYTES = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,7 +122,8 @@
     prefix = "fleet.work."
     if "work" not in section:
         return None
-    given, values = base.read_field(section, "work", dict, {}, "fleet."), msgspec.structs.asdict(Limits())
+    given = base.read_field(section, "work", dict, {}, "fleet.")
+    values = msgspec.structs.asdict(Limits())
     for name in given:
         if name not in values:
             raise ConfigError(f"{prefix}{name}: unknown field")
--- a/frostport/deadline_runner.py
+++ b/frostport/deadline_runner.py
@@ -18,7 +18,9 @@
     """Keeps one reactor timer set to the first deadline."""
 
     def __init__(self, reactor: Any, clock: Clock, deadlines: Deadlines) -> None:
-        self.reactor, self.clock, self.deadlines = reactor, clock, deadlines
+        self.reactor = reactor
+        self.clock = clock
+        self.deadlines = deadlines
         self._call: Any = None
         deadlines.on_first_changed = self.schedule
 
--- a/frostport/diameter_side.py
+++ b/frostport/diameter_side.py
@@ -24,7 +24,8 @@
     """Diameter to clients and servers, with the peers from the configuration."""
 
     def __init__(self, agent: AgentParts) -> None:
-        config, settings = agent.config, agent.config.diameter
+        config = agent.config
+        settings = agent.config.diameter
         assert settings is not None
         identity = self.identity = Identity(
             settings.host, settings.realm, int(agent.clock.now() / 1000.0), split(config.listen)[0]
--- a/frostport/durability.py
+++ b/frostport/durability.py
@@ -54,7 +54,10 @@
         worker: Worker | None = None,
         handover: Handover | None = None,
     ) -> None:
-        self.config, self.engine, self.worker, self.handover = config, engine, worker, handover
+        self.config = config
+        self.engine = engine
+        self.worker = worker
+        self.handover = handover
         self.recovered_values = handover.initial_values() if handover is not None else engine.take_recovered()
         self.restored = Restored()
         self.adopt_call: Callable[[str, records.Standing], None]  # takes over a call of the predecessor
@@ -135,7 +138,8 @@
         """Passes restored calls, guards, servers, budgets and pending releases to the parts that own them.
 
         Called before any port or connection is open."""
-        restored, broker = self.restored, agent.broker
+        restored = self.restored
+        broker = agent.broker
         assert self.committer is not None and self.recorder is not None
         if restored.clock_set_back_ms > 0.0:
             log.warning(
@@ -215,8 +219,11 @@
         client=record.client,
         end_to_end_id=record.identity,
     )
-    request.state, request.established_at_ms, request.answer = State.ESTABLISHED, record.at, "stands"
-    request.recorded_answer, request.attempts = recovery.recorded_answer(record), 1
+    request.state = State.ESTABLISHED
+    request.established_at_ms = record.at
+    request.answer = "stands"
+    request.recorded_answer = recovery.recorded_answer(record)
+    request.attempts = 1
     request.attempt = Attempt(request, 0, record.server, record.at, record.at, pending=False)
     request.slot = agent.broker.requests.add(request)
     agent.broker.slots_by_id[call] = request.slot
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -47,7 +47,9 @@
 
 log = logging.getLogger("frostport.fleet")
 
-FRAME_RAFT, FRAME_VIEW, FRAME_VIEW_REPLY = "raft", "view", "view-back"
+FRAME_RAFT = "raft"
+FRAME_VIEW = "view"
+FRAME_VIEW_REPLY = "view-back"
 CAUGHT_UP_KEY = "whole"  # key of the record that says that the log was complete here once
 MAX_APPLIED_PER_ITERATION = 100  # entries; applying them takes about 3 ms
 NEVER = float("inf")
@@ -69,8 +71,11 @@
     ) -> None:
         """`is_upgrade`: this process takes over from one of the same name. `on_refused` is called with the
         reason if another process of this name is alive. Raises StoreError."""
-        self.config, self.reactor, self.on_refused = config, reactor, on_refused
-        self.clock, self.deadlines = MonotonicClock(), Deadlines()
+        self.config = config
+        self.reactor = reactor
+        self.on_refused = on_refused
+        self.clock = MonotonicClock()
+        self.deadlines = Deadlines()
         self.deadline_runner = DeadlineRunner(reactor, self.clock, self.deadlines)
         rng = random.Random(secrets.randbits(64))
         incarnation = int(time.time() * 1000.0)
@@ -333,7 +338,8 @@
 
     def _perform_deferred(self) -> None:
         if self.committer.state is committer.State.OPEN:
-            outputs, self.deferred_outputs = self.deferred_outputs, []
+            outputs = self.deferred_outputs
+            self.deferred_outputs = []
             for out in outputs:
                 self._perform(out)
 
--- a/frostport/fleet_maintenance.py
+++ b/frostport/fleet_maintenance.py
@@ -73,7 +73,8 @@
 
     def __init__(self, fleet: Fleet, records: Mapping[str, bytes]) -> None:
         """`records`: the log's records on disk, by key. Raises BadLogError, msgspec.MsgspecError."""
-        self.fleet, self.plan = fleet, Plan()
+        self.fleet = fleet
+        self.plan = Plan()
         register_plan(fleet.state_machine, self.plan, self._apply)
         self.disk_plan: Plan | None = plan_from_disk(records)  # None once caught up
         self.ticket_states: dict[int, TicketState] = {}
@@ -120,10 +121,8 @@
 
     def _apply(self, entry: Entry, command: commands.Command) -> None:
         self.plan.apply(entry.index, entry.term, command)
-        previous, self.ticket_states = (
-            self.ticket_states,
-            {ticket.number: ticket.state for ticket in self.plan.tickets},
-        )
+        previous = self.ticket_states
+        self.ticket_states = {ticket.number: ticket.state for ticket in self.plan.tickets}
         for ticket in self.plan.tickets:
             if previous.get(ticket.number) is not ticket.state:
                 log.info("work: %s %s: %s", ticket.name, ticket.state.value, self.plan.explain(ticket))
@@ -143,7 +142,8 @@
         self._reconcile_timer = None
         if self.agent is None or self._reconciling:
             return
-        self._reconciling, again = True, True
+        self._reconciling = True
+        again = True
         try:
             while again:
                 again = False
@@ -189,9 +189,12 @@
     # Local state
 
     def _local_state(self, plan: Plan) -> LocalState:
-        agent, fleet = self.agent, self.fleet
+        agent = self.agent
+        fleet = self.fleet
         assert agent is not None
-        rotation, rules, now = agent.broker.rotation, agent.broker.rules, agent.clock.now()
+        rotation = agent.broker.rotation
+        rules = agent.broker.rules
+        now = agent.clock.now()
         for server in self.reconciler.held_out & rotation.last_records.keys() - rotation.disabled:
             agent.broker.set_rotation(server, True)  # it had left the server list, and is listed again
         calls_by_server: dict[str, int] = {}
@@ -250,7 +253,8 @@
     def _calls_per_second(self) -> float:
         """The rate of calls answered here, over `LOAD_WINDOW_MS`."""
         assert self.agent is not None
-        now, counts = self.fleet.clock.now(), self.agent.metrics.counts
+        now = self.fleet.clock.now()
+        counts = self.agent.metrics.counts
         total = sum(sum(counts[name].values()) for name in ("answered", "deferred", "errored"))
         if not self.answer_samples or now - self.answer_samples[-1][0] >= 1000.0:
             self.answer_samples.append((now, total))
@@ -296,7 +300,9 @@
 
 def plan_from_disk(records: Mapping[str, bytes]) -> Plan:
     """The plan after all entries on disk, committed or not: this agent may have acted on any of them."""
-    plan, state_machine, stored_log = Plan(), StateMachine(), Log(records)
+    plan = Plan()
+    state_machine = StateMachine()
+    stored_log = Log(records)
     register_plan(state_machine, plan, lambda entry, command: plan.apply(entry.index, entry.term, command))
     applier = Applier(state_machine, stored_log.snapshot_meta.index, stored_log.snapshot)
     applier.add(stored_log.entries, ())
--- a/frostport/handover.py
+++ b/frostport/handover.py
@@ -99,11 +99,9 @@
 
     def __init__(self, path: pathlib.Path, limits: Limits) -> None:
         """Raises LockedError if a third process is already taking over; StoreError, OSError."""
-        self.limits, self.main_folder, self.next_folder = (
-            limits,
-            DiskFolder(path),
-            DiskFolder(path / NEXT_FOLDER),
-        )
+        self.limits = limits
+        self.main_folder = DiskFolder(path)
+        self.next_folder = DiskFolder(path / NEXT_FOLDER)
         self.engine = Engine.open(self.next_folder, limits)  # of the store in `next`
         try:
             self.follower = Follower(self.main_folder)
@@ -129,7 +127,8 @@
 
     def attach(self, agent: AgentWithStore, durability: Durability) -> None:
         """Starts to follow the predecessor; called once calls can be restored, before any port is open."""
-        self.agent, self.durability = agent, durability
+        self.agent = agent
+        self.durability = durability
         assert durability.recorder is not None
         durability.recorder.handover = self
         self.adopted.update(durability.restored.over)  # ended according to records of an earlier process
@@ -193,7 +192,8 @@
     def _apply(self, key: str, value: bytes | None) -> None:
         if not key.startswith(CALL):
             return
-        broker, call = self.agent.broker, key.removeprefix(CALL)
+        broker = self.agent.broker
+        call = key.removeprefix(CALL)
         record = None if value is None else records.decode(key, value)[2]
         self.pending_in_predecessor.discard(call)
         request = broker.find_request(call)
@@ -254,7 +254,9 @@
             if old_values.get(key) != self.follower.values.get(key):
                 self._apply(key, old_values.get(key))
         self.state = HandoverState.DONE
-        agent, broker, now = self.agent, self.agent.broker, self.agent.clock.now()
+        agent = self.agent
+        broker = self.agent.broker
+        now = self.agent.clock.now()
         unfinished = {}
         for key, value in old_values.items():
             call = records.split_key(key)[1].rpartition(records.KEY_SEPARATOR)[2]
--- a/frostport/observe/record.py
+++ b/frostport/observe/record.py
@@ -11,7 +11,8 @@
 
 import structlog
 
-MAX_FILE_BYTES, MAX_FILES = 16 * 1024 * 1024, 2
+MAX_FILE_BYTES = 16 * 1024 * 1024
+MAX_FILES = 2
 MAX_QUEUED_LINES = 10_000  # waiting for the disk; more are dropped and counted
 
 
--- a/frostport/operations.py
+++ b/frostport/operations.py
@@ -14,7 +14,9 @@
     """Implements the commands; `operations` returns them by name."""
 
     def __init__(self, broker: Broker, lifecycle: Lifecycle, metrics: StatsdMetrics) -> None:
-        self.broker, self.lifecycle, self.metrics = broker, lifecycle, metrics
+        self.broker = broker
+        self.lifecycle = lifecycle
+        self.metrics = metrics
         # Why a server ("": this agent) must stay out of rotation; "" if it need not.
         self.held_reason: Callable[[str], str] = lambda name: ""
 
--- a/frostport/platform_side.py
+++ b/frostport/platform_side.py
@@ -48,7 +48,8 @@
     """The platform protocol: JSON lines to clients and servers, the event bus, datagrams to other agents."""
 
     def __init__(self, agent: AgentParts) -> None:
-        self.agent, config = agent, agent.config
+        self.agent = agent
+        config = agent.config
         self.front = PlatformFront(agent.broker, agent.lifecycle, agent.gate)
         self.route = UpstreamPool(
             agent.broker, self.front, agent.connect, config.settings.connect_timeout_ms or CONNECT_TIMEOUT_MS
@@ -64,7 +65,8 @@
         return FrontFactory(self.front.build)
 
     def start(self) -> None:
-        agent, config = self.agent, self.agent.config
+        agent = self.agent
+        config = self.agent.config
         if config.peer_listen:
             peers = Peers(agent.broker, config.peers)
             listen_peers(agent.reactor, config.peer_listen, peers)
--- a/frostport/startup/feed.py
+++ b/frostport/startup/feed.py
@@ -131,7 +131,10 @@
     """One agent's part in the distribution. `offset`: the last event of the list that it starts with."""
 
     def __init__(self, name: str, zone: str, offset: int, settings: Settings, now_ms: float) -> None:
-        self.name, self.zone, self.settings, self.started_at = name, zone, settings, now_ms
+        self.name = name
+        self.zone = zone
+        self.settings = settings
+        self.started_at = now_ms
         self.role = Role.WAITING
         self.offset = offset  # of the last event in the list
         self.events: deque[tuple[int, bytes]] = deque()  # the retained ones, by offset
@@ -195,7 +198,9 @@
                     self.source = ""
                 self._update_source(now, actions)
             case ServiceConnected():
-                self.connected, self.dialing, self.service_last_received_at = True, False, now
+                self.connected = True
+                self.dialing = False
+                self.service_last_received_at = now
                 self._send_heartbeat(now, actions)
             case ServiceDisconnected():
                 self.connected = False
@@ -243,7 +248,8 @@
         """Retains an event that is new in the list, and sends it to the subscribers."""
         if offset <= self.offset:
             return
-        before, self.offset = self.offset, offset
+        before = self.offset
+        self.offset = offset
         self.events.append((offset, line))
         while len(self.events) > MAX_RETAINED_EVENTS:
             self.base_offset = self.events.popleft()[0]
@@ -295,10 +301,8 @@
             # An update that arrives late must not make the list look older than it is known to be (S3).
             self.service_last_received_at = max(self.service_last_received_at, now - update.age_ms)
         if sender == self.source:
-            self.source_last_received_at, self.source_lacks_service = (
-                now,
-                update.dials_service and not update.connected,
-            )
+            self.source_last_received_at = now
+            self.source_lacks_service = update.dials_service and not update.connected
         current = 0.0 <= update.age_ms < self.settings.old_ms
         if update.after_offset > self.offset:
             self._subscribe(sender, now, actions)  # events are missing, or the sender is ahead
@@ -319,10 +323,12 @@
     # Where this agent gets the list from
 
     def _set_role(self, role: Role, source: str, now: float, actions: list[Action]) -> None:
-        before, self.role = self.role, role
+        before = self.role
+        self.role = role
         if self.source and self.source != source and self.source in self.zones:
             actions.append(Send(self.source, Unsubscribe()))
-        self.source, self.current_updates = source, 0
+        self.source = source
+        self.current_updates = 0
         if source:
             self.source_last_received_at = now
         dials_service = role in (Role.FEEDING, Role.STANDALONE)
--- a/frostport/startup/pacing.py
+++ b/frostport/startup/pacing.py
@@ -33,7 +33,9 @@
     """The dial schedule of one agent. Methods take the current time in ms; delays are returned in ms."""
 
     def __init__(self, settings: Settings, rng: random.Random, now_ms: float) -> None:
-        self.settings, self.rng, self.started_at = settings, rng, now_ms
+        self.settings = settings
+        self.rng = rng
+        self.started_at = now_ms
         self.fleet_size = settings.agents
         self.targets: dict[str, TargetState] = {}
 
@@ -62,14 +64,16 @@
         target = self._target(name, now)
         target.dialer_count = dialer_count
         delay = self.rng.random() * self.window_ms(name, now)
-        target.due_at, target.contended_until = now + delay, now + self.window_ms(name, now)
+        target.due_at = now + delay
+        target.contended_until = now + self.window_ms(name, now)
         return delay
 
     def schedule_redial(self, name: str, now: float) -> float:
         """Returns the delay of a redial after a connection was lost or could not be made.
 
         A dial that is already scheduled keeps its time."""
-        target, settings = self._target(name, now), self.settings
+        target = self._target(name, now)
+        settings = self.settings
         if target.due_at > now:
             return target.due_at - now
         window = self.window_ms(name, now)
@@ -83,7 +87,8 @@
         )
         target.tokens_at = now
         delay = max(self.rng.random() * gap, -target.tokens * settings.redial_ms)
-        target.due_at, target.contended_until = now + delay, max(now + delay, now + window)
+        target.due_at = now + delay
+        target.contended_until = max(now + delay, now + window)
         return delay
 
     def schedule_on_demand(self, name: str, now: float) -> float:
@@ -100,7 +105,8 @@
     def on_connected(self, name: str, now: float) -> None:
         """Resets the backoff. The target stays contended until its window ends, as others dial it as well."""
         target = self._target(name, now)
-        target.failures, target.due_at = 0, -math.inf
+        target.failures = 0
+        target.due_at = -math.inf
 
     def forget(self, name: str) -> None:
         self.targets.pop(name, None)
@@ -125,7 +131,8 @@
         agents raises nothing."""
         if math.isfinite(level) and level > self.pressure(name, now):
             target = self._target(name, now)
-            target.pressure, target.pressure_at = min(MAX_PRESSURE, level), now
+            target.pressure = min(MAX_PRESSURE, level)
+            target.pressure_at = now
 
     def reportable_pressures(self, now: float) -> tuple[tuple[str, float], ...]:
         """Returns up to 8 targets with their level, leaving out levels too low to matter to other agents."""
--- a/frostport/startup/readiness.py
+++ b/frostport/startup/readiness.py
@@ -23,7 +23,8 @@
     """Decides when one agent becomes ready. Once ready, it stays so."""
 
     def __init__(self, settings: Settings, now_ms: float) -> None:
-        self.settings, self.started_at = settings, now_ms
+        self.settings = settings
+        self.started_at = now_ms
         self.prepared_at: float | None = None  # since when only the other agents are waited for
         self.waits_for = "a list of servers"
         self.ready = False
@@ -34,7 +35,8 @@
             return True
         needed = max(1, (progress.chosen_servers + 1) // 2)
         if not progress.callable_servers:
-            self.prepared_at, self.waits_for = None, "a list of servers"
+            self.prepared_at = None
+            self.waits_for = "a list of servers"
         elif progress.answering_servers < needed:
             self.prepared_at = None
             self.waits_for = f"servers that answer: {progress.answering_servers} of {needed}"
--- a/frostport/startup_coordinator.py
+++ b/frostport/startup_coordinator.py
@@ -62,7 +62,9 @@
     It also decides when the bus and the lobby servers may dial."""
 
     def __init__(self, settings: Settings, name: str, fleet: Fleet | None) -> None:
-        self.settings, self.name, self.fleet = settings, name, fleet
+        self.settings = settings
+        self.name = name
+        self.fleet = fleet
         self.monotonic = MonotonicClock()
         now = self.monotonic.now()
         self.pacer = DialPacer(settings, random.Random(secrets.randbits(64)), now)
@@ -71,7 +73,8 @@
         self.chosen: set[str] = set()  # lobby servers connected to before a call needs them
         self.chosen_from: frozenset[str] = frozenset()  # the servers that they were chosen from
         self.connected_at: dict[str, float] = {}  # by target
-        self.members_changed, self.logged_role = True, ""
+        self.members_changed = True
+        self.logged_role = ""
         self.serving_agents = 0  # count last passed to the broker, this agent included
         self.update_sender = ""  # the agent whose message is being handled; "": the list service
         self.agent: StartingAgent | None = None
@@ -115,7 +118,8 @@
             self._attached_agent.deadlines.set(self._attached_agent.clock.now(), self._update_members)
 
     def _tick(self) -> None:
-        agent, now = self._attached_agent, self.monotonic.now()
+        agent = self._attached_agent
+        now = self.monotonic.now()
         if self.members_changed:
             self._update_members()
         if self.feed is not None:
@@ -154,12 +158,14 @@
         if feed is None:
             return
         bus = self._attached_agent.side.bus
-        last, encoded = None, b""  # a message to several agents is encoded once
+        last = None  # a message to several agents is encoded once
+        encoded = b""
         for action in feed.handle(event, self.monotonic.now()):
             match action:
                 case feeding.Send(to, message):
                     if message is not last:
-                        last, encoded = message, _encoder.encode(message)
+                        last = message
+                        encoded = _encoder.encode(message)
                     self._send(to, encoded)
                 case feeding.SendSnapshot(to):
                     age = feed.age_ms(self.monotonic.now())
@@ -314,7 +320,8 @@
             return
         for removed in self.chosen_from - listed:
             self.pacer.forget(removed)
-        self.chosen_from, before = listed, self.chosen
+        self.chosen_from = listed
+        before = self.chosen
         agents = [] if self.feed is None else [*self.feed.zones, self.name]
         self.chosen &= listed
         if len(self.chosen) < min(self.settings.servers, len(listed)):
@@ -362,7 +369,8 @@
         return {"startup": self._describe}
 
     def _describe(self, _: str) -> list[str]:
-        now, feed = self.monotonic.now(), self.feed
+        now = self.monotonic.now()
+        feed = self.feed
         waits = "able to serve" if self.ready else f"waits for {self.readiness.waits_for}"
         rate = f"{self.settings.dials_a_second:g} dials a second"
         lines = [f"OK {waits}; {self.pacer.fleet_size} agents share {rate}"]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -67,7 +67,8 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_a_follower_sees_what_the_writer_wrote(seed: int) -> None:
     """Follows a writer that fills, cleans and removes segments, and recovers from failures."""
-    rng, folder = random.Random(seed), MemoryFolder()
+    rng = random.Random(seed)
+    folder = MemoryFolder()
     engine = Engine.open(folder, Limits(segment_bytes=600, checkpoint_records=30))
     follower = Follower(folder)
     seen: dict[str, bytes] = {}
@@ -109,7 +110,8 @@
         return Agent(loaded, self.reactor, self.clock, durability)
 
     def step(self, line: str) -> None:
-        at, call = self.clock.now(), line.rpartition(" ")[2].zfill(16)
+        at = self.clock.now()
+        call = line.rpartition(" ")[2].zfill(16)
         written: dict[str, records.Record] = {
             "open": records.Open("h0", at, 0.0, 1, "race", "-", "c1", 0),
             "stands": records.Standing("h0", at, "race", "-", "c1", 0, zlib.crc32(b"x"), True, b"table"),
@@ -221,7 +223,8 @@
     """One listening socket and one store, shared by all processes of a test."""
 
     def __init__(self, folder: pathlib.Path, ports: list[int], held: socket.socket) -> None:
-        self.folder, self.held = folder, held
+        self.folder = folder
+        self.held = held
         self.path = folder / "config.json"
         self.port = held.getsockname()[1]
         self.path.write_text(json.dumps(configuration(self.port, ports, store=STORE)), encoding="utf-8")
@@ -274,7 +277,8 @@
 
 async def run_upgrade(folder: pathlib.Path, step: str, seed: int) -> Observations:
     """Runs a predecessor and a successor under load and kills one at the given step; the rest must go on."""
-    rng, observed = random.Random(f"{step} {seed}"), Observations()
+    rng = random.Random(f"{step} {seed}")
+    observed = Observations()
     lobbies = [
         LobbyServer(f"h{number}", observed, random.Random(number), end_probability=0.3) for number in (0, 1)
     ]
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -236,7 +236,8 @@
 
 
 def operator_port() -> tuple[OperatorPort, ManualClock, Deadlines]:
-    clock, deadlines = ManualClock(0.0), Deadlines()
+    clock = ManualClock(0.0)
+    deadlines = Deadlines()
     calls: dict[str, Operation] = {
         "ready": lambda rest: ["OK yes"],
         "disable-server": lambda rest: [f"OK {operator.parse_argument(rest)}"],
@@ -248,7 +249,8 @@
     """A connection to the operators' port that keeps what is written."""
 
     def __init__(self, port: OperatorPort) -> None:
-        self.text, self.closed = b"", False
+        self.text = b""
+        self.closed = False
         self.protocol: Any = port.buildProtocol(None)
         self.protocol.makeConnection(self)  # type: ignore[no-untyped-call]
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -248,7 +248,9 @@
     assert first[-1] <= 2500.0 and max_in_window(first) <= 20
     redials = sorted(pacer.schedule_redial("h1", 50_000.0) for pacer in pacers)
     assert max_in_window(redials) <= 20  # all agents lose their connection at the same moment
-    single_pacer, now, dials = pacers[0], 100_000.0, 0
+    single_pacer = pacers[0]
+    now = 100_000.0
+    dials = 0
     while now < 400_000.0:
         now += single_pacer.schedule_redial("h2", now) + 1.0
         dials += 1
@@ -282,7 +284,8 @@
 
 
 def test_initial_servers_are_spread_evenly_over_agents_that_see_each_other() -> None:
-    servers, names = [f"h{number}" for number in range(24)], [f"a{number}" for number in range(200)]
+    servers = [f"h{number}" for number in range(24)]
+    names = [f"a{number}" for number in range(200)]
     load = dict.fromkeys(servers, 0)
     for name in names:
         chosen = initial_servers(servers, name, names, 4)
@@ -341,7 +344,9 @@
 def test_events_are_applied_in_order_and_a_newer_list_is_sought(
     script: list[tuple[str, object, object]],
 ) -> None:
-    feed, now, offset = Feed("a", "z", 0, Settings(agents=4, feeders=1, patience_ms=5000.0), 0.0), 0.0, 0
+    feed = Feed("a", "z", 0, Settings(agents=4, feeders=1, patience_ms=5000.0), 0.0)
+    now = 0.0
+    offset = 0
     connected = connect_requested = False
 
     def handle(event: feeding.Event) -> None:
@@ -398,7 +403,9 @@
     assert coordinator.first_delay_ms(LIST_SERVICE) == float("inf")  # the feed has not been created yet
     coordinator.feed = Feed("a", "z", 0, Settings(agents=4), 0.0)
     assert coordinator.first_delay_ms(LIST_SERVICE) == float("inf")
-    coordinator.feed.is_feeder, coordinator.feed.role, coordinator.feed.connected = True, Role.FEEDING, True
+    coordinator.feed.is_feeder = True
+    coordinator.feed.role = Role.FEEDING
+    coordinator.feed.connected = True
     assert (
         coordinator.first_delay_ms(LIST_SERVICE) < float("inf")
         and not coordinator.feed.connected
