--- a/frostport/agent.py
+++ b/frostport/agent.py
@@ -55,10 +55,10 @@
 log = logging.getLogger("frostport.agent")
 
 PROBE_TIMEOUT_MS = 250.0
-FLUSH_DELAY_MS = 50.0  # lets the last answers leave, and refuses set-ups that are still arriving
+FLUSH_DELAY_MS = 50.0  # before the exit: the last answers are sent, set-ups that still arrive are refused
 CLOSE_CHECK_INTERVAL_MS = 5.0  # how often the exit checks whether all client connections are closed
 SHED_INTERVAL_MS = 100.0  # between two batches of connections closed by a lowered limit or the ladder
-# Fields of Config by name.
+# Names of fields of Config.
 RELOADABLE_FIELDS = ("bus", "sockets", "contracts", "admission")  # applied by a reload
 START_ONLY_FIELDS = ("seed", "known", "offset")  # used at the start only; a reload ignores changes to them
 NO_TIMEOUT_S = 3600.0  # for Twisted's endpoint; the effective connect timeout is one of the agent's deadlines
@@ -123,7 +123,7 @@
         self.inherited_fd: int | None = None  # listening socket for clients, if inherited
         self.operator_port: OperatorPort | None = None
         self._listening = False
-        self._answer_timer: Deadline | None = None  # set by SIGTERM: when all open requests are answered
+        self._answer_timer: Deadline | None = None  # set by SIGTERM: fails the requests that are open then
         self._exit_at_ms = 0.0  # set by SIGTERM: exits then, even if clients have not read their answers
         self._shed_timer: Deadline | None = None
         self.fleet: Fleet | None = None
@@ -165,7 +165,9 @@
         return dialing
 
     def start(self) -> None:
-        """Opens all ports and connections. The configured server list goes to the decision module first."""
+        """Opens all ports and connections. The configured server list goes to the decision module first.
+
+        Raises what opening a port raises; `start_or_stop` then stops the process."""
         if self.durability is not None:
             self.durability.restore(self)
         if self.inherited_fd is not None:
@@ -216,7 +218,7 @@
             self.lifecycle.enter(Phase.SERVING)
 
     def startup_complete(self) -> bool:
-        """Whether the cold start is over, as far as it depends on lists, servers and turns to connect."""
+        """Whether a cold start no longer waits for the server list, lobby servers or other agents."""
         return self.startup is None or self.startup.ready
 
     def _shed_surplus(self) -> None:
@@ -316,7 +318,7 @@
             self.lifecycle.enter(Phase.STOPPING)
 
     def _answer_open_requests(self) -> None:
-        """Before the platform's SIGKILL: answers all open requests as failed, and accepts no more."""
+        """Fails all open requests and accepts no more; called before the platform sends SIGKILL."""
         self.broker.fail_all()
         if self.lifecycle.can_enter(Phase.STOPPING):
             self.lifecycle.enter(Phase.STOPPING)
@@ -407,9 +409,10 @@
 def serve(
     config: Config, path: pathlib.Path | None = None, reactor: Any = None, inherited: int | None = None
 ) -> int:
-    """Runs a call agent until SIGTERM or SIGINT; returns the exit code.
+    """Runs a call agent until SIGTERM or SIGINT; returns the exit code: 0 after a shutdown in order, else 1.
 
-    `inherited` is the descriptor of a listening socket. Raises StoreError if the store can't be opened."""
+    `path` is the file that a reload reads; without it reloads are ignored. `inherited` is the descriptor of a
+    listening socket. Raises StoreError if the store can't be opened."""
     if reactor is None:
         from twisted.internet import reactor
     log_twisted_errors()
@@ -447,7 +450,7 @@
 
 
 def start_or_stop(start: Callable[[], None], reactor: Any) -> None:
-    """Calls `start`, and stops the reactor if it raises: the process would run without serving anyone."""
+    """Calls `start`, and stops the reactor if it raises: the process would otherwise run without serving."""
     try:
         start()
     except Exception:
--- a/frostport/cli/__init__.py
+++ b/frostport/cli/__init__.py
@@ -24,6 +24,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
+    """Returns the parser; `command` is None if no command is given, which `main` handles as `serve`."""
     parser = argparse.ArgumentParser(prog="frostport", description="A call agent before a few lobby servers.")
     commands = parser.add_subparsers(dest="command", metavar="COMMAND")
     serve = commands.add_parser("serve", help="run the call agent (the default)")
@@ -64,7 +65,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs one command; returns the exit code."""
+    """Runs one command; returns the exit code: 2 if a configuration, contract or store is invalid."""
     options = build_parser().parse_args(arguments)
     if options.command == "version":
         print(f"frostport {VERSION}")
--- a/frostport/cli/store.py
+++ b/frostport/cli/store.py
@@ -1,5 +1,6 @@
-"""The `store` sub-commands. An error is one line on standard error with file and offset, and exit status
-2.
+"""The `store` sub-commands.
+
+An error is reported as one line on standard error, with file and offset, and exit status 2.
 """
 
 from __future__ import annotations
--- a/frostport/config.py
+++ b/frostport/config.py
@@ -160,7 +160,9 @@
 
 
 def read_contracts(record: Mapping[str, Any], folder: pathlib.Path) -> tuple[Contract, ...]:
-    """Reads the contracts of all files that the configuration names. A class may have only one contract."""
+    """Reads the contracts of all files that the configuration names. Raises ConfigError.
+
+    A class of call may have only one contract."""
     found: dict[str, Contract] = {}
     for index, file in enumerate(read_field(record, "contracts", list, [])):
         for contract in load_contracts(folder / read_name(f"contracts.{index}", file)):
@@ -223,12 +225,14 @@
 
 
 def read_startup(record: Mapping[str, Any]) -> StartupSettings:
+    """Reads the `startup` part. Raises ConfigError."""
     from frostport import config_startup  # imported only if configured
 
     return config_startup.read(record)
 
 
 def read_fleet(record: Mapping[str, Any], folder: pathlib.Path) -> FleetConfig:
+    """Reads the `fleet` part; relative paths in it start from `folder`. Raises ConfigError."""
     from frostport import config_fleet  # imported only if configured
 
     return config_fleet.read(record, folder)
@@ -258,9 +262,12 @@
 
 
 def read_admission(record: Mapping[str, Any], sockets: int) -> Limits:
+    """Reads the `admission` part, which may be missing. Raises ConfigError.
+
+    The limit of client connections follows from `sockets`, the descriptors of the process."""
     prefix = "admission."
     section = read_field(record, "admission", dict, {})
-    known = {
+    field_names = {
         *COUNT_FIELDS,
         *RATE_FIELDS,
         *TIME_FIELDS,
@@ -271,45 +278,46 @@
         "remembered",
     }
     for entry in section:
-        if entry not in known:
+        if entry not in field_names:
             raise ConfigError(f"{prefix}{entry}: unknown field")
-    chosen: dict[str, Any] = {"connections": max_client_connections(sockets)}
+    values: dict[str, Any] = {"connections": max_client_connections(sockets)}
     for entry in section:
         if entry in COUNT_FIELDS:
-            chosen[entry] = read_field(section, entry, int, 0, prefix)
-            if chosen[entry] < 0:
+            values[entry] = read_field(section, entry, int, 0, prefix)
+            if values[entry] < 0:
                 raise ConfigError(f"{prefix}{entry}: must not be negative")
         elif entry in RATE_FIELDS or entry in TIME_FIELDS:
             value = section[entry]
             if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
                 raise ConfigError(f"{prefix}{entry}: not a number of at least 0")
-            chosen[entry] = float(value)
+            values[entry] = float(value)
         elif entry in PREFIX_FIELDS:
-            chosen[entry] = read_field(section, entry, int, 0, prefix)
-            if not 1 <= chosen[entry] <= PREFIX_FIELDS[entry]:
+            values[entry] = read_field(section, entry, int, 0, prefix)
+            if not 1 <= values[entry] <= PREFIX_FIELDS[entry]:
                 raise ConfigError(f"{prefix}{entry}: must be 1 to {PREFIX_FIELDS[entry]}")
     if "ladder" in section:
-        chosen["ladder"] = read_field(section, "ladder", bool, False, prefix)
+        values["ladder"] = read_field(section, "ladder", bool, False, prefix)
     if "remembered" in section:
-        chosen["remembered"] = read_field(section, "remembered", int, 0, prefix)
-        if not 16 <= chosen["remembered"] <= 10_000_000:
+        values["remembered"] = read_field(section, "remembered", int, 0, prefix)
+        if not 16 <= values["remembered"] <= 10_000_000:
             raise ConfigError(f"{prefix}remembered: must be 16 to 10000000")
-    chosen["known"] = tuple(
+    values["known"] = tuple(
         parse_network(f"{prefix}known.{index}", entry)
         for index, entry in enumerate(read_field(section, "known", list, [], prefix))
     )
-    chosen["shared"] = tuple(
+    values["shared"] = tuple(
         read_shared(f"{prefix}shared.{index}", entry)
         for index, entry in enumerate(read_field(section, "shared", list, [], prefix))
     )
-    if chosen.get("reserve", 0) >= chosen["connections"]:
+    if values.get("reserve", 0) >= values["connections"]:
         raise ConfigError(
-            f"{prefix}reserve: leaves nothing of {chosen['connections']} connections to unknown clients"
+            f"{prefix}reserve: leaves nothing of {values['connections']} connections to unknown clients"
         )
-    return Limits(**chosen)
+    return Limits(**values)
 
 
 def parse_network(field_path: str, value: object) -> Network:
+    """Parses an IPv4 or IPv6 address or network; one with host bits set is invalid. Raises ConfigError."""
     try:
         return ipaddress.ip_network(str(value) if isinstance(value, str) else "", strict=True)
     except ValueError as problem:
@@ -317,6 +325,7 @@
 
 
 def read_shared(field_path: str, entry: object) -> Shared:
+    """Reads an entry of `admission.shared`: a network, and how many clients share it. Raises ConfigError."""
     if not isinstance(entry, dict) or set(entry) != {"network", "clients"}:
         raise ConfigError(f"{field_path}: not an object with network and clients")
     clients = read_field(entry, "clients", int, 0, f"{field_path}.")
@@ -336,34 +345,36 @@
 
 
 def read_store(record: Mapping[str, Any], folder: pathlib.Path) -> StoreConfig:
+    """Reads the `store` part; a relative path in it starts from `folder`. Raises ConfigError."""
     prefix = "store."
     section = read_field(record, "store", dict, {})
-    known = {item.name for item in dataclasses.fields(StoreConfig)}
+    field_names = {item.name for item in dataclasses.fields(StoreConfig)}
     for entry in section:
-        if entry not in known:
+        if entry not in field_names:
             raise ConfigError(f"{prefix}{entry}: unknown field")
     path = folder / read_name(f"{prefix}path", section.get("path"))
-    chosen: dict[str, Any] = {}
+    values: dict[str, Any] = {}
     for entry, choices in STORE_CHOICES.items():
         if entry in section:
             if section[entry] not in choices:
                 raise ConfigError(f"{prefix}{entry}: must be one of {', '.join(choices)}")
-            chosen[entry] = section[entry]
+            values[entry] = section[entry]
     for entry in ("interval_ms", "stall_ms"):
         if entry in section:
-            chosen[entry] = read_positive_ms(section, entry, 0.0, prefix)
+            values[entry] = read_positive_ms(section, entry, 0.0, prefix)
     for entry, (minimum, maximum) in STORE_SIZES.items():
         if entry in section:
-            chosen[entry] = read_field(section, entry, int, 0, prefix)
-            if not minimum <= chosen[entry] <= maximum:
+            values[entry] = read_field(section, entry, int, 0, prefix)
+            if not minimum <= values[entry] <= maximum:
                 raise ConfigError(f"{prefix}{entry}: must be {minimum} to {maximum}")
-    store = StoreConfig(path, **chosen)
+    store = StoreConfig(path, **values)
     if store.record_bytes > store.segment_bytes:
         raise ConfigError(f"{prefix}record_bytes: larger than segment_bytes")
     return store
 
 
 def read_diameter(record: Mapping[str, Any], call_settings: api.Settings) -> DiameterConfig:
+    """Reads the `diameter` part. Raises ConfigError, also if `call_settings` are not supported with it."""
     prefix = "diameter."
     section = read_field(record, "diameter", dict, {})
     if call_settings.probes or call_settings.peers:
@@ -400,12 +411,14 @@
 
 
 def read_name(field_path: str, value: object) -> str:
+    """Returns `value` unchanged if it is a non-empty string. Raises ConfigError otherwise."""
     if not isinstance(value, str) or not value:
         raise ConfigError(f"{field_path}: no name")
     return value
 
 
 def read_positive_ms(record: Mapping[str, Any], entry: str, default: float, prefix: str) -> float:
+    """Returns the time in ms in a field, or `default` if the field is missing. Raises ConfigError."""
     value = record.get(entry, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or value <= 0:
         raise ConfigError(f"{prefix}{entry}: not a number above 0")
@@ -413,6 +426,9 @@
 
 
 def read_field(record: Mapping[str, Any], name: str, kind: type, default: Any, prefix: str = "") -> Any:
+    """Returns a field's value, or `default` if the field is missing. Raises ConfigError on another type.
+
+    A boolean is not taken for an integer. `prefix` is the path of `record` in the file, with a dot."""
     value = record.get(name, default)
     if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
         raise ConfigError(f"{prefix}{name}: not of type {kind.__name__}")
@@ -420,6 +436,7 @@
 
 
 def read_address(record: Mapping[str, Any], name: str, optional: bool = False) -> str | None:
+    """Returns the `host:port` in a field; None if it is missing and `optional`. Raises ConfigError."""
     value = record.get(name)
     if value is None and optional:
         return None
--- a/frostport/config_fleet.py
+++ b/frostport/config_fleet.py
@@ -21,20 +21,23 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """The configuration of an agent as a member of a fleet."""
+    """The configuration of an agent as a member of a fleet.
+
+    `fleet` and `agent` are names. `gossip` and `link` are the addresses (host:port) on which this agent
+    listens for datagrams and for connections of other members."""
 
     fleet: str
     agent: str
-    key: bytes
+    key: bytes  # authenticates datagrams; the same at all members
     gossip: str
     link: str
-    path: pathlib.Path
+    path: pathlib.Path  # folder of the store that holds the agreed log
     zone: str = ""
-    seeds: tuple[str, ...] = ()
-    voters: tuple[str, ...] = ()
-    record: pathlib.Path | None = None
-    routes: Mapping[str, str] = field(default_factory=dict)
-    compact_after: int = 10_000
+    seeds: tuple[str, ...] = ()  # gossip addresses of members to join by
+    voters: tuple[str, ...] = ()  # initial voters of the agreed log, by name
+    record: pathlib.Path | None = None  # file of the event record
+    routes: Mapping[str, str] = field(default_factory=dict)  # other addresses by which addresses are reached
+    compact_after: int = 10_000  # applied entries after which the agreed log is replaced by a snapshot
     work: Limits | None = None  # limits of maintenance
 
 
@@ -55,6 +58,7 @@
 
 
 def read_limited_name(field_path: str, value: object, max_bytes: int) -> str:
+    """Returns a non-empty string of at most `max_bytes` in UTF-8. Raises ConfigError."""
     text = base.read_name(field_path, value)
     if len(text.encode()) > max_bytes:
         raise ConfigError(f"{field_path}: over {max_bytes} bytes")
@@ -118,7 +122,9 @@
 
 
 def read_work_limits(section: Mapping[str, Any]) -> Limits | None:
-    """Reads the limits of maintenance (`fleet.work`); those not given keep their defaults."""
+    """Reads the limits of maintenance (`fleet.work`); those not given keep their defaults.
+
+    Raises ConfigError."""
     prefix = "fleet.work."
     if "work" not in section:
         return None
--- a/frostport/config_startup.py
+++ b/frostport/config_startup.py
@@ -25,11 +25,12 @@
     "wave": 0.0,
     "wave_ms": 0.0,
 }
+# Fields without an entry may be up to 1e9.
 MAXIMUMS = {"agents": 100_000, "wave": 1.0, "feeders": 100}
 
 
 def read(record: Mapping[str, Any]) -> Settings:
-    """Returns the settings. Raises ConfigError, which names the field."""
+    """Returns the settings of a cold start. Raises ConfigError, which names the field."""
     prefix = "startup."
     section = base.read_field(record, "startup", dict, {})
     if "diameter" in record:
--- a/frostport/deadline_runner.py
+++ b/frostport/deadline_runner.py
@@ -25,6 +25,7 @@
         deadlines.on_first_changed = self.schedule
 
     def schedule(self) -> None:
+        """Sets the timer anew; `Deadlines` calls this whenever its first deadline changes."""
         if self._call is not None and self._call.active():
             self._call.cancel()
         at = self.deadlines.next_ms()
--- a/frostport/diameter_side.py
+++ b/frostport/diameter_side.py
@@ -56,9 +56,11 @@
         agent.broker.route = self.route
 
     def factory(self) -> Factory:
+        """Returns the factory of client connections."""
         return FrontFactory(self.front.build)
 
     def start(self) -> None:
+        """Starts connecting to the servers."""
         self.route.start()
 
     def reload(self, config: Config) -> None:
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -50,7 +50,7 @@
 FRAME_RAFT = "raft"
 FRAME_VIEW = "view"
 FRAME_VIEW_REPLY = "view-back"
-CAUGHT_UP_KEY = "whole"  # key of the record that says that the log was complete here once
+CAUGHT_UP_KEY = "whole"  # key of the record which says that this agent has once caught up with the log
 MAX_APPLIED_PER_ITERATION = 100  # entries; applying them takes about 3 ms
 NEVER = float("inf")
 _raft_decoder: msgspec.msgpack.Decoder[RaftMessage] = msgspec.msgpack.Decoder(RaftMessage)
@@ -170,7 +170,7 @@
         self._handle_swim(swim_events.InfoChanged(msgspec.structs.replace(self.swim.info, phase=phase)))
 
     def snapshot(self) -> dict[str, Any]:
-        """The state and counters as plain data."""
+        """Returns the state and counters as JSON-compatible data."""
         return {
             "membership": self.swim.snapshot(),
             "agreed": self.raft.status(),
@@ -371,6 +371,7 @@
     # The operators' port
 
     def operations(self) -> Mapping[str, Operation]:
+        """The commands for the membership, the agreed log and maintenance."""
         return {
             "members": self._show_members,
             "agreed": self._show_agreed,
--- a/frostport/fleet_maintenance.py
+++ b/frostport/fleet_maintenance.py
@@ -45,9 +45,9 @@
 
 KIND = "work"
 ACTION_PHASES: dict[type, Phase] = {Drain: Phase.DRAINING, TurnAway: Phase.TURNING_AWAY}
-RECONCILE_MS = 250.0  # interval of reconciliation; applied commands cause one as well
-LOAD_WINDOW_MS = 60_000.0  # the load is the mean rate over this
-READ_RETRY_MS = 2000.0  # an unanswered read of the leader's commit index is repeated after this
+RECONCILE_MS = 250.0  # between two reconciliations; an applied command causes one as well
+LOAD_WINDOW_MS = 60_000.0  # the load is the mean rate over this time
+READ_RETRY_MS = 2000.0  # an unanswered read of the leader's commit index is repeated after this time
 
 
 class MaintainedAgent(Protocol):
@@ -93,7 +93,7 @@
         self.agent = agent
 
     def start(self) -> None:
-        """Starts catching up with the log, and reconciling; called once `attach` has been."""
+        """Starts catching up with the log, and reconciling; called after `attach`."""
         fleet = self.fleet
         self.reconciler = Reconciler(
             fleet.config.agent, fleet.swim.info.life, fleet.clock.now(), fleet.caught_up, fleet.config.work
@@ -138,20 +138,22 @@
             self._reconcile_timer = self.fleet.deadlines.set(self.fleet.clock.now(), self.reconcile)
 
     def reconcile(self) -> None:
-        """Performs what the plan requires of this agent, until nothing more changes here; does not nest."""
+        """Performs what the plan requires of this agent, until nothing more changes here.
+
+        Returns at once if called while it runs."""
         self._reconcile_timer = None
         if self.agent is None or self._reconciling:
             return
         self._reconciling = True
-        again = True
+        changed = True
         try:
-            while again:
-                again = False
+            while changed:
+                changed = False
                 plan = self.effective_plan
                 for action in self.reconciler.reconcile(
                     plan, self._local_state(plan), self.fleet.clock.now()
                 ):
-                    again = self._perform(action) or again
+                    changed = self._perform(action) or changed
         finally:
             self._reconciling = False
         self.agent.broker.budgets.set_scale(self.effective_plan.budget_factor(), self.agent.clock.now())
@@ -260,8 +262,8 @@
             self.answer_samples.append((now, total))
         while now - self.answer_samples[0][0] > LOAD_WINDOW_MS:
             self.answer_samples.popleft()
-        since, before = self.answer_samples[0]
-        return (total - before) * 1000.0 / max(1000.0, now - since)
+        first_at, first_total = self.answer_samples[0]
+        return (total - first_total) * 1000.0 / max(1000.0, now - first_at)
 
     # The operators' port
 
--- a/frostport/handover.py
+++ b/frostport/handover.py
@@ -117,9 +117,10 @@
         self.deferred: dict[tuple[str, str], Continuation] = {}
 
     def initial_values(self) -> dict[str, bytes]:
-        """Returns the records to start with: its own, and those of the predecessor except for its calls.
+        """Returns the records to start with: all of `next`, and some of the predecessor.
 
-        Of the predecessor that is the server list, the bus position, the peers and the node."""
+        The latter are the server list, the bus position, the peers and the node; its calls are not among
+        them."""
         own = self.engine.take_recovered()
         tables = (records.SERVER, records.PEER, records.BUS, records.NODE)
         theirs = {key: value for key, value in self.follower.values.items() if key.startswith(tables)}
@@ -242,14 +243,14 @@
         committer.worker.submit(job)
 
     def _takeover_failed(self, why: str) -> None:
-        """The merge has failed: this process goes on writing to `next`, and tries again."""
+        """Called when the merge has failed: this process continues to write to `next`, and tries again."""
         log.error("store: handover failed, trying again: %s", why)
         self.main_folder.unlock()
         self.state = HandoverState.FOLLOWING
         self._schedule_poll()
 
     def _taken_over(self, old_values: dict[str, bytes]) -> None:
-        """This process owns the store: takes over the calls and pending releases of the predecessor."""
+        """Takes over the predecessor's calls and pending releases, now as the store's owner."""
         for key in old_values.keys() | self.follower.values.keys():
             if old_values.get(key) != self.follower.values.get(key):
                 self._apply(key, old_values.get(key))
--- a/frostport/observe/record.py
+++ b/frostport/observe/record.py
@@ -19,9 +19,11 @@
 class Record(Protocol):
     """A sink for events, each a name with fields."""
 
-    def event(self, name: str, **fields: Any) -> None: ...
+    def event(self, name: str, **fields: Any) -> None:
+        """Records an event; never blocks, as the event loop calls it."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Records what is still queued; the caller records no event after that."""
 
 
 class NullRecord:
@@ -59,17 +61,17 @@
         self._queue = _BoundedQueueHandler(queue.Queue(MAX_QUEUED_LINES))
         self._listener = logging.handlers.QueueListener(self._queue.queue, self._file)
         self._listener.start()
-        plain = logging.Logger(f"frostport.record.{path.name}", logging.INFO)
-        plain.addHandler(self._queue)
+        queueing_logger = logging.Logger(f"frostport.record.{path.name}", logging.INFO)
+        queueing_logger.addHandler(self._queue)
 
-        def stamped(logger: Any, method: str, event: Any) -> Any:
+        def add_stamp(logger: Any, method: str, event: Any) -> Any:
             return {**stamp(), **event}
 
         self._log = structlog.wrap_logger(
-            plain,
+            queueing_logger,
             wrapper_class=structlog.BoundLogger,
             context_class=dict,
-            processors=[stamped, structlog.processors.JSONRenderer(sort_keys=True)],
+            processors=[add_stamp, structlog.processors.JSONRenderer(sort_keys=True)],
         )
 
     @property
@@ -78,6 +80,7 @@
         return self._queue.lost
 
     def event(self, name: str, **fields: Any) -> None:
+        """Queues a line for the writing thread; drops it if the queue is full."""
         self._log.info(name, **fields)
 
     def close(self) -> None:
--- a/frostport/observe/statsd.py
+++ b/frostport/observe/statsd.py
@@ -78,7 +78,7 @@
             self.conf_invalid += 1
 
     def lines(self) -> list[str]:
-        """Returns the metrics in statsd text, one a line."""
+        """Returns the metrics as statsd text, one a line: counters by class, then those of the process."""
         lines = [
             f"{PREFIX}.{name}.{call_class}:{count}|c"
             for name, counts in self.counts.items()
--- a/frostport/operations.py
+++ b/frostport/operations.py
@@ -11,7 +11,10 @@
 
 
 class Operations:
-    """Implements the commands; `operations` returns them by name."""
+    """Implements the commands; `operations` returns them by name.
+
+    A handler takes the text after the command's name and returns the lines of the answer. OperatorError
+    becomes an answer with `ERR`."""
 
     def __init__(self, broker: Broker, lifecycle: Lifecycle, metrics: StatsdMetrics) -> None:
         self.broker = broker
@@ -37,6 +40,7 @@
         return self._set_rotation(rest, False, "in rotation")
 
     def _set_rotation(self, rest: str, out: bool, result: str) -> list[str]:
+        """`rest`: the name or dial address of a listed server."""
         name = parse_argument(rest)
         if not out and (why := self.held_reason(self.broker.rotation.find_address(name) or name)):
             raise OperatorError(why)
@@ -46,6 +50,7 @@
         return [f"OK {address} {result}"]
 
     def show_stat(self, _: str) -> list[str]:
+        """Returns the metrics as statsd text, with a last line `END`."""
         return [*self.metrics.lines(), "END"]
 
     def ready(self, _: str) -> list[str]:
@@ -53,6 +58,7 @@
         return ["OK yes"] if self.lifecycle.is_ready() else [f"ERR no: {phase.value}"]
 
     def drain(self, _: str) -> list[str]:
+        """Starts a drain; the agent enters DRAINED by itself once nothing is left to drain."""
         phase = self.lifecycle.phase
         if phase in DRAINING_PHASES:
             return [f"OK {phase.value} already"]
@@ -62,6 +68,7 @@
         return ["OK draining"]
 
     def resume(self, _: str) -> list[str]:
+        """Ends a drain, unless a maintenance ticket holds this agent out of service."""
         phase = self.lifecycle.phase
         if phase is Phase.SERVING:
             return ["OK serving already"]
--- a/frostport/platform_side.py
+++ b/frostport/platform_side.py
@@ -27,7 +27,7 @@
     from frostport.state.records import Standing
     from frostport.state.recovery import Restored
 
-CONNECT_TIMEOUT_MS = 500.0  # unless the settings give one
+CONNECT_TIMEOUT_MS = 500.0  # default, if the settings give none
 
 
 class AgentParts(Protocol):
@@ -41,7 +41,8 @@
     clock: Clock
 
     @property
-    def connect(self) -> Any: ...
+    def connect(self) -> Any:
+        """See `Agent.connect`."""
 
 
 class PlatformSide:
@@ -62,9 +63,11 @@
         self.bus = EventBus(self.server_list, config.bus, agent.connect, random.Random(config.seed))
 
     def factory(self) -> Factory:
+        """Returns the factory of client connections."""
         return FrontFactory(self.front.build)
 
     def start(self) -> None:
+        """Opens the port for peers, loads the configured server list, and connects to servers and bus."""
         agent = self.agent
         config = self.agent.config
         if config.peer_listen:
@@ -77,6 +80,7 @@
         self.bus.start()
 
     def reload(self, config: Config) -> None:
+        """Applies the address of the bus, which is the only setting reloaded here."""
         self.bus.change_address(config.bus)
 
     def restore(self, restored: Restored) -> None:
--- a/frostport/startup/feed.py
+++ b/frostport/startup/feed.py
@@ -143,7 +143,7 @@
         self.sees_half = False  # the membership shows at least half of the fleet
         self._feeder_order: list[str] = []  # feeders, best first, of this zone and then of the others
         self.is_feeder = False  # this agent is a feeder of its zone
-        self.dialer_count = 1  # agents that may dial the service as feeders, rightly or by a partial view
+        self.dialer_count = 1  # agents that may dial the service as feeders; more while views are partial
         self.source = ""  # the agent that this one is subscribed to; "": none
         self.connected = self.dialing = False  # to the service
         # When the service last sent something, to this agent or to one on the way here.
@@ -248,12 +248,12 @@
         """Retains an event that is new in the list, and sends it to the subscribers."""
         if offset <= self.offset:
             return
-        before = self.offset
+        previous_offset = self.offset
         self.offset = offset
         self.events.append((offset, line))
         while len(self.events) > MAX_RETAINED_EVENTS:
             self.base_offset = self.events.popleft()[0]
-        update = self._build_update(before, (line,), now)
+        update = self._build_update(previous_offset, (line,), now)
         actions += [Send(name, update) for name in self.subscribers]
 
     def _build_update(self, after_offset: int, events: tuple[bytes, ...], now: float) -> FeedUpdate:
@@ -323,7 +323,7 @@
     # Where this agent gets the list from
 
     def _set_role(self, role: Role, source: str, now: float, actions: list[Action]) -> None:
-        before = self.role
+        previous_role = self.role
         self.role = role
         if self.source and self.source != source and self.source in self.zones:
             actions.append(Send(self.source, Unsubscribe()))
@@ -338,7 +338,7 @@
         elif not dials_service and (self.connected or self.dialing):
             self.connected = self.dialing = False
             actions.append(Disconnect())
-        if before is not role:
+        if previous_role is not role:
             self._send_heartbeat(now, actions)  # subscribers learn of the change at once
 
     def _subscribe(self, name: str, now: float, actions: list[Action]) -> None:
--- a/frostport/startup/pacing.py
+++ b/frostport/startup/pacing.py
@@ -109,6 +109,7 @@
         target.due_at = -math.inf
 
     def forget(self, name: str) -> None:
+        """Drops the state of a target that has left the server list."""
         self.targets.pop(name, None)
 
     # Pressure: a target that refuses, closes at once or answers slowly gets a wider window
--- a/frostport/startup/readiness.py
+++ b/frostport/startup/readiness.py
@@ -11,9 +11,9 @@
 class StartProgress:
     """Counts of servers and agents as this agent sees them."""
 
-    callable_servers: int  # on the list, and may be called
-    answering_servers: int  # of the chosen ones, those that have answered
-    chosen_servers: int  # that this agent connects to at first
+    callable_servers: int  # on the list and ready for calls
+    answering_servers: int  # of the chosen ones
+    chosen_servers: int  # to which this agent connects before a call needs them
     prepared: int = 0  # other agents
     serving: int = 0  # other agents
     members: int = 1  # agents in the membership, this one included
@@ -25,7 +25,7 @@
     def __init__(self, settings: Settings, now_ms: float) -> None:
         self.settings = settings
         self.started_at = now_ms
-        self.prepared_at: float | None = None  # since when only the other agents are waited for
+        self.prepared_at: float | None = None  # when it began to wait for other agents only
         self.waits_for = "a list of servers"
         self.ready = False
 
--- a/frostport/startup/settings.py
+++ b/frostport/startup/settings.py
@@ -29,5 +29,5 @@
     wave_ms: float = 5_000.0  # longest time that a prepared agent waits for that share
 
 
-MAX_PRESSURE = 4.0  # factor by which the usual dial window is stretched at the most
+MAX_PRESSURE = 4.0  # largest factor by which the dial window of a target is stretched
 PRESSURE_HALF_LIFE_MS = 5_000.0
--- a/frostport/startup_coordinator.py
+++ b/frostport/startup_coordinator.py
@@ -20,7 +20,7 @@
 from frostport.core.deadlines import Deadlines
 from frostport.core.dial_policy import LIST_SERVICE, DialPolicy
 from frostport.core.lifecycle import Lifecycle, Phase
-from frostport.interface import Lifecycle as Listing
+from frostport.interface import Lifecycle as ServerLifecycle
 from frostport.membership.messages import State
 from frostport.net.jsonl import BadLineError, Message
 from frostport.net.operator import Operation
@@ -100,6 +100,7 @@
 
     @property
     def ready(self) -> bool:
+        """Whether this agent may serve; stays true once it is."""
         return self.readiness.ready
 
     @property
@@ -207,7 +208,7 @@
     def _apply_events(self, events: tuple[bytes, ...]) -> None:
         """Applies events of another agent to the list.
 
-        An event that can't be read is tried twice, since the list skips it at the second time."""
+        An event that can't be read is tried twice, because the list skips it on the second attempt."""
         server_list = self._attached_agent.side.server_list
         for line in events:
             for _ in range(2):
@@ -248,7 +249,7 @@
                 "born_ms": server.started_ms,
             }
             for server, dial in server_list.entries.values()
-            if server.state is not Listing.GONE
+            if server.state is not ServerLifecycle.GONE
         ]
         return orjson.dumps(
             {
@@ -321,12 +322,12 @@
         for removed in self.chosen_from - listed:
             self.pacer.forget(removed)
         self.chosen_from = listed
-        before = self.chosen
+        previously_chosen = self.chosen
         agents = [] if self.feed is None else [*self.feed.zones, self.name]
         self.chosen &= listed
         if len(self.chosen) < min(self.settings.servers, len(listed)):
             self.chosen = initial_servers(sorted(listed), self.name, agents, self.settings.servers)
-        for host in sorted(self.chosen - before):
+        for host in sorted(self.chosen - previously_chosen):
             if not servers[host].connections:
                 servers[host].schedule_dial(self.pacer.schedule_first(host, self.monotonic.now()))
 
@@ -344,7 +345,9 @@
         )
         members = list(self.fleet.swim.table.active()) if self.fleet is not None else []
         phases = [member.info.phase for member in members]
-        listed = sum(server.state is Listing.READY for server, _ in agent.side.server_list.entries.values())
+        listed = sum(
+            server.state is ServerLifecycle.READY for server, _ in agent.side.server_list.entries.values()
+        )
         progress = StartProgress(
             listed,
             answering,
@@ -353,10 +356,10 @@
             phases.count(Phase.SERVING.value),
             len(members) + 1,
         )
-        before = self.readiness.prepared_at
+        prepared_before = self.readiness.prepared_at
         ready = self.readiness.update(progress, now)
         if self.fleet is not None:
-            if before is None and self.readiness.prepared_at is not None and not ready:
+            if prepared_before is None and self.readiness.prepared_at is not None and not ready:
                 self.fleet.announce_phase(PREPARED)
             if ready:
                 self.fleet.record.event("able", waited_ms=round(now - self.readiness.started_at))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("kind", [CALL_RECORDS, BUDGET_RECORDS, BUS_RECORDS], ids=["calls", "budgets", "bus"])
-def test_the_rule_is_associative_commutative_and_idempotent(kind: list[records.Record]) -> None:
+def test_the_merge_rule_is_associative_commutative_and_idempotent(kind: list[records.Record]) -> None:
     preferred = merge.preferred
     for one, two, three in itertools.product(kind, repeat=3):
         assert preferred(one, one) is one
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -170,11 +170,11 @@
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_door(name: str) -> None:
+def test_commands_of_the_operators_port(name: str) -> None:
     play(SCENARIOS[name], with_operator_port())
 
 
-class Upgraded(World):
+class UpgradedWorld(World):
     """A world whose agent inherits a listening socket from the platform."""
 
     def make_agent(self) -> Any:
@@ -187,7 +187,7 @@
         return agent
 
 
-HANDOVER = {
+HANDOVER_SCENARIOS = {
     "on SIGTERM the predecessor stops accepting at once, serves its calls, and ends": SET_UP
     + """
         send c2 ECHO 1 rc=0
@@ -225,9 +225,9 @@
 }
 
 
-@pytest.mark.parametrize("name", HANDOVER)
+@pytest.mark.parametrize("name", HANDOVER_SCENARIOS)
 def test_handover(name: str) -> None:
-    world: Any = play(HANDOVER[name], with_operator_port(), Upgraded)
+    world: Any = play(HANDOVER_SCENARIOS[name], with_operator_port(), UpgradedWorld)
     assert world.reactor.adopted is not None
     # The flag belongs to the shared socket; Twisted's accept must not block.
     assert not os.get_blocking(world.held.fileno())
@@ -238,11 +238,11 @@
 def operator_port() -> tuple[OperatorPort, ManualClock, Deadlines]:
     clock = ManualClock(0.0)
     deadlines = Deadlines()
-    calls: dict[str, Operation] = {
+    operations: dict[str, Operation] = {
         "ready": lambda rest: ["OK yes"],
         "disable-server": lambda rest: [f"OK {operator.parse_argument(rest)}"],
     }
-    return OperatorPort(calls, clock, deadlines), clock, deadlines
+    return OperatorPort(operations, clock, deadlines), clock, deadlines
 
 
 class Caller:
@@ -304,7 +304,7 @@
         (b"show-everything", b"ERR unknown call 'show-everything'; calls: disable-server ready\n"),
     ],
 )
-def test_calls_and_their_errors(line: bytes, answer: bytes) -> None:
+def test_commands_and_their_errors(line: bytes, answer: bytes) -> None:
     port, _, _ = operator_port()
     caller = Caller(port)
     caller.protocol.dataReceived(line + b"\n")
@@ -380,7 +380,7 @@
         jsonschema.validate(with_operator_port(operator="nowhere"), SCHEMA)
 
 
-ROTATION = {
+ROTATION_SCENARIOS = {
     "a server taken out gets nothing new after the grace, and calls again once put back": f"""
         operator disable-server h0 => OK h0 out of rotation
         operator disable-server {{"id": "10.0.0.1:1"}} => OK h0 out of rotation
@@ -402,9 +402,9 @@
 }
 
 
-@pytest.mark.parametrize("name", ROTATION)
+@pytest.mark.parametrize("name", ROTATION_SCENARIOS)
 def test_rotation(name: str) -> None:
-    play(ROTATION[name], with_operator_port())
+    play(ROTATION_SCENARIOS[name], with_operator_port())
 
 
 def test_a_server_out_of_rotation_is_unhealthy() -> None:
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -53,9 +53,9 @@
 def assert_not_overloaded(site: SimulatedSite, since: float = 0.0) -> None:
     """Asserts that no target collapsed, and that none accepted too many connections within 100 ms."""
     assert site.collapsed() == []
-    for name, party in site.endpoints.items():
+    for name, endpoint in site.endpoints.items():
         limit = 10 if name == LIST_SERVICE else 25
-        assert max_in_window([at for at in party.accepted_at if at >= since]) <= limit, name
+        assert max_in_window([at for at in endpoint.accepted_at if at >= since]) <= limit, name
 
 
 def assert_event_reaches_all(site: SimulatedSite, within_ms: float = DRAIN_GRACE_MS) -> None:
@@ -76,12 +76,12 @@
 
 def service_and_servers_return(site: SimulatedSite) -> None:
     wait_until_all_serve(site, 20_000.0)
-    for party in site.endpoints.values():
-        party.go_down()
+    for endpoint in site.endpoints.values():
+        endpoint.go_down()
     site.run(10_000.0)
     began = site.now
-    for party in site.endpoints.values():
-        party.come_up()
+    for endpoint in site.endpoints.values():
+        endpoint.come_up()
     site.run(max(20_000.0, 100.0 * site.count))  # paced at 80 dials a second, after backoff has grown
     assert_not_overloaded(site, began)
     assert all(set(site.servers) <= agent.connected.keys() for agent in site.agents.values())
