--- a/frostport/deadline_runner.py
+++ b/frostport/deadline_runner.py
@@ -18,11 +18,14 @@
     """Keeps one reactor timer set to the first deadline."""
 
     def __init__(self, reactor: Any, clock: Clock, deadlines: Deadlines) -> None:
-        self.reactor, self.clock, self.deadlines = reactor, clock, deadlines
+        self.reactor = reactor
+        self.clock = clock
+        self.deadlines = deadlines
         self._call: Any = None
         deadlines.on_first_changed = self.schedule
 
     def schedule(self) -> None:
+        """Sets the timer anew; `Deadlines` calls this whenever its first deadline changes."""
         if self._call is not None and self._call.active():
             self._call.cancel()
         at = self.deadlines.next_ms()
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -47,8 +47,10 @@
 
 log = logging.getLogger("frostport.fleet")
 
-FRAME_RAFT, FRAME_VIEW, FRAME_VIEW_REPLY = "raft", "view", "view-back"
-CAUGHT_UP_KEY = "whole"  # key of the record that says that the log was complete here once
+FRAME_RAFT = "raft"
+FRAME_VIEW = "view"
+FRAME_VIEW_REPLY = "view-back"
+CAUGHT_UP_KEY = "whole"  # key of the record which says that this agent has once caught up with the log
 MAX_APPLIED_PER_ITERATION = 100  # entries; applying them takes about 3 ms
 NEVER = float("inf")
 _raft_decoder: msgspec.msgpack.Decoder[RaftMessage] = msgspec.msgpack.Decoder(RaftMessage)
@@ -69,8 +71,11 @@
     ) -> None:
         """`is_upgrade`: this process takes over from one of the same name. `on_refused` is called with the
         reason if another process of this name is alive. Raises StoreError."""
-        self.config, self.reactor, self.on_refused = config, reactor, on_refused
-        self.clock, self.deadlines = MonotonicClock(), Deadlines()
+        self.config = config
+        self.reactor = reactor
+        self.on_refused = on_refused
+        self.clock = MonotonicClock()
+        self.deadlines = Deadlines()
         self.deadline_runner = DeadlineRunner(reactor, self.clock, self.deadlines)
         rng = random.Random(secrets.randbits(64))
         incarnation = int(time.time() * 1000.0)
@@ -165,7 +170,7 @@
         self._handle_swim(swim_events.InfoChanged(msgspec.structs.replace(self.swim.info, phase=phase)))
 
     def snapshot(self) -> dict[str, Any]:
-        """The state and counters as plain data."""
+        """Returns the state and counters as JSON-compatible data."""
         return {
             "membership": self.swim.snapshot(),
             "agreed": self.raft.status(),
@@ -333,7 +338,8 @@
 
     def _perform_deferred(self) -> None:
         if self.committer.state is committer.State.OPEN:
-            outputs, self.deferred_outputs = self.deferred_outputs, []
+            outputs = self.deferred_outputs
+            self.deferred_outputs = []
             for out in outputs:
                 self._perform(out)
 
@@ -365,6 +371,7 @@
     # The operators' port
 
     def operations(self) -> Mapping[str, Operation]:
+        """The commands for the membership, the agreed log and maintenance."""
         return {
             "members": self._show_members,
             "agreed": self._show_agreed,
--- a/frostport/fleet_maintenance.py
+++ b/frostport/fleet_maintenance.py
@@ -45,9 +45,9 @@
 
 KIND = "work"
 ACTION_PHASES: dict[type, Phase] = {Drain: Phase.DRAINING, TurnAway: Phase.TURNING_AWAY}
-RECONCILE_MS = 250.0  # interval of reconciliation; applied commands cause one as well
-LOAD_WINDOW_MS = 60_000.0  # the load is the mean rate over this
-READ_RETRY_MS = 2000.0  # an unanswered read of the leader's commit index is repeated after this
+RECONCILE_MS = 250.0  # between two reconciliations; an applied command causes one as well
+LOAD_WINDOW_MS = 60_000.0  # the load is the mean rate over this time
+READ_RETRY_MS = 2000.0  # an unanswered read of the leader's commit index is repeated after this time
 
 
 class MaintainedAgent(Protocol):
@@ -73,7 +73,8 @@
 
     def __init__(self, fleet: Fleet, records: Mapping[str, bytes]) -> None:
         """`records`: the log's records on disk, by key. Raises BadLogError, msgspec.MsgspecError."""
-        self.fleet, self.plan = fleet, Plan()
+        self.fleet = fleet
+        self.plan = Plan()
         register_plan(fleet.state_machine, self.plan, self._apply)
         self.disk_plan: Plan | None = plan_from_disk(records)  # None once caught up
         self.ticket_states: dict[int, TicketState] = {}
@@ -92,7 +93,7 @@
         self.agent = agent
 
     def start(self) -> None:
-        """Starts catching up with the log, and reconciling; called once `attach` has been."""
+        """Starts catching up with the log, and reconciling; called after `attach`."""
         fleet = self.fleet
         self.reconciler = Reconciler(
             fleet.config.agent, fleet.swim.info.life, fleet.clock.now(), fleet.caught_up, fleet.config.work
@@ -120,10 +121,8 @@
 
     def _apply(self, entry: Entry, command: commands.Command) -> None:
         self.plan.apply(entry.index, entry.term, command)
-        previous, self.ticket_states = (
-            self.ticket_states,
-            {ticket.number: ticket.state for ticket in self.plan.tickets},
-        )
+        previous = self.ticket_states
+        self.ticket_states = {ticket.number: ticket.state for ticket in self.plan.tickets}
         for ticket in self.plan.tickets:
             if previous.get(ticket.number) is not ticket.state:
                 log.info("work: %s %s: %s", ticket.name, ticket.state.value, self.plan.explain(ticket))
@@ -139,19 +138,22 @@
             self._reconcile_timer = self.fleet.deadlines.set(self.fleet.clock.now(), self.reconcile)
 
     def reconcile(self) -> None:
-        """Performs what the plan requires of this agent, until nothing more changes here; does not nest."""
+        """Performs what the plan requires of this agent, until nothing more changes here.
+
+        Returns at once if called while it runs."""
         self._reconcile_timer = None
         if self.agent is None or self._reconciling:
             return
-        self._reconciling, again = True, True
+        self._reconciling = True
+        changed = True
         try:
-            while again:
-                again = False
+            while changed:
+                changed = False
                 plan = self.effective_plan
                 for action in self.reconciler.reconcile(
                     plan, self._local_state(plan), self.fleet.clock.now()
                 ):
-                    again = self._perform(action) or again
+                    changed = self._perform(action) or changed
         finally:
             self._reconciling = False
         self.agent.broker.budgets.set_scale(self.effective_plan.budget_factor(), self.agent.clock.now())
@@ -189,9 +191,12 @@
     # Local state
 
     def _local_state(self, plan: Plan) -> LocalState:
-        agent, fleet = self.agent, self.fleet
+        agent = self.agent
+        fleet = self.fleet
         assert agent is not None
-        rotation, rules, now = agent.broker.rotation, agent.broker.rules, agent.clock.now()
+        rotation = agent.broker.rotation
+        rules = agent.broker.rules
+        now = agent.clock.now()
         for server in self.reconciler.held_out & rotation.last_records.keys() - rotation.disabled:
             agent.broker.set_rotation(server, True)  # it had left the server list, and is listed again
         calls_by_server: dict[str, int] = {}
@@ -250,14 +255,15 @@
     def _calls_per_second(self) -> float:
         """The rate of calls answered here, over `LOAD_WINDOW_MS`."""
         assert self.agent is not None
-        now, counts = self.fleet.clock.now(), self.agent.metrics.counts
+        now = self.fleet.clock.now()
+        counts = self.agent.metrics.counts
         total = sum(sum(counts[name].values()) for name in ("answered", "deferred", "errored"))
         if not self.answer_samples or now - self.answer_samples[-1][0] >= 1000.0:
             self.answer_samples.append((now, total))
         while now - self.answer_samples[0][0] > LOAD_WINDOW_MS:
             self.answer_samples.popleft()
-        since, before = self.answer_samples[0]
-        return (total - before) * 1000.0 / max(1000.0, now - since)
+        first_at, first_total = self.answer_samples[0]
+        return (total - first_total) * 1000.0 / max(1000.0, now - first_at)
 
     # The operators' port
 
@@ -296,7 +302,9 @@
 
 def plan_from_disk(records: Mapping[str, bytes]) -> Plan:
     """The plan after all entries on disk, committed or not: this agent may have acted on any of them."""
-    plan, state_machine, stored_log = Plan(), StateMachine(), Log(records)
+    plan = Plan()
+    state_machine = StateMachine()
+    stored_log = Log(records)
     register_plan(state_machine, plan, lambda entry, command: plan.apply(entry.index, entry.term, command))
     applier = Applier(state_machine, stored_log.snapshot_meta.index, stored_log.snapshot)
     applier.add(stored_log.entries, ())
--- a/frostport/handover.py
+++ b/frostport/handover.py
@@ -99,11 +99,9 @@
 
     def __init__(self, path: pathlib.Path, limits: Limits) -> None:
         """Raises LockedError if a third process is already taking over; StoreError, OSError."""
-        self.limits, self.main_folder, self.next_folder = (
-            limits,
-            DiskFolder(path),
-            DiskFolder(path / NEXT_FOLDER),
-        )
+        self.limits = limits
+        self.main_folder = DiskFolder(path)
+        self.next_folder = DiskFolder(path / NEXT_FOLDER)
         self.engine = Engine.open(self.next_folder, limits)  # of the store in `next`
         try:
             self.follower = Follower(self.main_folder)
@@ -119,9 +117,10 @@
         self.deferred: dict[tuple[str, str], Continuation] = {}
 
     def initial_values(self) -> dict[str, bytes]:
-        """Returns the records to start with: its own, and those of the predecessor except for its calls.
+        """Returns the records to start with: all of `next`, and some of the predecessor.
 
-        Of the predecessor that is the server list, the bus position, the peers and the node."""
+        The latter are the server list, the bus position, the peers and the node; its calls are not among
+        them."""
         own = self.engine.take_recovered()
         tables = (records.SERVER, records.PEER, records.BUS, records.NODE)
         theirs = {key: value for key, value in self.follower.values.items() if key.startswith(tables)}
@@ -129,7 +128,8 @@
 
     def attach(self, agent: AgentWithStore, durability: Durability) -> None:
         """Starts to follow the predecessor; called once calls can be restored, before any port is open."""
-        self.agent, self.durability = agent, durability
+        self.agent = agent
+        self.durability = durability
         assert durability.recorder is not None
         durability.recorder.handover = self
         self.adopted.update(durability.restored.over)  # ended according to records of an earlier process
@@ -193,7 +193,8 @@
     def _apply(self, key: str, value: bytes | None) -> None:
         if not key.startswith(CALL):
             return
-        broker, call = self.agent.broker, key.removeprefix(CALL)
+        broker = self.agent.broker
+        call = key.removeprefix(CALL)
         record = None if value is None else records.decode(key, value)[2]
         self.pending_in_predecessor.discard(call)
         request = broker.find_request(call)
@@ -242,19 +243,21 @@
         committer.worker.submit(job)
 
     def _takeover_failed(self, why: str) -> None:
-        """The merge has failed: this process goes on writing to `next`, and tries again."""
+        """Called when the merge has failed: this process continues to write to `next`, and tries again."""
         log.error("store: handover failed, trying again: %s", why)
         self.main_folder.unlock()
         self.state = HandoverState.FOLLOWING
         self._schedule_poll()
 
     def _taken_over(self, old_values: dict[str, bytes]) -> None:
-        """This process owns the store: takes over the calls and pending releases of the predecessor."""
+        """Takes over the predecessor's calls and pending releases, now as the store's owner."""
         for key in old_values.keys() | self.follower.values.keys():
             if old_values.get(key) != self.follower.values.get(key):
                 self._apply(key, old_values.get(key))
         self.state = HandoverState.DONE
-        agent, broker, now = self.agent, self.agent.broker, self.agent.clock.now()
+        agent = self.agent
+        broker = self.agent.broker
+        now = self.agent.clock.now()
         unfinished = {}
         for key, value in old_values.items():
             call = records.split_key(key)[1].rpartition(records.KEY_SEPARATOR)[2]
--- a/frostport/startup/feed.py
+++ b/frostport/startup/feed.py
@@ -131,7 +131,10 @@
     """One agent's part in the distribution. `offset`: the last event of the list that it starts with."""
 
     def __init__(self, name: str, zone: str, offset: int, settings: Settings, now_ms: float) -> None:
-        self.name, self.zone, self.settings, self.started_at = name, zone, settings, now_ms
+        self.name = name
+        self.zone = zone
+        self.settings = settings
+        self.started_at = now_ms
         self.role = Role.WAITING
         self.offset = offset  # of the last event in the list
         self.events: deque[tuple[int, bytes]] = deque()  # the retained ones, by offset
@@ -140,7 +143,7 @@
         self.sees_half = False  # the membership shows at least half of the fleet
         self._feeder_order: list[str] = []  # feeders, best first, of this zone and then of the others
         self.is_feeder = False  # this agent is a feeder of its zone
-        self.dialer_count = 1  # agents that may dial the service as feeders, rightly or by a partial view
+        self.dialer_count = 1  # agents that may dial the service as feeders; more while views are partial
         self.source = ""  # the agent that this one is subscribed to; "": none
         self.connected = self.dialing = False  # to the service
         # When the service last sent something, to this agent or to one on the way here.
@@ -195,7 +198,9 @@
                     self.source = ""
                 self._update_source(now, actions)
             case ServiceConnected():
-                self.connected, self.dialing, self.service_last_received_at = True, False, now
+                self.connected = True
+                self.dialing = False
+                self.service_last_received_at = now
                 self._send_heartbeat(now, actions)
             case ServiceDisconnected():
                 self.connected = False
@@ -243,11 +248,12 @@
         """Retains an event that is new in the list, and sends it to the subscribers."""
         if offset <= self.offset:
             return
-        before, self.offset = self.offset, offset
+        previous_offset = self.offset
+        self.offset = offset
         self.events.append((offset, line))
         while len(self.events) > MAX_RETAINED_EVENTS:
             self.base_offset = self.events.popleft()[0]
-        update = self._build_update(before, (line,), now)
+        update = self._build_update(previous_offset, (line,), now)
         actions += [Send(name, update) for name in self.subscribers]
 
     def _build_update(self, after_offset: int, events: tuple[bytes, ...], now: float) -> FeedUpdate:
@@ -295,10 +301,8 @@
             # An update that arrives late must not make the list look older than it is known to be (S3).
             self.service_last_received_at = max(self.service_last_received_at, now - update.age_ms)
         if sender == self.source:
-            self.source_last_received_at, self.source_lacks_service = (
-                now,
-                update.dials_service and not update.connected,
-            )
+            self.source_last_received_at = now
+            self.source_lacks_service = update.dials_service and not update.connected
         current = 0.0 <= update.age_ms < self.settings.old_ms
         if update.after_offset > self.offset:
             self._subscribe(sender, now, actions)  # events are missing, or the sender is ahead
@@ -319,10 +323,12 @@
     # Where this agent gets the list from
 
     def _set_role(self, role: Role, source: str, now: float, actions: list[Action]) -> None:
-        before, self.role = self.role, role
+        previous_role = self.role
+        self.role = role
         if self.source and self.source != source and self.source in self.zones:
             actions.append(Send(self.source, Unsubscribe()))
-        self.source, self.current_updates = source, 0
+        self.source = source
+        self.current_updates = 0
         if source:
             self.source_last_received_at = now
         dials_service = role in (Role.FEEDING, Role.STANDALONE)
@@ -332,7 +338,7 @@
         elif not dials_service and (self.connected or self.dialing):
             self.connected = self.dialing = False
             actions.append(Disconnect())
-        if before is not role:
+        if previous_role is not role:
             self._send_heartbeat(now, actions)  # subscribers learn of the change at once
 
     def _subscribe(self, name: str, now: float, actions: list[Action]) -> None:
--- a/frostport/startup_coordinator.py
+++ b/frostport/startup_coordinator.py
@@ -20,7 +20,7 @@
 from frostport.core.deadlines import Deadlines
 from frostport.core.dial_policy import LIST_SERVICE, DialPolicy
 from frostport.core.lifecycle import Lifecycle, Phase
-from frostport.interface import Lifecycle as Listing
+from frostport.interface import Lifecycle as ServerLifecycle
 from frostport.membership.messages import State
 from frostport.net.jsonl import BadLineError, Message
 from frostport.net.operator import Operation
@@ -62,7 +62,9 @@
     It also decides when the bus and the lobby servers may dial."""
 
     def __init__(self, settings: Settings, name: str, fleet: Fleet | None) -> None:
-        self.settings, self.name, self.fleet = settings, name, fleet
+        self.settings = settings
+        self.name = name
+        self.fleet = fleet
         self.monotonic = MonotonicClock()
         now = self.monotonic.now()
         self.pacer = DialPacer(settings, random.Random(secrets.randbits(64)), now)
@@ -71,7 +73,8 @@
         self.chosen: set[str] = set()  # lobby servers connected to before a call needs them
         self.chosen_from: frozenset[str] = frozenset()  # the servers that they were chosen from
         self.connected_at: dict[str, float] = {}  # by target
-        self.members_changed, self.logged_role = True, ""
+        self.members_changed = True
+        self.logged_role = ""
         self.serving_agents = 0  # count last passed to the broker, this agent included
         self.update_sender = ""  # the agent whose message is being handled; "": the list service
         self.agent: StartingAgent | None = None
@@ -97,6 +100,7 @@
 
     @property
     def ready(self) -> bool:
+        """Whether this agent may serve; stays true once it is."""
         return self.readiness.ready
 
     @property
@@ -115,7 +119,8 @@
             self._attached_agent.deadlines.set(self._attached_agent.clock.now(), self._update_members)
 
     def _tick(self) -> None:
-        agent, now = self._attached_agent, self.monotonic.now()
+        agent = self._attached_agent
+        now = self.monotonic.now()
         if self.members_changed:
             self._update_members()
         if self.feed is not None:
@@ -154,12 +159,14 @@
         if feed is None:
             return
         bus = self._attached_agent.side.bus
-        last, encoded = None, b""  # a message to several agents is encoded once
+        last = None  # a message to several agents is encoded once
+        encoded = b""
         for action in feed.handle(event, self.monotonic.now()):
             match action:
                 case feeding.Send(to, message):
                     if message is not last:
-                        last, encoded = message, _encoder.encode(message)
+                        last = message
+                        encoded = _encoder.encode(message)
                     self._send(to, encoded)
                 case feeding.SendSnapshot(to):
                     age = feed.age_ms(self.monotonic.now())
@@ -201,7 +208,7 @@
     def _apply_events(self, events: tuple[bytes, ...]) -> None:
         """Applies events of another agent to the list.
 
-        An event that can't be read is tried twice, since the list skips it at the second time."""
+        An event that can't be read is tried twice, because the list skips it on the second attempt."""
         server_list = self._attached_agent.side.server_list
         for line in events:
             for _ in range(2):
@@ -242,7 +249,7 @@
                 "born_ms": server.started_ms,
             }
             for server, dial in server_list.entries.values()
-            if server.state is not Listing.GONE
+            if server.state is not ServerLifecycle.GONE
         ]
         return orjson.dumps(
             {
@@ -314,12 +321,13 @@
             return
         for removed in self.chosen_from - listed:
             self.pacer.forget(removed)
-        self.chosen_from, before = listed, self.chosen
+        self.chosen_from = listed
+        previously_chosen = self.chosen
         agents = [] if self.feed is None else [*self.feed.zones, self.name]
         self.chosen &= listed
         if len(self.chosen) < min(self.settings.servers, len(listed)):
             self.chosen = initial_servers(sorted(listed), self.name, agents, self.settings.servers)
-        for host in sorted(self.chosen - before):
+        for host in sorted(self.chosen - previously_chosen):
             if not servers[host].connections:
                 servers[host].schedule_dial(self.pacer.schedule_first(host, self.monotonic.now()))
 
@@ -337,7 +345,9 @@
         )
         members = list(self.fleet.swim.table.active()) if self.fleet is not None else []
         phases = [member.info.phase for member in members]
-        listed = sum(server.state is Listing.READY for server, _ in agent.side.server_list.entries.values())
+        listed = sum(
+            server.state is ServerLifecycle.READY for server, _ in agent.side.server_list.entries.values()
+        )
         progress = StartProgress(
             listed,
             answering,
@@ -346,10 +356,10 @@
             phases.count(Phase.SERVING.value),
             len(members) + 1,
         )
-        before = self.readiness.prepared_at
+        prepared_before = self.readiness.prepared_at
         ready = self.readiness.update(progress, now)
         if self.fleet is not None:
-            if before is None and self.readiness.prepared_at is not None and not ready:
+            if prepared_before is None and self.readiness.prepared_at is not None and not ready:
                 self.fleet.announce_phase(PREPARED)
             if ready:
                 self.fleet.record.event("able", waited_ms=round(now - self.readiness.started_at))
@@ -362,7 +372,8 @@
         return {"startup": self._describe}
 
     def _describe(self, _: str) -> list[str]:
-        now, feed = self.monotonic.now(), self.feed
+        now = self.monotonic.now()
+        feed = self.feed
         waits = "able to serve" if self.ready else f"waits for {self.readiness.waits_for}"
         rate = f"{self.settings.dials_a_second:g} dials a second"
         lines = [f"OK {waits}; {self.pacer.fleet_size} agents share {rate}"]
