--- a/benchmarks/acceptance.py
+++ b/benchmarks/acceptance.py
@@ -45,7 +45,8 @@
 
 def table_row(name: str, report: dict[str, Any]) -> str:
     """One line of the table: the run, its score, and each requirement that could fail."""
-    row, seen = report["row"], report["real"]["seen"]
+    row = report["row"]
+    seen = report["real"]["seen"]
     broken = ", ".join(f"{rule} {count}" for rule, count in row["rules"].items() if count)
     restarts = seen["restart_s"]
     slow = sum(seconds > SLOW_RESTART_S for seconds in restarts)
--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -16,9 +16,13 @@
 from frostport import interface as api
 from frostport.decide import Controller
 
-AIM_MS, DEADLINE_MS, COLD_MS, COLD_FROM = 1500.0, 9000.0, 15_000.0, 0.34
-# The network's round trip, the longest wait in a server's queue, the time until a stopped server refuses.
-ROUND_TRIP_MS, MAX_QUEUE_MS, CONNECT_REFUSAL_MS = 10.0, 1200.0, 5.0
+AIM_MS = 1500.0
+DEADLINE_MS = 9000.0
+COLD_MS = 15_000.0
+COLD_FROM = 0.34
+ROUND_TRIP_MS = 10.0
+MAX_QUEUE_MS = 1200.0  # the longest wait in a server's queue
+CONNECT_REFUSAL_MS = 5.0  # until a stopped server has refused a connection
 CALL_DURATION_MS = (500.0, 3000.0)
 RELEASE_GUARD_MS = 500.0
 START_MS = 100_000.0  # large enough that servers started before it are not cold at the beginning
@@ -28,7 +32,8 @@
     """The simulated time in ms, and the callbacks that are due."""
 
     def __init__(self) -> None:
-        self.now, self.sequence = START_MS, 0
+        self.now = START_MS
+        self.sequence = 0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
 
     def call_after(self, delay_ms: float, callback: Callable[[], None]) -> None:
@@ -45,13 +50,19 @@
     """One processor that handles `rate` set-ups per second when it is warm."""
 
     def __init__(self, clock: SimulatedClock, name: str, number: int, rate: float) -> None:
-        self.clock, self.name, self.number, self.rate = clock, name, number, rate
-        self.up, self.started, self.free_at = True, -math.inf, 0.0
+        self.clock = clock
+        self.name = name
+        self.number = number
+        self.rate = rate
+        self.up = True
+        self.started = -math.inf
+        self.free_at = 0.0
         self.incarnation = 0
 
     def set_up(self, on_end: Callable[[api.Outcome, float], None]) -> None:
         """Sends a set-up; calls `on_end` with its outcome and a stated wait in ms, which is always 0."""
-        now, incarnation = self.clock.now, self.incarnation
+        now = self.clock.now
+        incarnation = self.incarnation
         if not self.up:
             self.clock.call_after(CONNECT_REFUSAL_MS, lambda: on_end(api.Outcome.CONNECT_FAILED, 0.0))
             return
@@ -67,17 +78,22 @@
         )
 
     def go_down(self) -> None:
-        self.up, self.incarnation = False, self.incarnation + 1
+        self.up = False
+        self.incarnation += 1
 
     def come_up(self) -> None:
-        self.up, self.started, self.free_at = True, self.clock.now, self.clock.now
+        self.up = True
+        self.started = self.clock.now
+        self.free_at = self.clock.now
 
 
 class SimulatedAgent:
     """One call agent: its controller, its calls and the servers that are disabled at it."""
 
     def __init__(self, simulation: CallSimulation, name: str, number: int) -> None:
-        self.simulation, self.name, self.number = simulation, name, number
+        self.simulation = simulation
+        self.name = name
+        self.number = number
         self.phase = "serving"
         self.disabled: set[str] = set()
         self.calls: dict[str, tuple[float, int]] = {}  # unanswered: arrival time, attempts so far
@@ -153,7 +169,8 @@
         self.handle(api.CallArrived(call, "race", "", DEADLINE_MS, -1), self.simulation.clock.now)
 
     def send(self, call: str, server: str) -> None:
-        sent, incarnation = self.simulation.clock.now, self.incarnation
+        sent = self.simulation.clock.now
+        incarnation = self.incarnation
         since, number = self.calls[call]
         self.calls[call] = (since, number + 1)
         self.calls_by_server[server] += 1
@@ -195,7 +212,9 @@
         seed: int,
     ) -> None:
         """`server_rate` is each server's capacity in set-ups per second."""
-        self.clock, self.rng, self.calls_per_second = clock, random.Random(seed), calls_per_second
+        self.clock = clock
+        self.rng = random.Random(seed)
+        self.calls_per_second = calls_per_second
         self.servers = {
             f"h{number}": SimulatedLobbyServer(clock, f"h{number}", number, server_rate)
             for number in range(servers)
@@ -211,7 +230,8 @@
     def arrive(self) -> None:
         self.clock.call_after(self.rng.expovariate(self.calls_per_second) * 1000.0, self.arrive)
         self.call_count += 1
-        call, second = f"c{self.call_count}", int(self.clock.now / 1000.0)
+        call = f"c{self.call_count}"
+        second = int(self.clock.now / 1000.0)
         while len(self.arrived_by_second) <= second:
             self.arrived_by_second.append(0)
             self.in_time_by_second.append(0)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -43,12 +43,15 @@
         network.run(2_000.0)
         converged_ms = 2_000.0 + run_until_agreed(network)
         network.run(30_000.0)
-        started, killed = network.now, {"a17", "a42", "a77"}
+        started = network.now
+        killed = {"a17", "a42", "a77"}
         for address in killed:
             network.stop(address)
         network.run(180_000.0)
         found: dict[str, list[float]] = {name: [] for name in killed}
-        suspected, declared_dead, reports = 0, 0, set[tuple[str, str]]()
+        suspected = 0
+        declared_dead = 0
+        reports = set[tuple[str, str]]()
         for when, observer, change in network.member_changes:
             if when < started or change.state not in (State.SUSPECT, State.DEAD):
                 continue
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -36,8 +36,12 @@
 )
 from standins.fleet import Environment, Rig
 
-LOG_DELAY_MS, RECONCILE_MS, SLOW_RECONCILE_MS = 50.0, 1000.0, 10_000.0
-REPAIR_MS, MAX_AGENT_DRAIN_MS, MAX_SERVER_DRAIN_MS = 60_000.0, 10_000.0, 30_000.0
+LOG_DELAY_MS = 50.0
+RECONCILE_MS = 1000.0
+SLOW_RECONCILE_MS = 10_000.0
+REPAIR_MS = 60_000.0
+MAX_AGENT_DRAIN_MS = 10_000.0
+MAX_SERVER_DRAIN_MS = 30_000.0
 
 
 class MaintenanceSimulation(SimulatedClock):
@@ -47,7 +51,8 @@
     def __init__(self, agents: int, servers: int, limits: Limits, seed: int, zones: int = 10) -> None:
         super().__init__()
         self.rng = random.Random(seed)
-        self.plan, self.index = Plan(), 0
+        self.plan = Plan()
+        self.index = 0
         self.command_count = self.command_bytes = 0
         self.apply_times_s: list[float] = []
         zones = min(zones, agents)
@@ -146,7 +151,9 @@
     """Runs a plan over all machines; compares its duration with a lower bound and prints its cost."""
     fleet = MaintenanceSimulation(agents, servers, limits, seed)
     fleet.run(lambda: fleet.now > START_MS + 10_000.0)
-    started, count_before, bytes_before = fleet.now, fleet.command_count, fleet.command_bytes
+    started = fleet.now
+    count_before = fleet.command_count
+    bytes_before = fleet.command_bytes
     names = (*fleet.members, *fleet.servers)
     fleet.propose(MaintenanceRequest(names, "", "a new kernel", "ann", 600_000.0))
     fleet.run(
@@ -181,7 +188,9 @@
 
 # Calls in time while machines are out: by the plan, by hand one after the other, or all at once
 
-AGENT_COUNT, SERVER_COUNT, SERVER_RATE = 24, 3, 30.0  # the rate is set-ups per second of one lobby server
+AGENT_COUNT = 24
+SERVER_COUNT = 3
+SERVER_RATE = 30.0  # set-ups per second of one lobby server
 SHORT_REPAIR_MS = 10_000.0  # the repair of one machine in this part
 COMMAND_MS = 1000.0  # an operator's command at one agent's operators' port
 # An operator cannot see which calls are open at a server, so after disabling it everywhere waits this long.
--- a/standins/cold_site.py
+++ b/standins/cold_site.py
@@ -23,7 +23,9 @@
     """One processor with a work queue. It collapses, for good, once more than `max_queue_ms` is queued."""
 
     def __init__(self, max_queue_ms: float) -> None:
-        self.max_queue_ms, self.free_at, self.collapsed = max_queue_ms, 0.0, False
+        self.max_queue_ms = max_queue_ms
+        self.free_at = 0.0
+        self.collapsed = False
         self.longest_queue_ms = 0.0  # the longest that the queue has been
 
     def add_work(self, cost_ms: float) -> float:
@@ -43,7 +45,8 @@
     """
 
     def __init__(self, handshake_ms: float, max_queue_ms: float) -> None:
-        self.processor, self.handshake_ms = Processor(max_queue_ms), handshake_ms
+        self.processor = Processor(max_queue_ms)
+        self.handshake_ms = handshake_ms
         self.accepted_at: list[float] = []
         self.connections: set[asyncio.StreamWriter] = set()
         self.handler_tasks: set[asyncio.Task[None]] = set()
--- a/standins/cold_start_simulation.py
+++ b/standins/cold_start_simulation.py
@@ -24,8 +24,10 @@
 from frostport.startup.settings import Settings
 
 NETWORK_DELAY_MS = (0.5, 5.0)
-TICK_MS, HEARTBEAT_MS = 250.0, 1000.0
-SILENCE_TIMEOUT_MS, CONNECT_MS = 2500.0, 1000.0
+TICK_MS = 250.0
+HEARTBEAT_MS = 1000.0
+SILENCE_TIMEOUT_MS = 2500.0
+CONNECT_MS = 1000.0
 MEMBERSHIP_DELAY_MS = (200.0, 4000.0)  # from an agent's start until another agent knows of it
 
 
@@ -36,9 +38,14 @@
     def __init__(
         self, site: SimulatedSite, name: str, handshake_ms: float, work_ms: float, max_queue_ms: float
     ) -> None:
-        self.site, self.name = site, name
-        self.handshake_ms, self.work_ms, self.max_queue_ms = handshake_ms, work_ms, max_queue_ms
-        self.up, self.silent, self.collapsed = True, False, False
+        self.site = site
+        self.name = name
+        self.handshake_ms = handshake_ms
+        self.work_ms = work_ms
+        self.max_queue_ms = max_queue_ms
+        self.up = True
+        self.silent = False
+        self.collapsed = False
         self.free_at = -math.inf
         self.accepted_at: list[float] = []
         self.connections: dict[str, int] = {}  # number of the open connection, by agent
@@ -66,19 +73,18 @@
     def come_up(self) -> None:
         """Comes up again with an empty queue, unless it has collapsed."""
         if not self.collapsed:
-            self.up, self.free_at = True, self.site.now
+            self.up = True
+            self.free_at = self.site.now
 
 
 class SimulatedAgent:
     """One call agent: its objects of `frostport.startup`, and the connections that the network code keeps."""
 
     def __init__(self, site: SimulatedSite, name: str, offset: int, skew_ms: float) -> None:
-        self.site, self.name, self.clock_offset_ms, self.incarnation = (
-            site,
-            name,
-            skew_ms,
-            site.rng.getrandbits(32),
-        )
+        self.site = site
+        self.name = name
+        self.clock_offset_ms = skew_ms
+        self.incarnation = site.rng.getrandbits(32)
         self.zone = site.zone(name)
         now = self.clock()
         self.pacer = DialPacer(site.settings, random.Random(site.rng.random()), now)
@@ -254,7 +260,8 @@
 
     def _update_members(self) -> bool:
         """Processes the births and deaths that this agent knows of by now; returns whether there were any."""
-        site, before = self.site, (self.births, self.deaths)
+        site = self.site
+        before = (self.births, self.deaths)
         while (
             self.births < len(site.births)
             and site.births[self.births][0] <= site.now - self.membership_delay_ms
@@ -301,11 +308,14 @@
         at its start, `skew_ms` bounds the errors of the agents' clocks. With `eager` the pacing of `startup`
         is disabled, so that all agents dial at once.
         """
-        self.rng, self.now, self.count = random.Random(seed), 1e6, count
+        self.rng = random.Random(seed)
+        self.now = 1e6
+        self.count = count
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.sequence = itertools.count()
         self.settings = settings or Settings(agents=count)
-        self.skew_ms, self.first_offset = skew_ms, offset
+        self.skew_ms = skew_ms
+        self.first_offset = offset
         self.endpoints = {LIST_SERVICE: SimulatedServer(self, LIST_SERVICE, 1.0, ask_ms, max_queue_ms)}
         self.servers = [f"h{number}" for number in range(servers)]
         self.endpoints.update(
@@ -487,7 +497,9 @@
 
 def max_in_window(times: list[float], window_ms: float = 100.0) -> int:
     """The maximum number of these times that lie within one window."""
-    ordered, highest, first = sorted(times), 0, 0
+    ordered = sorted(times)
+    highest = 0
+    first = 0
     for last, when in enumerate(ordered):
         while ordered[first] <= when - window_ms:
             first += 1
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -33,7 +33,9 @@
     """Common base of the relays: the faults of both directions and counters of what was done."""
 
     def __init__(self, name: str, target: tuple[str, int], rng: random.Random) -> None:
-        self.name, self.target, self.rng = name, target, rng
+        self.name = name
+        self.target = target
+        self.rng = rng
         self.faults = {FORWARD: DirectionFaults(), BACK: DirectionFaults()}
         # Keys: passed, lost, doubled, cut, stalled, reset, refused, delayed, throttled, dead.
         self.counts: Counter[str] = Counter()
--- a/standins/files.py
+++ b/standins/files.py
@@ -24,7 +24,8 @@
     """A file's contents: the durable bytes, the current bytes, and the changes since the last sync."""
 
     def __init__(self, durable: bytes = b"") -> None:
-        self.durable, self.current = durable, bytearray(durable)
+        self.durable = durable
+        self.current = bytearray(durable)
         # Each is a write (offset and data), or a truncation (the new size).
         self.pending: list[tuple[int, bytes] | int] = []
 
@@ -38,7 +39,8 @@
         self.pending.append(size)
 
     def sync(self) -> None:
-        self.durable, self.pending = bytes(self.current), []
+        self.durable = bytes(self.current)
+        self.pending = []
 
     def after_power_loss(self, rng: random.Random) -> Inode:
         """The file as found after a power loss: with none or all of the unsynced changes, a prefix of them of
@@ -67,7 +69,9 @@
     """An open file of a `MemoryFolder`, with the interface of `frostport.store.files.DiskFile`."""
 
     def __init__(self, folder: MemoryFolder, name: str, inode: Inode) -> None:
-        self.folder, self.name, self.inode = folder, name, inode
+        self.folder = folder
+        self.name = name
+        self.inode = inode
 
     def append(self, data: bytes) -> None:
         written_bytes = self.folder.begin_operation("append", self.name)
@@ -115,7 +119,8 @@
         # Unsynced changes of directory entries: old name, new name (None: removed), inode.
         self.renames: list[tuple[str, str | None, Inode | None]] = []
         self.operations = 0
-        self.fails_at_operation, self.error = -1, BaseException
+        self.fails_at_operation = -1
+        self.error = BaseException
         self.persistent = False
         self.locked = False
         self.log: list[str] = []  # each operation and its file
@@ -124,11 +129,9 @@
 
     def fail(self, after: int, make_error: Callable[[], BaseException], persistent: bool = False) -> None:
         """Makes the `after`th operation from now raise; if `persistent`, all following ones as well."""
-        self.fails_at_operation, self._make_error, self.persistent = (
-            self.operations + after,
-            make_error,
-            persistent,
-        )
+        self.fails_at_operation = self.operations + after
+        self._make_error = make_error
+        self.persistent = persistent
 
     def begin_operation(self, what: str, name: str) -> Callable[[int], int] | None:
         """Counts an operation. Returns None if it shall succeed, otherwise a function from the size of its
@@ -198,7 +201,8 @@
     def sync(self) -> None:
         if self.begin_operation("sync", ".") is not None:
             raise self.make_error()
-        self.durable, self.renames = dict(self.inodes), []
+        self.durable = dict(self.inodes)
+        self.renames = []
 
     def lock(self) -> None:
         if self.locked:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -39,7 +39,9 @@
     """
 
     def __init__(self, callers: int = 2) -> None:
-        self.observed, self.list_service, self.callers = Observations(), ListService(), list[Caller]()
+        self.observed = Observations()
+        self.list_service = ListService()
+        self.callers = list[Caller]()
         self.lobbies: list[LobbyServer] = []
         self.callers_per_agent = callers
         self.relays: dict[tuple[str, str], StreamRelay] = {}
@@ -142,11 +144,16 @@
         """`extra_config` adds top-level fields to each agent's configuration, `fleet` fields of its section
         `fleet`."""
         self.extra_config = extra_config or {}
-        self.environment, self.machines = environment, machines or {}
+        self.environment = environment
+        self.machines = machines or {}
         self.addresses_by_agent: dict[str, tuple[dict[str, str], str]] = {}  # see `Environment.add_agent`
-        self.folder, self.rng, self.seed = folder, random.Random(seed), seed
+        self.folder = folder
+        self.rng = random.Random(seed)
+        self.seed = seed
         self.names = [f"n{number}" for number in range(count)]
-        self.voters, self.fleet_options, self.use_relays = self.names[:voters], fleet, relays
+        self.voters = self.names[:voters]
+        self.fleet_options = fleet
+        self.use_relays = relays
         ports = iter(free_ports(4 * count))
         self.ports = {
             name: {what: next(ports) for what in ("listen", "operator", "gossip", "link")}
@@ -350,7 +357,9 @@
             for engine in engines
         ]
         longest = max(logs, key=lambda log: (log.last_term, log.last_index))
-        first, term, entries = longest.last_index + 1, longest.last_term, list(longest.entries)
+        first = longest.last_index + 1
+        term = longest.last_term
+        entries = list(longest.entries)
         for engine, log in zip(engines, logs, strict=True):
             # As a leader does: truncate entries that conflict with the longest log, append the missing ones.
             conflict = next(
--- a/standins/lobby.py
+++ b/standins/lobby.py
@@ -86,10 +86,14 @@
         end_probability: float = 0.0,
         max_call_ms: float = 60.0,
     ) -> None:
-        self.name, self.observed, self.rng = name, observed, rng
-        self.max_answer_ms, self.refusal_probability = max_answer_ms, refusal_probability
+        self.name = name
+        self.observed = observed
+        self.rng = rng
+        self.max_answer_ms = max_answer_ms
+        self.refusal_probability = refusal_probability
         # The share of established calls that it ends by itself, and after how long at most.
-        self.end_probability, self.max_call_ms = end_probability, max_call_ms
+        self.end_probability = end_probability
+        self.max_call_ms = max_call_ms
         self.pending_releases: set[str] = set()  # not confirmed: sent again on each new connection
         self.calls = observed.calls_by_server.setdefault(name, {})
         self.server: asyncio.Server | None = None
@@ -201,12 +205,13 @@
         """`number` makes its tags unique; `port` gives the agent's port for each connection."""
         self.address = address  # the local address of its connections
         self.connection_count = 0
-        self.number, self.observed, self.rng, self.port = number, observed, rng, port
-        self.mean_gap_ms, self.max_hold_ms, self.repeat_probability = (
-            mean_gap_ms,
-            max_hold_ms,
-            repeat_probability,
-        )
+        self.number = number
+        self.observed = observed
+        self.rng = rng
+        self.port = port
+        self.mean_gap_ms = mean_gap_ms
+        self.max_hold_ms = max_hold_ms
+        self.repeat_probability = repeat_probability
         self.set_up_count = 0
         # Set-ups without a final answer, with the loop time at which each was sent.
         self.unanswered: dict[str, float] = {}
@@ -266,7 +271,8 @@
             await asyncio.sleep(self.rng.expovariate(1000.0 / self.mean_gap_ms))
 
     def handle(self, message: Message) -> None:
-        call, verb = message["tag"], message["verb"]
+        call = message["tag"]
+        verb = message["verb"]
         loop = asyncio.get_running_loop()
         if verb == "STARTED":
             if call in self.observed.ended_before_answer:
--- a/standins/membership_simulation.py
+++ b/standins/membership_simulation.py
@@ -36,7 +36,9 @@
 
     def __init__(self, count: int, seed: int, settings: Settings | None = None, loss: float = 0.0) -> None:
         """`loss` is the probability that a datagram is lost."""
-        self.rng, self.loss, self.settings = random.Random(seed), loss, settings or Settings()
+        self.rng = random.Random(seed)
+        self.loss = loss
+        self.settings = settings or Settings()
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.sequence = itertools.count()
@@ -128,7 +130,8 @@
 
     def send(self, sender: str, action: Send) -> None:
         data = messages.encode(action.message)
-        self.sent_count, self.sent_bytes = self.sent_count + 1, self.sent_bytes + len(data)
+        self.sent_count += 1
+        self.sent_bytes += len(data)
         self.longest_datagram = max(self.longest_datagram, len(data))
         if self.rng.random() < self.loss or self.cut(sender, action.address):
             return
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -16,7 +16,8 @@
 
 def free_ports(count: int) -> list[int]:
     """Ports of 127.0.0.1 that are free for TCP and for datagrams."""
-    rng, found = random.SystemRandom(), list[int]()
+    rng = random.SystemRandom()
+    found = list[int]()
     while len(found) < count:
         port = rng.randrange(MIN_PORT, MAX_PORT, 2)
         lock = socket.socket()
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -59,7 +59,8 @@
 
     def run(self, ms: float) -> list[api.Action]:
         """Advances the clock, fires the timers that expire, and returns the actions."""
-        end, collected = self.now + ms, []
+        end = self.now + ms
+        collected: list[api.Action] = []
         while self.timers and min(self.timers)[0] <= end:
             due = min(self.timers)
             self.timers.remove(due)
--- a/tests/exploring.py
+++ b/tests/exploring.py
@@ -20,7 +20,8 @@
 
 def explored(first: World, depth: int, max_states: int) -> int:
     """Breadth first, to a depth or until more than `max_states` states are known. Returns their number."""
-    seen, queue = {first.key()}, deque([(pickle.dumps(first), 0)])
+    seen = {first.key()}
+    queue = deque([(pickle.dumps(first), 0)])
     while queue:
         pickled, reached = queue.popleft()
         if reached == depth or len(seen) > max_states:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -43,9 +43,12 @@
 
     def __init__(self, agents: int, rate: float, seed: int) -> None:
         """`rate`: set-ups per second that one warm server can take."""
-        self.rng, self.now, self.sequence = random.Random(seed), 1_000_000.0, 0
+        self.rng = random.Random(seed)
+        self.now = 1_000_000.0
+        self.sequence = 0
         self.scheduled: list[tuple[float, int, Callable[[], None]]] = []
-        self.rate, self.agents = rate, agents
+        self.rate = rate
+        self.agents = agents
         self.started_ms = dict.fromkeys(range(SERVERS), 0.0)
         # By server: time and cost of each request.
         self.received: dict[int, list[tuple[float, float]]] = {number: [] for number in range(SERVERS)}
@@ -151,9 +154,11 @@
 
     def worst_excess(self, number: int) -> float:
         """Returns by how much a cold server's worst window exceeds N plus the allowance for variation."""
-        started, worst = self.started_ms[number], -math.inf
+        started = self.started_ms[number]
+        worst = -math.inf
         received = [(at, cost) for at, cost in self.received[number] if started <= at <= started + COLD_MS]
-        first, total = 0, 0.0
+        first = 0
+        total = 0.0
         for at, cost in received:
             total += cost
             while received[first][0] <= at - FALL_MS:
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -53,7 +53,9 @@
     def lower_end(value: Any) -> float:
         return float(value[0] if isinstance(value, list) else value)
 
-    rules, family, allow = site["rules"], site["fam"], site["allow"]
+    rules = site["rules"]
+    family = site["fam"]
+    allow = site["allow"]
     kind = site["tier"][0]["kind"][0]
     services = [
         {
@@ -91,7 +93,8 @@
 def test_guard_attempts_deadline_and_end_come_from_the_site(path: pathlib.Path) -> None:
     site = tomllib.loads(path.read_text())
     record = {**platform(), "settings": settings(site)}
-    guard, most = site["fam"]["release_ms"], site["allow"]["max_attempts"]
+    guard = site["fam"]["release_ms"]
+    most = site["allow"]["max_attempts"]
     longest = max(part["deadline_ms"] for part in site["class"])
     name = max(site["class"], key=lambda part: part["deadline_ms"])["name"]
     again = f"""
@@ -136,7 +139,8 @@
     site = tomllib.loads(path.read_text())
     record = {**platform(), "settings": settings(site)}
     record["settings"]["caps"] = {**record["settings"]["caps"], "connect-timeout-ms": 60_000.0}
-    grace, name = site["rules"]["drain_grace_ms"], site["class"][0]["name"]
+    grace = site["rules"]["drain_grace_ms"]
+    name = site["class"][0]["name"]
     left = site["class"][0]["deadline_ms"]
     for wait, goes in ((grace - 10, True), (grace + 10, False)):
         if wait >= left:
--- a/trials/agents.py
+++ b/trials/agents.py
@@ -29,7 +29,10 @@
     ) -> None:
         """`defect` names a function of `trials.planted` that each process is started with, empty for none."""
         self.module_arguments = ["trials.planted", defect] if defect else ["frostport"]
-        self.name, self.folder, self.configuration, self.history = name, folder, configuration, history
+        self.name = name
+        self.folder = folder
+        self.configuration = configuration
+        self.history = history
         self.configuration_path = folder / f"{name}.json"
         self.process: asyncio.subprocess.Process | None = None
         self.exit_expected = False  # SIGTERM or SIGKILL was sent to the current process
--- a/trials/client.py
+++ b/trials/client.py
@@ -18,7 +18,8 @@
 from trials.split_writer import SplitWriter
 
 # Causes of a FINISH.
-CANCELLED_CAUSE, NORMAL_CAUSE = 16, 16
+CANCELLED_CAUSE = 16
+NORMAL_CAUSE = 16
 REFUSAL_CAUSES = (34, 42, 102)
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_DELAY_S = 0.05  # between a failed connection attempt and the next one
@@ -59,8 +60,14 @@
         """`diameter`: whether it is a Diameter peer rather than a platform client."""
         self.diameter = diameter
         self.codec: Codec | None = None
-        self.name, self.agent, self.port, self.number = name, agent, port, number
-        self.history, self.rng, self.behaviour, self.call_class = history, rng, behaviour, call_class
+        self.name = name
+        self.agent = agent
+        self.port = port
+        self.number = number
+        self.history = history
+        self.rng = rng
+        self.behaviour = behaviour
+        self.call_class = call_class
         self.transport: Any = None
         self.partial_line = b""
         self.split_writer = SplitWriter()
@@ -107,7 +114,9 @@
     # Connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport, self.partial_line, self.closed_locally = transport, b"", False
+        self.transport = transport
+        self.partial_line = b""
+        self.closed_locally = False
         self.split_writer = SplitWriter()
         if self.diameter:
             self.codec = Codec(self.name, True)
@@ -204,7 +213,8 @@
             self.history.add(Kind.GAVE_UP, self.name, call=tag)
 
     def _message_received(self, message: dict[str, Any]) -> None:
-        tag, verb = str(message["tag"]), message["verb"]
+        tag = str(message["tag"])
+        verb = message["verb"]
         if verb == "STARTED":
             self._call_answered(tag, str(message["blob"]))
         elif verb == "FINISH" and tag in self.unanswered:
--- a/trials/diameter.py
+++ b/trials/diameter.py
@@ -16,7 +16,10 @@
 
 REALM = "here"
 # Causes of a FINISH.
-FULL_CAUSE, REFUSED_CAUSE, FAILED_CAUSE, NORMAL_CAUSE = 34, 42, 41, 16
+FULL_CAUSE = 34
+REFUSED_CAUSE = 42
+FAILED_CAUSE = 41
+NORMAL_CAUSE = 16
 OTHER_ERROR = 5012  # DIAMETER_UNABLE_TO_COMPLY
 
 
@@ -37,7 +40,9 @@
 
     def __init__(self, host: str, is_initiator: bool, state_id: int = 1) -> None:
         """`is_initiator`: whether this peer opened the connection, and so sends the CER."""
-        self._host, self._is_initiator, self._state_id = host, is_initiator, state_id
+        self._host = host
+        self._is_initiator = is_initiator
+        self._state_id = state_id
         self._frames = MessageSplitter()
         self._next_id = 0
         self._requests: dict[tuple[int, str], Message] = {}  # unanswered requests by type (or AS) and session
@@ -134,7 +139,8 @@
     # Credit control, sent
 
     def _encode_message(self, line: dict[str, Any]) -> bytes:
-        call, verb = str(line["tag"]), line["verb"]
+        call = str(line["tag"])
+        verb = line["verb"]
         if verb == "START":
             return self._credit_control(call, avp.INITIAL, line["opts"])
         if verb == "STARTED":
--- a/trials/discovery.py
+++ b/trials/discovery.py
@@ -32,7 +32,8 @@
 
     def __init__(self, history: History, server_ports: dict[str, dict[str, int]]) -> None:
         """`server_ports`: by agent, the port of each server."""
-        self.history, self.server_ports = history, server_ports
+        self.history = history
+        self.server_ports = server_ports
         self.mode = Mode.UP
         self.changes: list[list[dict[str, Any]]] = []
         self.pending_changes: list[list[dict[str, Any]]] = []  # published once the mode allows it
--- a/trials/play.py
+++ b/trials/play.py
@@ -31,7 +31,8 @@
     """
 
     def __init__(self, site: Site, plan: Plan) -> None:
-        self.site, self.plan = site, plan
+        self.site = site
+        self.plan = plan
         self.next_spare = plan.size.servers
         self.faulted: set[str] = set()  # parties under a fault; a further fault for one of them is skipped
         self.idle_connections: list[asyncio.StreamWriter] = []
--- a/trials/server.py
+++ b/trials/server.py
@@ -22,7 +22,10 @@
 from trials.history import History, Kind
 from trials.split_writer import SplitWriter
 
-NORMAL_CAUSE, BUSY_CAUSE, FULL_CAUSE = 16, 17, 34  # causes of a FINISH
+# Causes of a FINISH.
+NORMAL_CAUSE = 16
+BUSY_CAUSE = 17
+FULL_CAUSE = 34
 # Answers written within this time before a disconnect may be unread, so they are resent.
 RESEND_WINDOW_S = 1.0
 RESUME_WRITE_DELAY_S = 0.02  # lets a close by the agent be noticed before held data is written
@@ -76,7 +79,8 @@
     """One connection of an agent."""
 
     def __init__(self, server: Server, agent: str) -> None:
-        self.server, self.agent = server, agent
+        self.server = server
+        self.agent = agent
         self.process = server.process
         self.transport: Any = None
         self.partial_line = b""
@@ -170,7 +174,8 @@
     """A listening port for one agent, which can refuse connections or leave them pending."""
 
     def __init__(self, server: Server, agent: str) -> None:
-        self.server, self.agent = server, agent
+        self.server = server
+        self.agent = agent
         self.socket: socket.socket | None = None
         self.port = free_ports(1)[0]
         self.fillers: list[socket.socket] = []
@@ -183,7 +188,8 @@
         listening.bind(("127.0.0.1", self.port))
         listening.listen(0)
         listening.setblocking(False)
-        self.socket, self.port = listening, int(listening.getsockname()[1])
+        self.socket = listening
+        self.port = int(listening.getsockname()[1])
         self.accept()
 
     def accept(self) -> None:
@@ -249,7 +255,10 @@
         diameter: bool = False,
     ) -> None:
         """`diameter`: whether it is a Diameter peer rather than a lobby server."""
-        self.name, self.history, self.rng, self.behaviour = name, history, rng, behaviour
+        self.name = name
+        self.history = history
+        self.rng = rng
+        self.behaviour = behaviour
         self.process = Process()
         self.diameter = diameter
         self.listeners = {agent: Listener(self, agent) for agent in agents}
@@ -443,7 +452,8 @@
         """Handles one message of an agent; messages to an earlier process are dropped."""
         if link.process is not self.process:
             return
-        tag, process = str(message["tag"]), self.process
+        tag = str(message["tag"])
+        process = self.process
         match message["verb"]:
             case "START":
                 self._set_up_received(link, tag)
--- a/trials/site.py
+++ b/trials/site.py
@@ -101,8 +101,12 @@
         self, folder: pathlib.Path, seed: int, settings: TrialSettings, size: Size, defect: str = ""
     ) -> None:
         """`defect` names a function of `trials.planted` that every agent is started with, empty for none."""
-        self.folder, self.settings, self.size, self.defect = folder, settings, size, defect
-        self.rng, self.history = random.Random(seed), History()
+        self.folder = folder
+        self.settings = settings
+        self.size = size
+        self.defect = defect
+        self.rng = random.Random(seed)
+        self.history = History()
         self.agents: dict[str, AgentProcess] = {}
         self.servers: dict[str, Server] = {}
         self.clients: list[Client] = []
