--- a/benchmarks/acceptance.py
+++ b/benchmarks/acceptance.py
@@ -69,6 +69,7 @@
 
 
 def format_table(folder: pathlib.Path) -> list[str]:
+    """The lines of the table; runs that left output but no report come last."""
     lines = [
         "| day | seed | score | served, and the required share | rule broken or crash "
         "| slow to be ready | sound |",
@@ -84,6 +85,7 @@
 
 
 def main() -> int:
+    """Runs the bench unless `--table` is given; returns 1 if a run failed, 2 if the bench is missing."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -41,6 +41,7 @@
         heapq.heappush(self.events, (self.now + delay_ms, self.sequence, callback))
 
     def run(self, until: Callable[[], bool]) -> None:
+        """Runs callbacks in the order of their time; `until` is checked before each."""
         while not until():
             self.now, _, callback = heapq.heappop(self.events)
             callback()
@@ -78,10 +79,12 @@
         )
 
     def go_down(self) -> None:
+        """Stops the process: unanswered set-ups end as reset, new ones fail to connect."""
         self.up = False
         self.incarnation += 1
 
     def come_up(self) -> None:
+        """Starts a new process, cold and with an empty queue."""
         self.up = True
         self.started = self.clock.now
         self.free_at = self.clock.now
@@ -122,6 +125,7 @@
         self.send_server_list(api.ListKind.PERSISTED)
 
     def busy(self) -> bool:
+        """Whether a call is unanswered, or an attempt or call is open at a server."""
         return bool(self.calls) or any(self.calls_by_server.values())
 
     def send_server_list(self, kind: api.ListKind = api.ListKind.COMPLETE) -> None:
@@ -147,6 +151,7 @@
         )
 
     def handle(self, event: api.Event, now: float) -> None:
+        """Passes an event to the controller and carries out the actions that it returns."""
         incarnation = self.incarnation
         for action in self.controller.handle(event, now):
             match action:
@@ -161,14 +166,17 @@
                     )
 
     def timer_fired(self, incarnation: int, name: str) -> None:
+        """Passes a timer on, unless an earlier incarnation set it."""
         if incarnation == self.incarnation:
             self.handle(api.TimerFired(name), self.simulation.clock.now)
 
     def arrive(self, call: str) -> None:
+        """Takes a call from the load balancer."""
         self.calls[call] = (self.simulation.clock.now, 0)
         self.handle(api.CallArrived(call, "race", "", DEADLINE_MS, -1), self.simulation.clock.now)
 
     def send(self, call: str, server: str) -> None:
+        """Sends an attempt; its outcome is dropped if the agent restarts meanwhile."""
         sent = self.simulation.clock.now
         incarnation = self.incarnation
         since, number = self.calls[call]
@@ -195,6 +203,7 @@
         self.simulation.servers[server].set_up(ended)
 
     def call_over(self, incarnation: int, server: str) -> None:
+        """Counts an attempt or call as no longer open at its server."""
         if self.incarnation == incarnation:
             self.calls_by_server[server] -= 1
 
@@ -228,6 +237,7 @@
         self.arrive()
 
     def arrive(self) -> None:
+        """Schedules the next call; gives this one to a random serving agent, or drops it if none serves."""
         self.clock.call_after(self.rng.expovariate(self.calls_per_second) * 1000.0, self.arrive)
         self.call_count += 1
         call = f"c{self.call_count}"
@@ -242,6 +252,7 @@
             self.rng.choice(serving).arrive(call)
 
     def ended(self, call: str, in_time: bool) -> None:
+        """Counts an answered or failed call in the second in which it arrived."""
         self.in_time_by_second[self.arrival_second.pop(call)] += in_time
 
     def in_time_share(self, first: float, last: float) -> tuple[float, int, float]:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -193,11 +193,11 @@
             for name in rig.voters:
                 await rig.start(name)
 
-            async def has(name: str) -> bool:
+            async def has_all_entries(name: str) -> bool:
                 return int((await rig.log_status(name)).get("count", "0")) > entries
 
             for name in rig.voters:
-                await rig.wait_until(f"{name} has applied its own", lambda name=name: has(name))  # type: ignore[misc]
+                await rig.wait_until(f"{name} has applied its own", lambda name=name: has_all_entries(name))  # type: ignore[misc]
             print(
                 f"catch up by {method}: voters have read and applied {entries} entries of their own "
                 f"{time.time() - started:.1f} s after their start"
@@ -216,7 +216,7 @@
                     await asyncio.sleep(0.005)
 
             tasks = [asyncio.create_task(ask(name)) for name in rig.names]
-            await rig.wait_until("n3 has it all", lambda: has("n3"))
+            await rig.wait_until("n3 has it all", lambda: has_all_entries("n3"))
             elapsed = time.time() - started
             for task in tasks:
                 task.cancel()
@@ -240,6 +240,7 @@
 
 
 async def leaderless() -> None:
+    """Prints how long three fleets each were without a leader after each kind of fault."""
     for fault in ("kill", "stall", "cut"):
         found = [await seconds_without_leader(fault) for _ in range(3)]
         print(f"without a leader after a {fault}: {', '.join(f'{seconds:.1f}' for seconds in found)} s")
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -45,8 +45,8 @@
 
 
 class MaintenanceSimulation(SimulatedClock):
-    """A fleet under maintenance. All agents share one copy of the plan, since the copies of all agents are
-    equal (W1)."""
+    """A fleet under maintenance. All agents share one copy of the plan, since the agreed log makes
+    their copies equal."""
 
     def __init__(self, agents: int, servers: int, limits: Limits, seed: int, zones: int = 10) -> None:
         super().__init__()
@@ -73,11 +73,13 @@
             self.call_after(self.rng.uniform(0.0, RECONCILE_MS), lambda name=name: self.reconcile(name))  # type: ignore[misc]
 
     def propose(self, command: Command) -> None:
+        """Appends a command to the log; all agents apply it after `LOG_DELAY_MS`."""
         self.command_count += 1
         self.command_bytes += len(msgspec.msgpack.encode(command))
         self.call_after(LOG_DELAY_MS, lambda: self.apply(command))
 
     def apply(self, command: Command) -> None:
+        """Applies a command to the plan and starts the repair of each machine that is now out."""
         self.index += 1
         started = time.perf_counter()
         self.plan.apply(self.index, 1, command)
@@ -92,6 +94,7 @@
         self.call_after(REPAIR_MS, lambda: self.propose(Ready(name)))
 
     def reconcile(self, name: str) -> None:
+        """Runs an agent's reconciler once and schedules its next run."""
         # To save simulation time in large fleets, agents that neither lead nor are held out reconcile rarely.
         infrequent = len(self.members) > 50 and name != "a0" and not self.plan.held_out("agent").get(name)
         self.call_after(SLOW_RECONCILE_MS if infrequent else RECONCILE_MS, lambda: self.reconcile(name))
@@ -138,6 +141,7 @@
                 self.empty_at.pop((name, server), None)
 
     def member_statuses(self) -> dict[str, MemberStatus]:
+        """The status of each agent, with `up` updated from the agent's phase."""
         for name, phase in self.phase.items():
             if self.members[name].up is not (phase == "serving"):
                 member = self.members[name]
@@ -249,6 +253,7 @@
                 self.set_disabled(name, server, False)
 
     def set_disabled(self, name: str, server: str, out: bool) -> None:
+        """Disables a server at one agent, or enables it again, and sends the agent the list."""
         agent = self.call_simulation.agents[name]
         (agent.disabled.add if out else agent.disabled.discard)(server)
         agent.send_server_list()
@@ -460,10 +465,12 @@
 
 
 async def ready(rig: Rig, name: str) -> bool:
+    """Whether an agent's operators' port reports that it is ready."""
     return (await rig.ask(name, "ready"))[:1] == ["OK yes"]
 
 
 def faults(rounds: int = 5) -> None:
+    """Prints the times of `measure_fault` for each scenario over `rounds` seeds."""
     for scenario in (
         "no fault, work-ready",
         "leader killed, then work-ready",
@@ -479,6 +486,7 @@
 
 
 def plans() -> None:
+    """Runs whole plans: a small fleet with the default and with wider limits, and a large one."""
     run_whole_plan(24, 3, Limits())
     run_whole_plan(24, 3, Limits(all=3, agents=2, servers=1, zone=3))
     run_whole_plan(200, 24, Limits(all=20, agents=20, servers=2, zone=20))
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -53,6 +53,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
+    """The value at a rank of the sorted values, without interpolation; `share` is from 0 to 1."""
     return sorted(values)[min(len(values) - 1, int(len(values) * share))]
 
 
@@ -69,6 +70,7 @@
 
 
 def engine_writes(batch: int, seconds: float = 1.0) -> float:
+    """Records per second that the engine makes durable, with one sync for each `batch` records."""
     with tempfile.TemporaryDirectory(dir=ROOT) as folder:
         engine = Engine.open(DiskFolder(pathlib.Path(folder)))
         count, end = 0, time.perf_counter() + seconds
@@ -82,6 +84,7 @@
 
 
 def sqlite_writes(batch: int, seconds: float = 1.0) -> float:
+    """Records per second that SQLite makes durable, with one transaction for each `batch` records."""
     with tempfile.TemporaryDirectory(dir=ROOT) as folder:
         database = sqlite3.connect(pathlib.Path(folder) / "db", isolation_level=None)
         database.execute("PRAGMA journal_mode=WAL")
@@ -101,6 +104,7 @@
 
 
 def writes() -> None:
+    """Compares the engine's durable writes with SQLite's."""
     for batch in (1, 64):
         ours, theirs = median_of(
             [
@@ -155,6 +159,7 @@
 
 
 def stall() -> None:
+    """Prints the longest iterations of a loop with and without a store's thread beside it."""
     sys.setswitchinterval(ThreadWorker.SWITCH_INTERVAL_S)  # as in an agent with a store
     for live in (1000, 100_000):
         with tempfile.TemporaryDirectory(dir=ROOT) as folder:
@@ -214,6 +219,7 @@
 
 
 def free_port() -> int:
+    """A TCP port of 127.0.0.1 that is free now; it is not reserved."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
@@ -271,16 +277,19 @@
 
 
 def cpu_ms(pid: int) -> float:
+    """CPU time that a process has used so far, in user and system mode."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text(encoding="utf-8").rpartition(") ")[2].split()
     return (int(fields[11]) + int(fields[12])) * 1000.0 / os.sysconf("SC_CLK_TCK")
 
 
 def memory_mb(pid: int) -> float:
+    """Resident memory of a process in units of 1,000,000 bytes."""
     pages = int(pathlib.Path(f"/proc/{pid}/statm").read_text(encoding="utf-8").split()[1])
     return pages * resource.getpagesize() / 1e6
 
 
 def latency() -> None:
+    """Prints answer times, CPU and memory without a store and with each durability."""
     variants = {"without": None, "always": {"durability": "always"}, "interval": {"durability": "interval"}}
     waits: dict[str, list[float]] = {name: [] for name in variants}
     costs: dict[str, list[tuple[float, float]]] = {name: [] for name in variants}
@@ -333,6 +342,7 @@
 
 
 def size() -> None:
+    """Prints the disk space of the log and of the index for each live call."""
     with tempfile.TemporaryDirectory(dir=ROOT) as folder:
         engine = Engine.open(DiskFolder(pathlib.Path(folder)), Limits(checkpoint_records=100))
         for at in range(0, 20_000, 200):
--- a/standins/cold_site.py
+++ b/standins/cold_site.py
@@ -111,6 +111,7 @@
         self.published_at: dict[int, float] = {}  # Unix ms, by event
 
     def publish(self, hosts: list[dict[str, Any]]) -> None:
+        """Adds an event, sends it on all connections and notes its time in `published_at`."""
         super().publish(hosts)
         self.published_at[len(self.events)] = time.time() * 1000.0
 
@@ -156,6 +157,7 @@
         await LobbyServer.serve(self, reader, writer)
 
     def on_set_up(self) -> None:
+        """Queues the work of a set-up; the server goes down if it collapses under it."""
         self.processor.add_work(self.set_up_ms)
         if self.processor.collapsed:
             self.go_down()
@@ -189,6 +191,10 @@
         ]
 
     async def add_agent(self, name: str, listen: int, rng: random.Random) -> tuple[dict[str, str], str]:
+        """Adds an agent's clients; the first call also starts the shared servers.
+
+        Returns the lobby servers' addresses by host, and the list service's address.
+        """
         if not self.limited_list.port:
             for lobby in self.shared_servers:
                 self.limited_list.dials[lobby.name] = f"127.0.0.1:{await lobby.open()}"
--- a/standins/cold_start_simulation.py
+++ b/standins/cold_start_simulation.py
@@ -95,9 +95,9 @@
         self.births = self.deaths = 0  # how many of the site's births and deaths it has processed
         self.membership_delay_ms = site.rng.uniform(*MEMBERSHIP_DELAY_MS)
         self.connected: dict[str, int] = {}  # number of the connection, by endpoint
-        self.answering: set[str] = set()
+        self.answering: set[str] = set()  # connected lobby servers that are not silent
         self.dial_at: dict[str, float] = {}  # scheduled dials, by target
-        self.chosen: set[str] = set()
+        self.chosen: set[str] = set()  # the lobby servers that it connects to first
         self.frozen_until = -math.inf
         self.list_last_received_at = -math.inf
         self.event_received_at: dict[int, float] = {}  # by offset of the event
@@ -107,11 +107,13 @@
         return self.site.now + self.clock_offset_ms
 
     def alive(self) -> bool:
+        """Whether this object is still the agent's running process."""
         return self.site.agents.get(self.name) is self
 
     # Connections
 
     def dial_after(self, target: str, wait_ms: float) -> None:
+        """Schedules a dial; it replaces one that is already scheduled for the target."""
         at = self.dial_at[target] = self.site.now + wait_ms
         self.site.call_at(at, lambda: self._dial(target, at))
 
@@ -169,6 +171,7 @@
             self.answering.add(target)
 
     def connection_broken(self, target: str, number: int) -> None:
+        """Schedules a redial, unless this connection has been replaced or closed already."""
         if self.alive() and self.connected.get(target) == number:
             del self.connected[target]
             self.answering.discard(target)
@@ -177,6 +180,7 @@
     # The feed
 
     def handle(self, event: feeding.Event) -> None:
+        """Passes an event to the feed and carries out the actions that it returns."""
         for action in self.feed.handle(event, self.clock()):
             match action:
                 case feeding.Send(to, message):
@@ -330,6 +334,7 @@
         # The last event, and the oldest one from which changes can be sent: older lists are sent complete.
         self.last_event = self.oldest_kept_event = 0
         self.complete_lists = 0
+        # Whether nothing passes from one agent to another, and whether one never learns of another.
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
         self.hidden: Callable[[str, str], bool] = lambda viewer, other: False
         self.eager = eager
@@ -338,11 +343,13 @@
         self.call_after(HEARTBEAT_MS, self.heartbeat)
 
     def zone(self, name: str) -> str:
+        """Agents with even numbers are in zone `z0`, the others in `z1`."""
         return f"z{int(name[1:]) % 2}"
 
     # Time
 
     def call_at(self, when: float, callback: Callable[[], None]) -> None:
+        """Schedules a callback; a time in the past means now."""
         heapq.heappush(self.queue, (max(when, self.now), next(self.sequence), callback))
 
     def call_after(self, ms: float, callback: Callable[[], None]) -> None:
@@ -352,6 +359,7 @@
         self.call_after(self.rng.uniform(*delay_ms), callback)
 
     def run(self, ms: float) -> None:
+        """Advances the clock by `ms` and runs the callbacks that are due."""
         end = self.now + ms
         while self.queue and self.queue[0][0] <= end:
             self.now, _, callback = heapq.heappop(self.queue)
@@ -361,6 +369,7 @@
     # Agents
 
     def start(self, number: int) -> None:
+        """Starts the process of agent `a{number}`; a previous one is replaced."""
         name = f"a{number}"
         agent = self.agents[name] = SimulatedAgent(
             self, name, self.first_offset(number), self.rng.uniform(-self.skew_ms, self.skew_ms)
@@ -412,11 +421,14 @@
         viewer.handle(feeding.MembersChanged(viewer.members))
 
     def heal(self) -> None:
+        """Ends the isolation of a zone."""
         self.cut = lambda sender, to: False
         for viewer in self.agents.values():
             viewer.births = 0  # every living agent is learnt of again
 
     def send(self, sender: str, to: str, message: Message) -> None:
+        """Delivers a message after the network's delay, unless the receiver is gone or cut off by then."""
+
         def arrive() -> None:
             agent = self.agents.get(to)
             if agent is None or self.cut(sender, to):
@@ -476,9 +488,11 @@
     # Queries for tests
 
     def serving_count(self) -> int:
+        """The number of running agents that are ready."""
         return sum(agent.readiness.ready for agent in self.agents.values())
 
     def collapsed(self) -> list[str]:
+        """The names of the endpoints that have collapsed."""
         return [name for name, endpoint in self.endpoints.items() if endpoint.collapsed]
 
     def max_delay_ms(self, offset: int) -> float:
--- a/standins/faulty.py
+++ b/standins/faulty.py
@@ -47,6 +47,7 @@
 
 
 def run() -> None:
+    """Applies the faults of the first argument, then runs the program with the other ones."""
     faults = json.loads(sys.argv[1])
     skew_clocks(faults.get("skew_ms", 0.0), faults.get("drift", 0.0))
     if "full" in faults:
--- a/standins/files.py
+++ b/standins/files.py
@@ -30,6 +30,7 @@
         self.pending: list[tuple[int, bytes] | int] = []
 
     def write(self, offset: int, data: bytes) -> None:
+        """Writes at an offset; a gap before it is filled with zeros."""
         self.current[len(self.current) :] = bytes(max(0, offset - len(self.current)))
         self.current[offset : offset + len(data)] = data
         self.pending.append((offset, data))
@@ -39,6 +40,7 @@
         self.pending.append(size)
 
     def sync(self) -> None:
+        """Makes the current bytes durable."""
         self.durable = bytes(self.current)
         self.pending = []
 
@@ -168,6 +170,7 @@
         return MemoryFolder(self.contents(), self.rng)
 
     def contents(self) -> dict[str, bytes]:
+        """The current bytes of each file, durable or not."""
         return {name: bytes(inode.current) for name, inode in self.inodes.items()}
 
     # The interface that the engine uses
@@ -176,6 +179,7 @@
         return set(self.inodes)
 
     def open(self, name: str, create: bool = False) -> MemoryFile:
+        """Opens a file. Raises FileNotFoundError if it does not exist, unless `create` is set."""
         if name not in self.inodes:
             if not create:
                 raise FileNotFoundError(2, "no such file", name)
@@ -186,12 +190,14 @@
         return MemoryFile(self, name, self.inodes[name])
 
     def replace(self, old: str, new: str) -> None:
+        """Renames a file over another one; durable only after `sync`."""
         if self.begin_operation("replace", new) is not None:
             raise self.make_error()
         self.inodes[new] = self.inodes.pop(old)
         self.renames.append((old, new, self.inodes[new]))
 
     def remove(self, name: str) -> None:
+        """Removes a file if it exists; durable only after `sync`."""
         if name in self.inodes:
             if self.begin_operation("remove", name) is not None:
                 raise self.make_error()
@@ -199,12 +205,14 @@
             self.renames.append((name, None, None))
 
     def sync(self) -> None:
+        """Makes the directory entries durable; the contents of files need their own `sync`."""
         if self.begin_operation("sync", ".") is not None:
             raise self.make_error()
         self.durable = dict(self.inodes)
         self.renames = []
 
     def lock(self) -> None:
+        """Locks the folder. Raises LockedError if it is locked already."""
         if self.locked:
             raise LockedError("lock: another process writes to this store")
         self.locked = True
@@ -220,6 +228,7 @@
         return database
 
     def committed(self, name: str, database: sqlite3.Connection) -> None:
+        """Stores the image of an index database that has just committed."""
         file = self.open(name, create=True)
         if self.begin_operation("image", name) is not None:
             raise self.make_error()
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -39,6 +39,7 @@
     """
 
     def __init__(self, callers: int = 2) -> None:
+        """`callers` is the number of clients of each agent."""
         self.observed = Observations()
         self.list_service = ListService()
         self.callers = list[Caller]()
@@ -110,6 +111,7 @@
         ]
 
     def heal(self) -> None:
+        """Removes the faults of all relays."""
         for relay in self.relays.values():
             relay.heal()
 
@@ -142,7 +144,7 @@
         **fleet: Any,
     ) -> None:
         """`extra_config` adds top-level fields to each agent's configuration, `fleet` fields of its section
-        `fleet`."""
+        `fleet`. Without `relays` the agents connect to each other directly."""
         self.extra_config = extra_config or {}
         self.environment = environment
         self.machines = machines or {}
@@ -210,9 +212,11 @@
         return "127.0.0.1", self.ports[name][what]
 
     def zone(self, name: str) -> str:
+        """Agents alternate between the zones `z0` and `z1`."""
         return f"z{self.names.index(name) % 2}"
 
     def address(self, name: str, what: str) -> str:
+        """The address that `endpoint` returns, as `host:port`."""
         return f"127.0.0.1:{self.ports[name][what]}"
 
     async def start(self, name: str) -> None:
@@ -285,6 +289,7 @@
     # Faults. Each is added to the history, and the relays count what they do
 
     def add_history(self, text: str) -> None:
+        """Notes a step of the test, for messages of failed checks."""
         self.history.append(text)
 
     def path_faults(self, sender: str, to: str) -> list[DirectionFaults]:
@@ -454,7 +459,7 @@
         """Waits until an agent, of these or of all, reports that it is the leader, and returns its name."""
         found = ""
 
-        async def led() -> bool:
+        async def has_leader() -> bool:
             nonlocal found
             for name in among or self.names:
                 status = await self.log_status(name)
@@ -463,13 +468,13 @@
                     return True
             return False
 
-        await self.wait_until("a leader", led)
+        await self.wait_until("a leader", has_leader)
         return found
 
     async def wait_for_convergence(self, count: int) -> None:
         """Waits until all agents see each other alive and have applied the same commands, `count` or more."""
 
-        async def same() -> bool:
+        async def same_state() -> bool:
             statuses = [await self.log_status(name) for name in self.names]
             return (
                 all(statuses)
@@ -477,15 +482,15 @@
                 and int(statuses[0]["count"]) >= count
             )
 
-        async def seen() -> bool:
+        async def all_alive() -> bool:
             for name in self.names:
                 members = await self.ask(name, "members")
                 if sum(" alive " in line for line in members) != len(self.names) - 1:
                     return False
             return True
 
-        await self.wait_until("all see each other alive", seen)
-        await self.wait_until(f"all have applied {count} commands", same)
+        await self.wait_until("all see each other alive", all_alive)
+        await self.wait_until(f"all have applied {count} commands", same_state)
 
     # Event records
 
--- a/standins/lobby.py
+++ b/standins/lobby.py
@@ -54,6 +54,7 @@
         self.violations.append(text)
 
     def record_set_up(self, server: str, call: str) -> None:
+        """Records a set-up; it is a violation while a server that is not cut off still has the call."""
         self.set_ups.append((time.time() * 1000.0, server, call))
         for other, calls in self.calls_by_server.items():
             if calls.get(call, "lost") != "lost" and other not in self.partitioned:
@@ -61,6 +62,10 @@
         self.calls_by_server[server][call] = "out"
 
     def record_answer(self, call: str, requested: bool, established: bool, wait_ms: float) -> None:
+        """Records an answer that a client received.
+
+        `requested`: whether the set-up was open. `wait_ms` counts only if the call was established.
+        """
         if not requested:
             self.report_violation(f"{call}: answered without an open set-up")
         self.answers += 1
@@ -106,6 +111,7 @@
         return int(self.server.sockets[0].getsockname()[1])
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves one connection; when it breaks, unanswered set-ups and recent answers count as lost."""
         self.writers.append(writer)
         for call in [call for call, state in self.calls.items() if state == "lost"]:
             self.calls[call] = "stands"
@@ -256,6 +262,7 @@
             self.unanswered.clear()
 
     async def generate_set_ups(self, writer: asyncio.StreamWriter) -> None:
+        """Sends new and repeated set-ups on one connection while `sends_set_ups` is set."""
         while self.sends_set_ups:
             if self.avoids_agent:
                 await asyncio.sleep(0.01)
@@ -271,6 +278,7 @@
             await asyncio.sleep(self.rng.expovariate(1000.0 / self.mean_gap_ms))
 
     def handle(self, message: Message) -> None:
+        """Handles one message of the agent."""
         call = message["tag"]
         verb = message["verb"]
         loop = asyncio.get_running_loop()
--- a/standins/membership_simulation.py
+++ b/standins/membership_simulation.py
@@ -79,11 +79,13 @@
         self.deliver(address, Started())
 
     def stop(self, address: str) -> None:
+        """Ends a process without notice."""
         self.agents.pop(address, None)
         self.tick_at.pop(address, None)
         self.frozen.pop(address, None)
 
     def freeze(self, *addresses: str) -> None:
+        """Stops the processing at these addresses; up to 200 events each wait for `unfreeze`."""
         for address in addresses:
             self.frozen.setdefault(address, [])
 
@@ -94,6 +96,7 @@
                 self.call_at(self.now, callback)
 
     def deliver(self, address: str, event: Event) -> None:
+        """Passes an event to an agent and carries out the actions that it returns."""
         agent = self.agents.get(address)
         if agent is None:
             return
@@ -115,6 +118,7 @@
         self.schedule_tick(address)
 
     def schedule_tick(self, address: str) -> None:
+        """Schedules an agent's next tick; an earlier one for another time is dropped."""
         agent = self.agents[address]
         ahead, rate = self.clocks.get(address, (0.0, 1.0))
         due = (agent.next_ms() - ahead) / rate + 0.001  # rounding must not make the tick come early
@@ -129,6 +133,7 @@
             self.call_at(max(due, self.now), tick)
 
     def send(self, sender: str, action: Send) -> None:
+        """Sends a datagram, which may be lost, and counts its bytes."""
         data = messages.encode(action.message)
         self.sent_count += 1
         self.sent_bytes += len(data)
@@ -153,6 +158,7 @@
         self.call_at(self.now + 1.0, lambda: self.deliver(other, ViewReceived(mine)))
 
     def run(self, ms: float) -> None:
+        """Advances the clock by `ms` and runs the callbacks that are due."""
         end = self.now + ms
         while self.queue and self.queue[0][0] <= end:
             self.now, _, callback = heapq.heappop(self.queue)
@@ -162,6 +168,7 @@
     # Queries for tests
 
     def state_of(self, address: str, name: str) -> State | None:
+        """The state of a member as the agent at an address sees it, None if it knows no such member."""
         member = self.agents[address].table.members.get(name)
         return member.state if member is not None else None
 
@@ -176,6 +183,7 @@
         ]
 
     def leave(self, address: str) -> None:
+        """Lets an agent announce that it leaves; its process ends 100 ms later."""
         self.deliver(address, Leave())
         self.call_at(self.now + 100.0, lambda: self.stop(address))
 
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -48,6 +48,7 @@
         self.give(api.ListUpdate(api.ListKind.PERSISTED, 1, tuple(server(n) for n in range(servers))))
 
     def give(self, event: api.Event) -> list[api.Action]:
+        """Passes an event to the controller; logs its actions, keeps its timers, and returns the actions."""
         actions = self.logic.handle(event, self.now)
         for action in actions:
             self.log.append((self.now, action))
@@ -70,18 +71,23 @@
         return collected
 
     def call(self, call_class: str = "plain", first: int = 0, **more: Any) -> tuple[str, list[api.Action]]:
+        """Lets a call arrive; `more` replaces fields of the event. Returns its name and the actions."""
         self.calls += 1
-        given: dict[str, Any] = {"tenant": "", "budget_ms": 3000.0, "number_called": self.calls}
-        given.update(more)
+        fields: dict[str, Any] = {"tenant": "", "budget_ms": 3000.0, "number_called": self.calls}
+        fields.update(more)
         name = f"call-{self.calls}"
-        return name, self.give(api.CallArrived(call=name, call_class=call_class, first_choice=first, **given))
+        return name, self.give(
+            api.CallArrived(call=name, call_class=call_class, first_choice=first, **fields)
+        )
 
     def answer(self, call: str, number: int = 0, elapsed: float = 60.0) -> list[api.Action]:
+        """Establishes the call by its latest attempt."""
         return self.give(api.CallEstablished(call, self.attempts[call], server(number).address, elapsed))
 
     def fail(
         self, call: str, outcome: api.Outcome, number: int = 0, closed: bool = False, note: int = 0
     ) -> list[api.Action]:
+        """Ends the call's latest attempt after 50 ms."""
         return self.give(
             api.AttemptEnded(call, self.attempts[call], server(number).address, outcome, 50.0, closed, note)
         )
@@ -107,4 +113,5 @@
 
 
 def finals(actions: list[api.Action]) -> list[str]:
+    """The calls that these actions refuse or fail."""
     return [action.call for action in actions if isinstance(action, api.RefuseCall | api.FailCall)]
--- a/tests/exploring.py
+++ b/tests/exploring.py
@@ -9,7 +9,11 @@
 
 
 class World(Protocol):
-    """A model under search: `step` checks its invariants, `key` identifies its state. Picklable."""
+    """A model under search, which can be pickled.
+
+    `events` gives the arguments of each step that is possible now, `step` takes one and checks the
+    invariants, `key` identifies the state.
+    """
 
     def events(self) -> Iterable[Any]: ...
 
@@ -19,7 +23,10 @@
 
 
 def explored(first: World, depth: int, max_states: int) -> int:
-    """Breadth first, to a depth or until more than `max_states` states are known. Returns their number."""
+    """Searches breadth first to a depth, or until more than `max_states` states are known.
+
+    Returns the number of states found.
+    """
     seen = {first.key()}
     queue = deque([(pickle.dumps(first), 0)])
     while queue:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -71,12 +71,14 @@
         self.now = end
 
     def servers(self) -> tuple[api.Server, ...]:
+        """The current server list."""
         return tuple(
             api.Server(f"s{number}", number, api.Lifecycle.READY, "", started)
             for number, started in self.started_ms.items()
         )
 
     def start_agent(self, agent: int) -> Controller:
+        """Creates the controller of a new incarnation; only the first one gets the server list from here."""
         self.incarnations[agent] += 1
         settings = api.Settings(
             **{
@@ -98,6 +100,7 @@
         self.handle_event(agent, api.ListUpdate(api.ListKind.PERSISTED, 1, self.servers()))
 
     def handle_event(self, agent: int, event: api.Event) -> None:
+        """Passes an event to an agent's controller and carries out the actions that it returns."""
         incarnation = self.incarnations[agent]
         for action in self.controllers[agent].handle(event, self.now):
             match action:
@@ -120,10 +123,12 @@
                     )
 
     def deliver(self, agent: int, incarnation: int, event: api.Event) -> None:
+        """Passes an event on, unless the agent has restarted meanwhile."""
         if self.incarnations[agent] == incarnation:
             self.handle_event(agent, event)
 
     def handle_set_up(self, agent: int, incarnation: int, call: str, number: int) -> None:
+        """Counts a set-up at a server; a few are reset, the others are established."""
         self.received[number].append((self.now, 1.0))
         attempt = self.attempts[call] = self.attempts.get(call, -1) + 1
         sent = self.now
@@ -137,6 +142,7 @@
     attempts: dict[str, int] = {}  # noqa: RUF012 (replaced by each fleet with its first call)
 
     def call_arrives(self) -> None:
+        """Schedules the next call, and gives this one to an agent by the agents' weights."""
         self.call_later(self.rng.expovariate(LOAD * self.rate * SERVERS) * 1000.0, self.call_arrives)
         if not self.calls:
             self.attempts = {}
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -25,6 +25,7 @@
 
 
 def async_api(**changes: Any) -> dict[str, Any]:
+    """An AsyncAPI document with one contract; `changes` replace or add terms."""
     return {
         "asyncapi": "3.0.0",
         "operations": {
@@ -35,6 +36,7 @@
 
 
 def open_api() -> dict[str, Any]:
+    """An OpenAPI document with the same contract."""
     return {"openapi": "3.1.0", "paths": {"/races": {"parameters": [], "post": {contracts.EXTENSION: TERMS}}}}
 
 
@@ -77,6 +79,7 @@
 
 
 def under_contract(tmp_path: pathlib.Path, record: dict[str, Any]) -> dict[str, Any]:
+    """Writes a contract to a file and adds its path to a configuration."""
     (tmp_path / "race.yaml").write_bytes(orjson.dumps(async_api()))
     return {**record, "contracts": [str(tmp_path / "race.yaml")]}
 
@@ -222,9 +225,9 @@
                 if written["verb"] == "START":
                     written.setdefault("blob", "")
                 jsonschema.validate(written, payloads[written["verb"]])
-            seen_at = world.actors["c1"], world.actors["c2"]
+            clients = world.actors["c1"], world.actors["c2"]
             world.step(line) if words[0] != "expect" else None
-            for actor in seen_at:
+            for actor in clients:
                 for received in actor.inbox:
                     if received[""] != "closed":
                         written = {"verb": received[""], "tag": received["tag"].zfill(16), "opts": {}}
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -18,6 +18,7 @@
 
 
 def proxy(effect: Effect, scope: str = "all", window_ms: float = 5000.0, servers: int = 3) -> Proxy:
+    """A Proxy whose only class has this effect; `scope` is its key scope."""
     call_class = dataclasses.replace(SETTINGS.classes[0], effect=effect, key_scope=scope, window_ms=window_ms)
     return Proxy(servers, classes=(call_class,))
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -12,6 +12,7 @@
 
 
 def imported(path: pathlib.Path) -> set[str]:
+    """All modules that a file imports, and the names that it imports from them, as dotted names."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -65,7 +66,7 @@
     ("store", "core"),  # the clock and the deadlines of the committer
     ("agent", "durability"),
     ("agent", "platform_side"),
-    ("agent", "operations"),  # composition
+    ("agent", "operations"),  # the agent creates these three
     ("durability", "handover"),
     ("agent", "fleet"),
     ("agent", "deadline_runner"),
@@ -102,6 +103,7 @@
 
 
 def package(path: pathlib.Path) -> str:
+    """The package of frostport, or the root module, to which a file belongs."""
     inside = path.relative_to(ROOT / "frostport")
     return inside.parts[0].removesuffix(".py")
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,6 +1,7 @@
-"""The agent under the settings of several deployments: their values apply, no name of theirs is in the code.
+"""Runs the agent with the settings of several deployments; its code must contain none of their names.
 
-The data are the site files in `deploy/sites`, one folder per deployment."""
+The site files are in `deploy/sites`, one folder per deployment.
+"""
 
 from __future__ import annotations
 
@@ -30,21 +31,21 @@
 def test_each_site_has_its_files() -> None:
     assert len(SITES) >= 2
     for path in SITES:
-        assert {at.name for at in path.parent.iterdir()} >= {"real.json", "wire.json", "unlock.txt"}
+        assert {file.name for file in path.parent.iterdir()} >= {"real.json", "wire.json", "unlock.txt"}
 
 
 def test_the_code_contains_no_name_of_a_deployment() -> None:
-    given = FIRST_DEPLOYMENT.union(*(names(tomllib.loads(path.read_text())) for path in SITES))
-    assert len(given) > 20
+    deployment_names = FIRST_DEPLOYMENT.union(*(names(tomllib.loads(path.read_text())) for path in SITES))
+    assert len(deployment_names) > 20
     texts = [
-        (at, node.value)
-        for at in ROOT.glob("frostport/**/*.py")
-        for node in ast.walk(ast.parse(at.read_text()))
+        (path, node.value)
+        for path in ROOT.glob("frostport/**/*.py")
+        for node in ast.walk(ast.parse(path.read_text()))
         if isinstance(node, ast.Constant) and isinstance(node.value, str)
     ]
     deploy = (ROOT / "deploy/balancer.toml").read_text()
-    found = [(at.name, name) for at, text in texts for name in given if name in text.split()]
-    assert not found and not [name for name in given if name in deploy.split()]
+    found = [(path.name, name) for path, text in texts for name in deployment_names if name in text.split()]
+    assert not found and not [name for name in deployment_names if name in deploy.split()]
 
 
 def settings(site: dict[str, Any]) -> dict[str, Any]:
@@ -94,10 +95,10 @@
     site = tomllib.loads(path.read_text())
     record = {**platform(), "settings": settings(site)}
     guard = site["fam"]["release_ms"]
-    most = site["allow"]["max_attempts"]
+    max_attempts = site["allow"]["max_attempts"]
     longest = max(part["deadline_ms"] for part in site["class"])
     name = max(site["class"], key=lambda part: part["deadline_ms"])["name"]
-    again = f"""
+    refused_and_held = f"""
         send s0 FINISH a rc=41
         wait {guard - 1}
         expect s0 nothing
@@ -107,24 +108,24 @@
         f"""
         send c1 START a class={name} left={longest} extras=dest:0
         expect s0 START a
-        {again}
+        {refused_and_held}
     """,
         record,
     )
     request = world.agent.broker.find_request("a".zfill(16))
     assert request is not None and request.attempts == 1
     world.wait(60.0)  # the release guard, the module's step and its retry interval
-    assert request.attempts == 2 and world.agent.rules.settings.try_limit == most
+    assert request.attempts == 2 and world.agent.rules.settings.try_limit == max_attempts
     world.wait(longest)
     assert request.state.value == "over" and world.agent.rules.violations.total() == 0
-    kill = min(longest, 3000.0) + 700.0
+    kill_ms = min(longest, 3000.0) + 700.0
     play(
         f"""
         send c1 START a class={name} left={longest} extras=dest:0
         expect s0 START a
         send agent term
-        wait {min(longest, kill) - 1}
-        wait {kill - min(longest, kill) + 1}
+        wait {min(longest, kill_ms) - 1}
+        wait {kill_ms - min(longest, kill_ms) + 1}
         expect c1 FINISH a rc=41
         expect agent exit
     """,
@@ -142,18 +143,18 @@
     grace = site["rules"]["drain_grace_ms"]
     name = site["class"][0]["name"]
     left = site["class"][0]["deadline_ms"]
-    for wait, goes in ((grace - 10, True), (grace + 10, False)):
-        if wait >= left:
+    for wait_ms, is_sent in ((grace - 10, True), (grace + 10, False)):
+        if wait_ms >= left:
             continue
         world = play(
             f"""
             close s0 late
             send c1 START a class={name} left={left} extras=dest:0
             send bus {event(2, host(0, "draining"))}
-            wait {wait}
+            wait {wait_ms}
             send s0 up
         """,
             record,
         )
         received = [message[""] for message in world.actors["s0"].inbox]
-        assert ("START" in received) is goes, (wait, received)
+        assert ("START" in received) is is_sent, (wait_ms, received)
--- a/tests/trials/test_checker.py
+++ b/tests/trials/test_checker.py
@@ -14,6 +14,7 @@
 
 
 def asked(at: float = 1.0, left: float = 2.0) -> Event:
+    """A set-up of call `a` that allows `left` seconds for its answer."""
     return Event(at, Kind.ASKED, "c0", "a", number=left, text="n0")
 
 
--- a/trials/site.py
+++ b/trials/site.py
@@ -17,7 +17,7 @@
 from trials.server import Server, ServerBehaviour
 
 CALL_CLASS = "race"
-FORMER_ADDRESS_S = 1.5  # after SIGHUP, until discovery closes the connections at its former address
+FORMER_CLOSE_DELAY_S = 1.5  # after SIGHUP, until discovery closes the connections at its former address
 READY_TIMEOUT_S = 30.0  # for all agents to be ready before the trial begins
 
 
@@ -111,7 +111,7 @@
         self.servers: dict[str, Server] = {}
         self.clients: list[Client] = []
         self.discovery: Discovery | None = None
-        self.entries: dict[str, dict[str, Any]] = {}
+        self.entries: dict[str, dict[str, Any]] = {}  # the current list entry of each server
         self.peak_memory_bytes = 0
         self.peak_descriptors = 0
         self.resource_watch: asyncio.Task[None] | None = None
@@ -237,7 +237,7 @@
         agent.write_configuration(bus=f"127.0.0.1:{self.discovery.ports[name]}")
         self.history.add(Kind.RELOADED, name)
         agent.send_signal(signal.SIGHUP)
-        await asyncio.sleep(FORMER_ADDRESS_S)
+        await asyncio.sleep(FORMER_CLOSE_DELAY_S)
         self.discovery.close_former(name)
 
     async def set_discovery_mode(self, mode: Mode) -> None:
