--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -43,12 +43,15 @@
         network.run(2_000.0)
         converged_ms = 2_000.0 + run_until_agreed(network)
         network.run(30_000.0)
-        started, killed = network.now, {"a17", "a42", "a77"}
+        started = network.now
+        killed = {"a17", "a42", "a77"}
         for address in killed:
             network.stop(address)
         network.run(180_000.0)
         found: dict[str, list[float]] = {name: [] for name in killed}
-        suspected, declared_dead, reports = 0, 0, set[tuple[str, str]]()
+        suspected = 0
+        declared_dead = 0
+        reports = set[tuple[str, str]]()
         for when, observer, change in network.member_changes:
             if when < started or change.state not in (State.SUSPECT, State.DEAD):
                 continue
@@ -190,11 +193,11 @@
             for name in rig.voters:
                 await rig.start(name)
 
-            async def has(name: str) -> bool:
+            async def has_all_entries(name: str) -> bool:
                 return int((await rig.log_status(name)).get("count", "0")) > entries
 
             for name in rig.voters:
-                await rig.wait_until(f"{name} has applied its own", lambda name=name: has(name))  # type: ignore[misc]
+                await rig.wait_until(f"{name} has applied its own", lambda name=name: has_all_entries(name))  # type: ignore[misc]
             print(
                 f"catch up by {method}: voters have read and applied {entries} entries of their own "
                 f"{time.time() - started:.1f} s after their start"
@@ -213,7 +216,7 @@
                     await asyncio.sleep(0.005)
 
             tasks = [asyncio.create_task(ask(name)) for name in rig.names]
-            await rig.wait_until("n3 has it all", lambda: has("n3"))
+            await rig.wait_until("n3 has it all", lambda: has_all_entries("n3"))
             elapsed = time.time() - started
             for task in tasks:
                 task.cancel()
@@ -237,6 +240,7 @@
 
 
 async def leaderless() -> None:
+    """Prints how long three fleets each were without a leader after each kind of fault."""
     for fault in ("kill", "stall", "cut"):
         found = [await seconds_without_leader(fault) for _ in range(3)]
         print(f"without a leader after a {fault}: {', '.join(f'{seconds:.1f}' for seconds in found)} s")
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -36,18 +36,23 @@
 )
 from standins.fleet import Environment, Rig
 
-LOG_DELAY_MS, RECONCILE_MS, SLOW_RECONCILE_MS = 50.0, 1000.0, 10_000.0
-REPAIR_MS, MAX_AGENT_DRAIN_MS, MAX_SERVER_DRAIN_MS = 60_000.0, 10_000.0, 30_000.0
+LOG_DELAY_MS = 50.0
+RECONCILE_MS = 1000.0
+SLOW_RECONCILE_MS = 10_000.0
+REPAIR_MS = 60_000.0
+MAX_AGENT_DRAIN_MS = 10_000.0
+MAX_SERVER_DRAIN_MS = 30_000.0
 
 
 class MaintenanceSimulation(SimulatedClock):
-    """A fleet under maintenance. All agents share one copy of the plan, since the copies of all agents are
-    equal (W1)."""
+    """A fleet under maintenance. All agents share one copy of the plan, since the agreed log makes
+    their copies equal."""
 
     def __init__(self, agents: int, servers: int, limits: Limits, seed: int, zones: int = 10) -> None:
         super().__init__()
         self.rng = random.Random(seed)
-        self.plan, self.index = Plan(), 0
+        self.plan = Plan()
+        self.index = 0
         self.command_count = self.command_bytes = 0
         self.apply_times_s: list[float] = []
         zones = min(zones, agents)
@@ -68,11 +73,13 @@
             self.call_after(self.rng.uniform(0.0, RECONCILE_MS), lambda name=name: self.reconcile(name))  # type: ignore[misc]
 
     def propose(self, command: Command) -> None:
+        """Appends a command to the log; all agents apply it after `LOG_DELAY_MS`."""
         self.command_count += 1
         self.command_bytes += len(msgspec.msgpack.encode(command))
         self.call_after(LOG_DELAY_MS, lambda: self.apply(command))
 
     def apply(self, command: Command) -> None:
+        """Applies a command to the plan and starts the repair of each machine that is now out."""
         self.index += 1
         started = time.perf_counter()
         self.plan.apply(self.index, 1, command)
@@ -87,6 +94,7 @@
         self.call_after(REPAIR_MS, lambda: self.propose(Ready(name)))
 
     def reconcile(self, name: str) -> None:
+        """Runs an agent's reconciler once and schedules its next run."""
         # To save simulation time in large fleets, agents that neither lead nor are held out reconcile rarely.
         infrequent = len(self.members) > 50 and name != "a0" and not self.plan.held_out("agent").get(name)
         self.call_after(SLOW_RECONCILE_MS if infrequent else RECONCILE_MS, lambda: self.reconcile(name))
@@ -133,6 +141,7 @@
                 self.empty_at.pop((name, server), None)
 
     def member_statuses(self) -> dict[str, MemberStatus]:
+        """The status of each agent, with `up` updated from the agent's phase."""
         for name, phase in self.phase.items():
             if self.members[name].up is not (phase == "serving"):
                 member = self.members[name]
@@ -146,7 +155,9 @@
     """Runs a plan over all machines; compares its duration with a lower bound and prints its cost."""
     fleet = MaintenanceSimulation(agents, servers, limits, seed)
     fleet.run(lambda: fleet.now > START_MS + 10_000.0)
-    started, count_before, bytes_before = fleet.now, fleet.command_count, fleet.command_bytes
+    started = fleet.now
+    count_before = fleet.command_count
+    bytes_before = fleet.command_bytes
     names = (*fleet.members, *fleet.servers)
     fleet.propose(MaintenanceRequest(names, "", "a new kernel", "ann", 600_000.0))
     fleet.run(
@@ -181,7 +192,9 @@
 
 # Calls in time while machines are out: by the plan, by hand one after the other, or all at once
 
-AGENT_COUNT, SERVER_COUNT, SERVER_RATE = 24, 3, 30.0  # the rate is set-ups per second of one lobby server
+AGENT_COUNT = 24
+SERVER_COUNT = 3
+SERVER_RATE = 30.0  # set-ups per second of one lobby server
 SHORT_REPAIR_MS = 10_000.0  # the repair of one machine in this part
 COMMAND_MS = 1000.0  # an operator's command at one agent's operators' port
 # An operator cannot see which calls are open at a server, so after disabling it everywhere waits this long.
@@ -240,6 +253,7 @@
                 self.set_disabled(name, server, False)
 
     def set_disabled(self, name: str, server: str, out: bool) -> None:
+        """Disables a server at one agent, or enables it again, and sends the agent the list."""
         agent = self.call_simulation.agents[name]
         (agent.disabled.add if out else agent.disabled.discard)(server)
         agent.send_server_list()
@@ -451,10 +465,12 @@
 
 
 async def ready(rig: Rig, name: str) -> bool:
+    """Whether an agent's operators' port reports that it is ready."""
     return (await rig.ask(name, "ready"))[:1] == ["OK yes"]
 
 
 def faults(rounds: int = 5) -> None:
+    """Prints the times of `measure_fault` for each scenario over `rounds` seeds."""
     for scenario in (
         "no fault, work-ready",
         "leader killed, then work-ready",
@@ -470,6 +486,7 @@
 
 
 def plans() -> None:
+    """Runs whole plans: a small fleet with the default and with wider limits, and a large one."""
     run_whole_plan(24, 3, Limits())
     run_whole_plan(24, 3, Limits(all=3, agents=2, servers=1, zone=3))
     run_whole_plan(200, 24, Limits(all=20, agents=20, servers=2, zone=20))
--- a/standins/cold_site.py
+++ b/standins/cold_site.py
@@ -23,7 +23,9 @@
     """One processor with a work queue. It collapses, for good, once more than `max_queue_ms` is queued."""
 
     def __init__(self, max_queue_ms: float) -> None:
-        self.max_queue_ms, self.free_at, self.collapsed = max_queue_ms, 0.0, False
+        self.max_queue_ms = max_queue_ms
+        self.free_at = 0.0
+        self.collapsed = False
         self.longest_queue_ms = 0.0  # the longest that the queue has been
 
     def add_work(self, cost_ms: float) -> float:
@@ -43,7 +45,8 @@
     """
 
     def __init__(self, handshake_ms: float, max_queue_ms: float) -> None:
-        self.processor, self.handshake_ms = Processor(max_queue_ms), handshake_ms
+        self.processor = Processor(max_queue_ms)
+        self.handshake_ms = handshake_ms
         self.accepted_at: list[float] = []
         self.connections: set[asyncio.StreamWriter] = set()
         self.handler_tasks: set[asyncio.Task[None]] = set()
@@ -108,6 +111,7 @@
         self.published_at: dict[int, float] = {}  # Unix ms, by event
 
     def publish(self, hosts: list[dict[str, Any]]) -> None:
+        """Adds an event, sends it on all connections and notes its time in `published_at`."""
         super().publish(hosts)
         self.published_at[len(self.events)] = time.time() * 1000.0
 
@@ -153,6 +157,7 @@
         await LobbyServer.serve(self, reader, writer)
 
     def on_set_up(self) -> None:
+        """Queues the work of a set-up; the server goes down if it collapses under it."""
         self.processor.add_work(self.set_up_ms)
         if self.processor.collapsed:
             self.go_down()
@@ -186,6 +191,10 @@
         ]
 
     async def add_agent(self, name: str, listen: int, rng: random.Random) -> tuple[dict[str, str], str]:
+        """Adds an agent's clients; the first call also starts the shared servers.
+
+        Returns the lobby servers' addresses by host, and the list service's address.
+        """
         if not self.limited_list.port:
             for lobby in self.shared_servers:
                 self.limited_list.dials[lobby.name] = f"127.0.0.1:{await lobby.open()}"
--- a/standins/files.py
+++ b/standins/files.py
@@ -24,11 +24,13 @@
     """A file's contents: the durable bytes, the current bytes, and the changes since the last sync."""
 
     def __init__(self, durable: bytes = b"") -> None:
-        self.durable, self.current = durable, bytearray(durable)
+        self.durable = durable
+        self.current = bytearray(durable)
         # Each is a write (offset and data), or a truncation (the new size).
         self.pending: list[tuple[int, bytes] | int] = []
 
     def write(self, offset: int, data: bytes) -> None:
+        """Writes at an offset; a gap before it is filled with zeros."""
         self.current[len(self.current) :] = bytes(max(0, offset - len(self.current)))
         self.current[offset : offset + len(data)] = data
         self.pending.append((offset, data))
@@ -38,7 +40,9 @@
         self.pending.append(size)
 
     def sync(self) -> None:
-        self.durable, self.pending = bytes(self.current), []
+        """Makes the current bytes durable."""
+        self.durable = bytes(self.current)
+        self.pending = []
 
     def after_power_loss(self, rng: random.Random) -> Inode:
         """The file as found after a power loss: with none or all of the unsynced changes, a prefix of them of
@@ -67,7 +71,9 @@
     """An open file of a `MemoryFolder`, with the interface of `frostport.store.files.DiskFile`."""
 
     def __init__(self, folder: MemoryFolder, name: str, inode: Inode) -> None:
-        self.folder, self.name, self.inode = folder, name, inode
+        self.folder = folder
+        self.name = name
+        self.inode = inode
 
     def append(self, data: bytes) -> None:
         written_bytes = self.folder.begin_operation("append", self.name)
@@ -115,7 +121,8 @@
         # Unsynced changes of directory entries: old name, new name (None: removed), inode.
         self.renames: list[tuple[str, str | None, Inode | None]] = []
         self.operations = 0
-        self.fails_at_operation, self.error = -1, BaseException
+        self.fails_at_operation = -1
+        self.error = BaseException
         self.persistent = False
         self.locked = False
         self.log: list[str] = []  # each operation and its file
@@ -124,11 +131,9 @@
 
     def fail(self, after: int, make_error: Callable[[], BaseException], persistent: bool = False) -> None:
         """Makes the `after`th operation from now raise; if `persistent`, all following ones as well."""
-        self.fails_at_operation, self._make_error, self.persistent = (
-            self.operations + after,
-            make_error,
-            persistent,
-        )
+        self.fails_at_operation = self.operations + after
+        self._make_error = make_error
+        self.persistent = persistent
 
     def begin_operation(self, what: str, name: str) -> Callable[[int], int] | None:
         """Counts an operation. Returns None if it shall succeed, otherwise a function from the size of its
@@ -165,6 +170,7 @@
         return MemoryFolder(self.contents(), self.rng)
 
     def contents(self) -> dict[str, bytes]:
+        """The current bytes of each file, durable or not."""
         return {name: bytes(inode.current) for name, inode in self.inodes.items()}
 
     # The interface that the engine uses
@@ -173,6 +179,7 @@
         return set(self.inodes)
 
     def open(self, name: str, create: bool = False) -> MemoryFile:
+        """Opens a file. Raises FileNotFoundError if it does not exist, unless `create` is set."""
         if name not in self.inodes:
             if not create:
                 raise FileNotFoundError(2, "no such file", name)
@@ -183,12 +190,14 @@
         return MemoryFile(self, name, self.inodes[name])
 
     def replace(self, old: str, new: str) -> None:
+        """Renames a file over another one; durable only after `sync`."""
         if self.begin_operation("replace", new) is not None:
             raise self.make_error()
         self.inodes[new] = self.inodes.pop(old)
         self.renames.append((old, new, self.inodes[new]))
 
     def remove(self, name: str) -> None:
+        """Removes a file if it exists; durable only after `sync`."""
         if name in self.inodes:
             if self.begin_operation("remove", name) is not None:
                 raise self.make_error()
@@ -196,11 +205,14 @@
             self.renames.append((name, None, None))
 
     def sync(self) -> None:
+        """Makes the directory entries durable; the contents of files need their own `sync`."""
         if self.begin_operation("sync", ".") is not None:
             raise self.make_error()
-        self.durable, self.renames = dict(self.inodes), []
+        self.durable = dict(self.inodes)
+        self.renames = []
 
     def lock(self) -> None:
+        """Locks the folder. Raises LockedError if it is locked already."""
         if self.locked:
             raise LockedError("lock: another process writes to this store")
         self.locked = True
@@ -216,6 +228,7 @@
         return database
 
     def committed(self, name: str, database: sqlite3.Connection) -> None:
+        """Stores the image of an index database that has just committed."""
         file = self.open(name, create=True)
         if self.begin_operation("image", name) is not None:
             raise self.make_error()
--- a/standins/lobby.py
+++ b/standins/lobby.py
@@ -54,6 +54,7 @@
         self.violations.append(text)
 
     def record_set_up(self, server: str, call: str) -> None:
+        """Records a set-up; it is a violation while a server that is not cut off still has the call."""
         self.set_ups.append((time.time() * 1000.0, server, call))
         for other, calls in self.calls_by_server.items():
             if calls.get(call, "lost") != "lost" and other not in self.partitioned:
@@ -61,6 +62,10 @@
         self.calls_by_server[server][call] = "out"
 
     def record_answer(self, call: str, requested: bool, established: bool, wait_ms: float) -> None:
+        """Records an answer that a client received.
+
+        `requested`: whether the set-up was open. `wait_ms` counts only if the call was established.
+        """
         if not requested:
             self.report_violation(f"{call}: answered without an open set-up")
         self.answers += 1
@@ -86,10 +91,14 @@
         end_probability: float = 0.0,
         max_call_ms: float = 60.0,
     ) -> None:
-        self.name, self.observed, self.rng = name, observed, rng
-        self.max_answer_ms, self.refusal_probability = max_answer_ms, refusal_probability
+        self.name = name
+        self.observed = observed
+        self.rng = rng
+        self.max_answer_ms = max_answer_ms
+        self.refusal_probability = refusal_probability
         # The share of established calls that it ends by itself, and after how long at most.
-        self.end_probability, self.max_call_ms = end_probability, max_call_ms
+        self.end_probability = end_probability
+        self.max_call_ms = max_call_ms
         self.pending_releases: set[str] = set()  # not confirmed: sent again on each new connection
         self.calls = observed.calls_by_server.setdefault(name, {})
         self.server: asyncio.Server | None = None
@@ -102,6 +111,7 @@
         return int(self.server.sockets[0].getsockname()[1])
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves one connection; when it breaks, unanswered set-ups and recent answers count as lost."""
         self.writers.append(writer)
         for call in [call for call, state in self.calls.items() if state == "lost"]:
             self.calls[call] = "stands"
@@ -201,12 +211,13 @@
         """`number` makes its tags unique; `port` gives the agent's port for each connection."""
         self.address = address  # the local address of its connections
         self.connection_count = 0
-        self.number, self.observed, self.rng, self.port = number, observed, rng, port
-        self.mean_gap_ms, self.max_hold_ms, self.repeat_probability = (
-            mean_gap_ms,
-            max_hold_ms,
-            repeat_probability,
-        )
+        self.number = number
+        self.observed = observed
+        self.rng = rng
+        self.port = port
+        self.mean_gap_ms = mean_gap_ms
+        self.max_hold_ms = max_hold_ms
+        self.repeat_probability = repeat_probability
         self.set_up_count = 0
         # Set-ups without a final answer, with the loop time at which each was sent.
         self.unanswered: dict[str, float] = {}
@@ -251,6 +262,7 @@
             self.unanswered.clear()
 
     async def generate_set_ups(self, writer: asyncio.StreamWriter) -> None:
+        """Sends new and repeated set-ups on one connection while `sends_set_ups` is set."""
         while self.sends_set_ups:
             if self.avoids_agent:
                 await asyncio.sleep(0.01)
@@ -266,7 +278,9 @@
             await asyncio.sleep(self.rng.expovariate(1000.0 / self.mean_gap_ms))
 
     def handle(self, message: Message) -> None:
-        call, verb = message["tag"], message["verb"]
+        """Handles one message of the agent."""
+        call = message["tag"]
+        verb = message["verb"]
         loop = asyncio.get_running_loop()
         if verb == "STARTED":
             if call in self.observed.ended_before_answer:
