--- a/frostport/agreement/log.py
+++ b/frostport/agreement/log.py
@@ -54,14 +54,18 @@
             len(self.snapshot) != self.snapshot_meta.size_bytes
             or crc32c(self.snapshot) != self.snapshot_meta.checksum
         ):
-            raise BadLogError(f"snapshot of {len(self.snapshot)} bytes fails its size or checksum")
+            raise BadLogError(
+                f"stored snapshot of {len(self.snapshot)} bytes does not match its metadata: expected "
+                f"{self.snapshot_meta.size_bytes} bytes with CRC-32C {self.snapshot_meta.checksum:08x}"
+            )
         self.entries = [
             _entry_decoder.decode(records[key]) for key in sorted(records) if key.startswith(ENTRY_PREFIX)
         ]
         for position, entry in enumerate(self.entries):
             if entry.index != self.snapshot_meta.index + 1 + position:
                 raise BadLogError(
-                    f"found entry {entry.index}, expected {self.snapshot_meta.index + 1 + position}"
+                    f"stored entries are not consecutive: found index {entry.index}, "
+                    f"expected {self.snapshot_meta.index + 1 + position}"
                 )
 
     @property
--- a/frostport/agreement/raft.py
+++ b/frostport/agreement/raft.py
@@ -91,9 +91,9 @@
                 else PersistentState(0, "", disk_id)
             )
         except msgspec.MsgspecError as problem:
-            raise BadLogError(str(problem)) from None
+            raise BadLogError(f"a stored record can't be decoded: {problem}") from None
         if state.disk_id != disk_id:
-            raise BadLogError("the records belong to another disk")
+            raise BadLogError(f"the stored records have disk id {state.disk_id}, expected {disk_id}")
         self.term = state.term
         self.voted_for = state.voted_for
         self.voters, self.voters_index = self.log.latest_voters()
--- a/frostport/durability.py
+++ b/frostport/durability.py
@@ -104,7 +104,7 @@
             self.restored = recovery.restore(self.recovered_values, agent.clock.now(), guard_ms)
         except records.BadRecordError as problem:
             self.engine.close()
-            raise StoreError(f"{self.config.path}: record {problem}") from None
+            raise StoreError(f"{self.config.path}: {problem}") from None
         worker = self.worker or ThreadWorker(agent.reactor.callFromThread)
         self.committer = Committer(
             self.engine,
--- a/frostport/fleet.py
+++ b/frostport/fleet.py
@@ -105,7 +105,7 @@
             )
         except (BadLogError, msgspec.MsgspecError) as problem:
             self.engine.close()
-            raise StoreError(f"{config.path}: the agreed log: {problem}") from None
+            raise StoreError(f"{config.path}: can't recover the agreed log: {problem}") from None
         self.initial_records = (
             [] if META_KEY in records else [(META_KEY, _encoder.encode(PersistentState(0, "", disk_id)))]
         )
@@ -232,7 +232,7 @@
                         )
                     )
                 case swim_events.PhaseChanged():
-                    log.warning("fleet: %s: %s", action.phase.value, action.why)
+                    log.warning("fleet: membership phase is now %s: %s", action.phase.value, action.why)
                     self.record.event("moved", phase=action.phase.value, why=action.why)
                     if action.phase is swim_events.Phase.REFUSED:
                         self.on_refused(action.why)
@@ -260,7 +260,9 @@
             elif (handler := self.frame_handlers.get(kind)) is not None:
                 handler(sender, body)
         except msgspec.MsgspecError as problem:
-            self.link.limited_log.warn(self.clock.now(), sender, f"{kind}: {problem}")
+            self.link.limited_log.warn(
+                self.clock.now(), sender, f"frame of kind {kind!r} dropped, can't be decoded: {problem}"
+            )
 
     # The agreed log
 
@@ -311,7 +313,7 @@
             self._finish_command(id)
         if self.applier.blocked_reason not in ("", previous_reason):
             log.error(
-                "fleet: the agreed log is not applied past entry %d: %s",
+                "fleet: agreed log applied only up to entry %d; the rest needs a later program version: %s",
                 self.applier.applied_index,
                 self.applier.blocked_reason,
             )
--- a/frostport/fleet_maintenance.py
+++ b/frostport/fleet_maintenance.py
@@ -125,7 +125,12 @@
         self.ticket_states = {ticket.number: ticket.state for ticket in self.plan.tickets}
         for ticket in self.plan.tickets:
             if previous.get(ticket.number) is not ticket.state:
-                log.info("work: %s %s: %s", ticket.name, ticket.state.value, self.plan.explain(ticket))
+                log.info(
+                    "work: maintenance ticket of %s is now %s: %s",
+                    ticket.name,
+                    ticket.state.value,
+                    self.plan.explain(ticket),
+                )
                 self.fleet.record.event(
                     "ticket",
                     index=entry.index,
--- a/frostport/membership/messages.py
+++ b/frostport/membership/messages.py
@@ -146,7 +146,10 @@
         or not info.address
         or any(len(text.encode()) > MAX_TEXT_BYTES for text in (info.address, *texts))
     ):
-        raise BadMessageError(f"info: life out of range, address empty, or text over {MAX_TEXT_BYTES} bytes")
+        raise BadMessageError(
+            f"invalid member info: life {info.life} out of range, empty address, "
+            f"or a text of more than {MAX_TEXT_BYTES} bytes"
+        )
 
 
 def validate(message: Message) -> None:
@@ -157,7 +160,7 @@
     if isinstance(message, Join):
         validate_info(message.info)
         if not 0 <= message.incarnation < INTEGER_LIMIT:
-            raise BadMessageError("incarnation out of range")
+            raise BadMessageError(f"Join with incarnation {message.incarnation} out of range")
     if isinstance(message, WITH_UPDATES):
         for update in message.updates:
             names.append(update.name)
@@ -165,10 +168,13 @@
                 not 0 <= update.incarnation < INTEGER_LIMIT
                 or len(update.suspected_by.encode()) > MAX_NAME_BYTES
             ):
-                raise BadMessageError("update: incarnation out of range, or suspected_by too long")
+                raise BadMessageError(
+                    f"update with incarnation {update.incarnation} out of range, "
+                    f"or suspected_by of more than {MAX_NAME_BYTES} bytes"
+                )
             if update.info is not None:
                 validate_info(update.info)
             elif update.state is State.ALIVE:
                 raise BadMessageError("ALIVE update without info")
     if any(not name or len(name.encode()) > MAX_NAME_BYTES for name in names):
-        raise BadMessageError(f"name empty or over {MAX_NAME_BYTES} bytes")
+        raise BadMessageError(f"an agent name is empty or has more than {MAX_NAME_BYTES} bytes")
--- a/frostport/replication/reconciliation.py
+++ b/frostport/replication/reconciliation.py
@@ -55,7 +55,10 @@
     for epoch in sorted(versions):
         number, values = versions[epoch]
         if len(values) != 1:
-            raise ConflictError(f"{key!r}: {len(values)} values of epoch {epoch}, number {number}")
+            raise ConflictError(
+                f"conflicting writes to {key!r}: {len(values)} different values under number {number} "
+                f"of epoch {epoch}"
+            )
         (candidate,) = values
         value = candidate if candidate is None or value is None else prefer(key, value, candidate)
     return value
--- a/frostport/startup_coordinator.py
+++ b/frostport/startup_coordinator.py
@@ -215,11 +215,11 @@
                 try:
                     record = orjson.loads(line)
                     if not isinstance(record, dict):
-                        raise BadLineError("not an event")
+                        raise BadLineError(f"expected a JSON object, found {type(record).__name__}")
                     server_list.apply_event(record)
                     break
                 except (BadLineError, orjson.JSONDecodeError) as error:
-                    log.warning("unreadable server list event from another agent: %s", error)
+                    log.warning("can't apply a server list event from another agent: %s", error)
             self._record_list_offset(server_list.offset)
             self._handle_feed_event(feeding.EventApplied(server_list.offset, line))
 
--- a/frostport/state/records.py
+++ b/frostport/state/records.py
@@ -161,8 +161,8 @@
     table, name = split_key(key)
     decoder = DECODERS.get(table)
     if decoder is None:
-        raise BadRecordError(f"{key[:80]!r}: no such table")
+        raise BadRecordError(f"record {key[:80]!r}: unknown table {table[:80]!r}")
     try:
         return table, name, decoder.decode(value)
     except msgspec.MsgspecError as problem:
-        raise BadRecordError(f"{key[:80]!r}: {problem}") from None
+        raise BadRecordError(f"record {key[:80]!r} can't be decoded: {problem}") from None
--- a/frostport/store/committer.py
+++ b/frostport/store/committer.py
@@ -258,7 +258,7 @@
         while self._unsynced_groups and self._unsynced_groups[0][0] <= result.synced:
             self._unsynced_groups.popleft()
         if result.rejected is not None:
-            log.error("store: batch not written: %s", result.rejected)
+            log.error("store: batch rejected, only its deletions were written: %s", result.rejected)
         self.nearly_full = self.engine.live_bytes > NEARLY_FULL_RATIO * self.engine.limits.store_bytes
         if self.state is State.STALLED:
             self._set_state(State.OPEN, "the disk answers again")
@@ -344,7 +344,7 @@
         if permanent:
             self._stop_retrying(reason)
         elif reason:
-            log.error("store: still failed, will retry: %s", reason)
+            log.error("store: can't be reopened yet, trying again in %.0f ms: %s", self._retry_ms, reason)
             self._add_unwritten([*unwritten.items(), *changed_since.items()])
             self._schedule_retry()
         else:
@@ -430,7 +430,7 @@
     """Returns the reason of a failure. An unexpected exception marks the engine as failed, so that a fault
     in it does not end the thread."""
     if not isinstance(problem, FailedError):
-        log.error("store: unexpected error in the engine", exc_info=problem)
+        log.error("store: unexpected exception in the engine, the store counts as failed", exc_info=problem)
         engine.failure = engine.failure or repr(problem)
     return str(problem) or repr(problem)
 
@@ -441,4 +441,4 @@
     try:
         callback()
     except Exception:
-        log.exception("store: a callback of a written record failed")
+        log.exception("store: a callback that waited for a commit raised an exception")
--- a/frostport/store/engine.py
+++ b/frostport/store/engine.py
@@ -128,7 +128,7 @@
                 self.checkpoint()
                 self.watermark.write_both_slots()
         except (FailedError, OSError) as problem:
-            log.error("store: not closed cleanly: %s", problem)
+            log.error("store: final sync, checkpoint or watermark write failed while closing: %s", problem)
         finally:
             for file in self._open_files.values():
                 file.close()
@@ -201,11 +201,17 @@
         growth = 0
         for part, (key, value) in zip(encoded, changes, strict=True):
             if len(part) > self.limits.record_bytes:
-                raise LimitError(f"record {key[:80]!r}: {len(part)} bytes, over {self.limits.record_bytes}")
+                raise LimitError(
+                    f"record {key[:80]!r} is too large: {len(part)} bytes, over the limit of "
+                    f"{self.limits.record_bytes}"
+                )
             growth += len(part) if value is not None else 0
         size = sum(map(len, encoded))
         if growth and self.live_bytes + growth > self.limits.store_bytes:
-            raise LimitError(f"{self.live_bytes} bytes live, over {self.limits.store_bytes} with the batch")
+            raise LimitError(
+                f"store is full: {self.live_bytes} bytes live, over the limit of {self.limits.store_bytes} "
+                f"with the {growth} bytes of this batch"
+            )
         # Guards the bound on disk space: what the background steps have not cleaned yet is cleaned before the
         # log grows.
         while (
@@ -525,7 +531,7 @@
     try:
         if contents.torn_bytes:
             log.warning(
-                "store: %s:%d: cut off a torn tail of %d bytes",
+                "store: %s:%d: truncated %d bytes after the last complete batch",
                 frames.segment_name(last.number),
                 last.size,
                 contents.torn_bytes,
--- a/frostport/store/follower.py
+++ b/frostport/store/follower.py
@@ -40,7 +40,7 @@
             if found is not None:
                 found.changed_keys.clear()
                 return found
-        raise StoreError("no store to follow")
+        raise StoreError("no store to follow: the folder has no manifest")
 
     def poll(self) -> dict[str, bytes | None]:
         """Returns the changes since the last poll: the newest value of each changed key, None if it is
@@ -73,7 +73,11 @@
         try:
             size = file.size()
             if size < segment.size:
-                raise DamagedError(frames.segment_name(segment.number), size, "truncated")
+                raise DamagedError(
+                    frames.segment_name(segment.number),
+                    size,
+                    f"segment was truncated to {size} bytes after {segment.size} bytes were read",
+                )
             if size > segment.size:
                 recovery.apply_batches(
                     contents, segment, file.read_at(segment.size, size - segment.size), 0, segment.size
@@ -91,7 +95,7 @@
             if size > segment.size:  # a batch of the previous segment became complete after it was read
                 return True
             raise DamagedError(
-                next_name, 0, f"begins at record {first_sequence}, not {contents.sequence + 1}"
+                next_name, 0, f"segment begins at record {first_sequence}, expected {contents.sequence + 1}"
             )
         contents.segments.append(Segment(segment.number + 1, first_sequence, frames.SEGMENT_HEADER.size))
         return True
--- a/frostport/store/index.py
+++ b/frostport/store/index.py
@@ -89,7 +89,7 @@
             for table in TABLES:
                 self.database.execute(table)
         except (sqlite3.Error, OSError, ValueError) as problem:
-            self.discard(f"not usable: {problem}")
+            self.discard(f"can't open the index, deleting it: {problem}")
 
     def discard(self, reason: str) -> None:
         """Closes and deletes the index file; a later checkpoint or start creates it again."""
@@ -99,7 +99,7 @@
             try:
                 self.folder.remove(name)
             except OSError as problem:
-                log.warning("store: %s: not removed: %s", name, problem)
+                log.warning("store: %s: can't delete the file: %s", name, problem)
 
     def checkpoint(self, store_id: int) -> Checkpoint | None:
         """Returns the last checkpoint as it is stored; its rows are not verified yet."""
@@ -113,13 +113,16 @@
                 return None
             # The digest exceeds SQLite's 64-bit integers and is stored as text.
             if not all(isinstance(value, int) for value in (*row[:5], row[6])) or not isinstance(row[5], str):
-                raise ValueError("the checkpoint's row has a wrong type")
+                raise ValueError("a column of the checkpoint has an unexpected type")
             found_store_id, sequence, segment, offset, count, digest, crc = row
             checkpoint = Checkpoint(found_store_id, sequence, segment, offset, count, int(digest))
             if crc != checkpoint.crc() or found_store_id != store_id:
-                raise ValueError("the checkpoint is damaged or belongs to another store")
+                raise ValueError(
+                    "the checkpoint fails its checksum or belongs to another store: "
+                    f"found store id {found_store_id}, expected {store_id}"
+                )
         except (sqlite3.Error, ValueError, OSError, OverflowError) as problem:
-            self.discard(f"damaged, rebuilding it from the log: {problem}")
+            self.discard(f"damaged, rebuilding the index from the log: {problem}")
             return None
         return checkpoint
 
@@ -134,13 +137,16 @@
                 "SELECT key, sequence, segment, offset, size FROM live"
             ):
                 if not isinstance(key, str) or not isinstance(sequence, int):
-                    raise ValueError("a row has a wrong type")
+                    raise ValueError("the key or sequence number of a row has an unexpected type")
                 rows[key] = (sequence, segment, offset, size)
                 total += digest_term(sequence)
             if checkpoint.count != len(rows) or checkpoint.digest != total:
-                raise ValueError("rows don't match their count and digest")
+                raise ValueError(
+                    f"the rows don't match the checkpoint: found {len(rows)} rows with digest {total}, "
+                    f"expected {checkpoint.count} with {checkpoint.digest}"
+                )
         except (sqlite3.Error, ValueError, OSError, OverflowError) as problem:
-            self.discard(f"damaged, rebuilding it from the log: {problem}")
+            self.discard(f"damaged, rebuilding the index from the log: {problem}")
             return None
         return rows
 
@@ -162,7 +168,7 @@
             self.database.executemany("DELETE FROM live WHERE key = ?", deleted)
             self.database.executemany("INSERT OR REPLACE INTO live VALUES (?, ?, ?, ?, ?)", live)
         except (sqlite3.Error, OSError, ValueError) as problem:
-            self.discard(f"not written: {problem}")
+            self.discard(f"can't write a checkpoint, running without the index: {problem}")
 
     def commit(self, checkpoint: Checkpoint) -> None:
         """Stores the checkpoint itself and commits its rows."""
@@ -179,7 +185,7 @@
             self.in_transaction = False
             self.folder.committed(FILE_NAME, self.database)
         except (sqlite3.Error, OSError, ValueError) as problem:
-            self.discard(f"not written: {problem}")
+            self.discard(f"can't write a checkpoint, running without the index: {problem}")
 
     def close(self) -> None:
         """Closes the database; rows that are not committed are lost. The file stays."""
@@ -190,4 +196,4 @@
             try:
                 database.close()
             except sqlite3.Error as problem:
-                log.warning("store: %s: not closed: %s", FILE_NAME, problem)
+                log.warning("store: %s: can't close the database: %s", FILE_NAME, problem)
--- a/frostport/store/recovery.py
+++ b/frostport/store/recovery.py
@@ -97,7 +97,8 @@
         and (found_version := int.from_bytes(data[8:12], "little")) != frames.FORMAT_VERSION
     ):
         raise UnknownFormatError(
-            f"{MANIFEST_NAME}:8: format {found_version}, only {frames.FORMAT_VERSION} is known here"
+            f"{MANIFEST_NAME}:8: unsupported store format version {found_version}, "
+            f"only version {frames.FORMAT_VERSION} is supported"
         )
     fields = frames.unpack_with_crc(MANIFEST, frames.MANIFEST_MAGIC, data)
     if fields is None or len(data) != MANIFEST.size:
@@ -149,10 +150,16 @@
     numbers = sorted(number for name in folder.names() if (number := frames.segment_number(name)) is not None)
     numbers_in_use = [number for number in numbers if number >= oldest]
     if not numbers_in_use or numbers_in_use[0] != oldest:
-        raise DamagedError(frames.segment_name(oldest), -1, "missing, and the manifest names it")
+        raise DamagedError(
+            frames.segment_name(oldest),
+            -1,
+            "segment file is missing, but the manifest names it as the oldest",
+        )
     for before, after in itertools.pairwise(numbers_in_use):
         if after != before + 1:
-            raise DamagedError(frames.segment_name(before + 1), -1, "missing")
+            raise DamagedError(
+                frames.segment_name(before + 1), -1, f"segment file is missing, but segment {after} exists"
+            )
     contents = Contents(store_id, acknowledged.sequence)
     contents.obsolete_files = [frames.segment_name(number) for number in numbers if number < oldest]
     contents.obsolete_files += [name for name in folder.names() if name.endswith(".new")]
@@ -218,15 +225,27 @@
             contents.obsolete_files.append(name)
             return
         if first_sequence is None:
-            raise DamagedError(name, 0, "its head is not readable")
+            raise DamagedError(
+                name,
+                0,
+                f"invalid segment header: expected format {frames.FORMAT_VERSION}, segment {number} "
+                f"and store id {contents.store_id}, with a correct checksum",
+            )
         if first_sequence != contents.sequence + 1:
-            raise DamagedError(name, 0, f"begins at record {first_sequence}, not {contents.sequence + 1}")
+            raise DamagedError(
+                name, 0, f"segment begins at record {first_sequence}, expected {contents.sequence + 1}"
+            )
         segment = Segment(number, first_sequence, frames.SEGMENT_HEADER.size)
         contents.segments.append(segment)
         apply_batches(contents, segment, data, frames.SEGMENT_HEADER.size)
         contents.torn_bytes = len(data) - segment.size
         if contents.torn_bytes and not last:
-            raise DamagedError(name, segment.size, "not readable")
+            raise DamagedError(
+                name,
+                segment.size,
+                f"the last {contents.torn_bytes} bytes of the segment are not complete batches, "
+                "but a later segment exists",
+            )
 
 
 def apply_batches(contents: Contents, segment: Segment, data: bytes, position: int, base: int = 0) -> None:
--- a/frostport/store/tools.py
+++ b/frostport/store/tools.py
@@ -53,9 +53,12 @@
                 raise
             continue
         if found is None:
-            raise StoreError(f"{path}: no store in it")
+            raise StoreError(f"{path}: the folder contains no store")
         return found
-    raise StoreError(f"{path}: changes faster than it can be read; take a backup instead")
+    raise StoreError(
+        f"{path}: an agent changed the store during each of {MAX_ATTEMPTS} attempts to read it; "
+        "take a backup instead"
+    )
 
 
 def is_being_written(path: pathlib.Path) -> bool:
@@ -96,7 +99,7 @@
     source = open_existing(path)
     copy = DiskFolder(target)
     if copy.names():
-        raise StoreError(f"{target}: not empty")
+        raise StoreError(f"{target}: the folder for the backup is not empty")
     for _ in range(MAX_ATTEMPTS):
         for name in copy.names():
             copy.remove(name)
@@ -107,7 +110,7 @@
         except (FileNotFoundError, DamagedError):
             if not is_being_written(path):
                 raise
-    raise StoreError(f"{path}: changes faster than it can be copied")
+    raise StoreError(f"{path}: an agent changed the store during each of {MAX_ATTEMPTS} attempts to copy it")
 
 
 def copy_once(source: Folder, copy: Folder) -> None:
--- a/frostport/store/watermark.py
+++ b/frostport/store/watermark.py
@@ -56,15 +56,23 @@
 
         Raises DamagedError if it is missing, has no intact slot or belongs to another store."""
         if FILE_NAME not in folder.names():
-            raise DamagedError(FILE_NAME, -1, "missing: what was acknowledged can't be checked")
+            raise DamagedError(
+                FILE_NAME,
+                -1,
+                "watermark file is missing: can't verify that the log holds all acknowledged records",
+            )
         file = folder.open(FILE_NAME)
         found = read_slots(file.read_at(0, 2 * WATERMARK_SLOT.size))
         if found is None:
             file.close()
-            raise DamagedError(FILE_NAME, 0, "not readable: what was acknowledged can't be checked")
+            raise DamagedError(
+                FILE_NAME,
+                0,
+                "neither watermark slot is intact: can't verify that the log holds all acknowledged records",
+            )
         if found[0] != store_id:
             file.close()
-            raise DamagedError(FILE_NAME, 0, "another store's")
+            raise DamagedError(FILE_NAME, 0, f"watermark has store id {found[0]}, the manifest {store_id}")
         watermark = cls(file, store_id, found[1])
         watermark._slot = 1 - found[2]  # the other one may be torn, so it is written first
         return watermark
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -919,7 +919,7 @@
 def test_a_record_of_a_later_version_is_named() -> None:
     with pytest.raises(records.BadRecordError, match="'call/a'"):
         recovery.restore({"call/a": b"\xc1"}, 0.0, 500.0)
-    with pytest.raises(records.BadRecordError, match="no such table"):
+    with pytest.raises(records.BadRecordError, match="unknown table 'tomorrow/'"):
         recovery.restore({"tomorrow/a": b"\x90"}, 0.0, 500.0)
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -123,7 +123,9 @@
     found, conflicts = resolve_copy(copy, preferred_value)
     assert found == {"call/2": OPEN}
     assert (
-        len(conflicts) == 1 and "call/1" in conflicts[0] and "2 values of epoch 1, number 2" in conflicts[0]
+        len(conflicts) == 1
+        and "call/1" in conflicts[0]
+        and "2 different values under number 2 of epoch 1" in conflicts[0]
     )
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -463,9 +463,9 @@
 def test_limits_one_writer_and_formats() -> None:
     folder = MemoryFolder()
     engine = Engine.open(folder, SMALL)
-    with pytest.raises(LimitError, match="over 256"):
+    with pytest.raises(LimitError, match=r"is too large: \d+ bytes, over the limit of 256$"):
         engine.append([("a", bytes(300))])
-    with pytest.raises(LimitError, match="bytes live, over 4096"):
+    with pytest.raises(LimitError, match="bytes live, over the limit of 4096 with"):
         engine.append([(f"a{number}", bytes(200)) for number in range(30)])
     assert engine.sequence == 0
     with pytest.raises(LockedError):
@@ -473,7 +473,10 @@
     engine.close()
     manifest = bytearray(folder.contents()["manifest"])
     manifest[8] = 2
-    with pytest.raises(UnknownFormatError, match="manifest:8: format 2, only 1 is known"):
+    with pytest.raises(
+        UnknownFormatError,
+        match="manifest:8: unsupported store format version 2, only version 1 is supported",
+    ):
         Engine.open(MemoryFolder({**folder.contents(), "manifest": bytes(manifest)}), SMALL)
 
 
