--- a/frostport/config_fleet.py
+++ b/frostport/config_fleet.py
@@ -137,6 +137,6 @@
         is_integer = kind is float and isinstance(given[name], int) and not isinstance(given[name], bool)
         value = float(given[name]) if is_integer else base.read_field(given, name, kind, values[name], prefix)
         if not 0 <= value < 1e12:
-            raise ConfigError(f"{prefix}{name}: must be at least 0 and below 1e12, got {value:g}")
+            raise ConfigError(f"{prefix}{name}: must be at least 0 and below 1e12, got {value!r:.40}")
         values[name] = value
     return Limits(**values)
--- a/tests/test_gossip_wire.py
+++ b/tests/test_gossip_wire.py
@@ -250,6 +250,10 @@
         ({"routes": {"x": "y"}}, "fleet.routes"),
         ({"work": {"all": "x"}}, "fleet.work.all: expected a value of type int, got str"),
         ({"work": {"some": 1}}, "fleet.work.some: unknown field"),
+        (
+            {"work": {"all": 10**400}},
+            "fleet.work.all: must be at least 0 and below 1e12, got 1000000000",
+        ),
         ({"work": {"margin": -1}}, "fleet.work.margin: must be at least 0 and below 1e12, got -1"),
         ({"compact_after": 5}, "fleet.compact_after: must be at least 100, got 5"),
         ({"path": ""}, "fleet.path: must be a non-empty string"),
